--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,8 @@
 # Targets: build, test, demo, lint, fmt. `make test` is the whole verdict on the code.
 MODULES := core instance operator platform proof
 LINT    := go run github.com/golangci/golangci-lint/v2/cmd/golangci-lint@v2.15.0
+# RENAME changes an identifier and all its uses: $(RENAME) FILE:LINE:COLUMN NEWNAME
+RENAME  := go run golang.org/x/tools/gopls@v0.22.0 rename -w
 
 .PHONY: build slopes soak test race vet lint fmt demo
 
