--- a/core/order/bench_test.go
+++ b/core/order/bench_test.go
@@ -19,7 +19,7 @@
 	}
 	for _, at := range []string{"rest", "restart"} {
 		b.Run(at, func(b *testing.B) {
-			w := newWorld(document(list...), engines)
+			w := newSimulation(document(list...), engines)
 			w.run(200)
 			var view []order.Engine
 			for _, e := range w.engines {
@@ -29,14 +29,14 @@
 				view = append(view, e.view(w.now))
 			}
 			w.doc.Weights.Loads = engines
-			w.d.SetIntent(w.doc)
+			w.domain.SetIntent(w.doc)
 			orders := 0
 			b.ReportAllocs()
 			for b.Loop() {
 				if at == "restart" {
-					w.d.Begin(w.now.Add(-time.Hour), true)
+					w.domain.Begin(w.now.Add(-time.Hour), true)
 				}
-				orders += len(w.d.Step(w.now, view, all).Orders)
+				orders += len(w.domain.Step(w.now, view, all).Orders)
 			}
 			b.ReportMetric(float64(orders)/float64(b.N), "orders/step")
 		})
--- a/core/order/budget.go
+++ b/core/order/budget.go
@@ -7,41 +7,43 @@
 	"github.com/comfreyladder/comfreyladder/core/intent"
 )
 
-// budget is a token bucket over the megabytes that the domain's engines are
+// loadBudget is a token bucket over the megabytes that the domain's engines are
 // ordered to load. It holds one load of the largest model, so that in any time t
 // they are ordered to load at most that and rate x t.
-type budget struct {
-	rate  float64 // megabytes a second
-	most  float64
-	level float64
-	at    time.Time
+type loadBudget struct {
+	ratePerSecond float64 // megabytes a second
+	capacity      float64
+	available     float64
+	refilledAt    time.Time
 }
 
-func (b *budget) configure(doc *intent.Document) {
-	b.rate = float64(cmp.Or(doc.Weights.RateMB, intent.DefaultRateMB))
-	b.most = 0
+func (b *loadBudget) configure(doc *intent.Document) {
+	b.ratePerSecond = float64(cmp.Or(doc.Weights.RateMB, intent.DefaultRateMB))
+	b.capacity = 0
 	for i := range doc.Models {
-		b.most = max(b.most, float64(wholeSize(&doc.Models[i])))
+		b.capacity = max(b.capacity, float64(sizeWithAdapters(&doc.Models[i])))
 	}
-	b.level = min(b.level, b.most)
+	b.available = min(b.available, b.capacity)
 }
 
-func (b *budget) refill(now time.Time) {
-	if now.After(b.at) {
-		b.level = min(b.level+b.rate*now.Sub(b.at).Seconds(), b.most)
-		b.at = now
+func (b *loadBudget) refill(now time.Time) {
+	if now.After(b.refilledAt) {
+		b.available = min(b.available+b.ratePerSecond*now.Sub(b.refilledAt).Seconds(), b.capacity)
+		b.refilledAt = now
 	}
 }
 
-func (b *budget) giveBack(megabytes int) { b.level = min(b.level+float64(megabytes), b.most) }
+func (b *loadBudget) refund(megabytes int) {
+	b.available = min(b.available+float64(megabytes), b.capacity)
+}
 
-// adapterShare is the part of its model's size that an adapter is charged: low-rank
+// adapterSizeDivisor is the part of its model's size that an adapter is charged: low-rank
 // adapters are well under it.
-const adapterShare = 50
+const adapterSizeDivisor = 50
 
-func sizeOf(m *intent.Model) int { return cmp.Or(m.SizeMB, intent.DefaultSizeMB) }
+func modelSize(m *intent.Model) int { return cmp.Or(m.SizeMB, intent.DefaultSizeMB) }
 
-func adapterSize(m *intent.Model) int { return max(sizeOf(m)/adapterShare, 1) }
+func adapterSize(m *intent.Model) int { return max(modelSize(m)/adapterSizeDivisor, 1) }
 
-// wholeSize is that of a model with all its adapters.
-func wholeSize(m *intent.Model) int { return sizeOf(m) + len(m.Adapters)*adapterSize(m) }
+// sizeWithAdapters is that of a model with all its adapters.
+func sizeWithAdapters(m *intent.Model) int { return modelSize(m) + len(m.Adapters)*adapterSize(m) }
--- a/core/order/decide.go
+++ b/core/order/decide.go
@@ -6,69 +6,69 @@
 )
 
 // decide turns the plans into orders and reports.
-func (p *plan) decide() Decision {
+func (p *planner) decide() Decision {
 	var out Decision
-	for _, s := range p.seats {
-		out.Engines = append(out.Engines, p.settle(s, &out))
+	for _, s := range p.engines {
+		out.Engines = append(out.Engines, p.decideEngine(s, &out))
 	}
-	for _, w := range p.wants {
-		out.Models = append(out.Models, p.report(w))
+	for _, w := range p.models {
+		out.Models = append(out.Models, p.modelStatus(w))
 	}
 	return out
 }
 
-// settle returns where an engine stands and adds its order, if one is due.
-func (p *plan) settle(s *seat, out *Decision) EngineStatus {
-	st := EngineStatus{Name: s.Name, Wanted: sorted(s.plan), Checks: s.rule.ChecksFence, Standing: p.standing(s)}
-	s.memory.names = st.Wanted
+// decideEngine returns where an engine stands and adds its order, if one is due.
+func (p *planner) decideEngine(s *enginePlan, out *Decision) EngineStatus {
+	st := EngineStatus{Name: s.Name, Wanted: sortedKeys(s.planned), Checks: s.rule.ChecksFence, Standing: p.conditionOf(s)}
+	s.history.models = st.Wanted
 	if s.State != nil {
 		st.Held, st.Fence = s.State.Models, s.State.Fence
 	}
-	if !s.movable() || !s.differs() {
+	if !s.orderable() || !s.needsOrder() {
 		return st
 	}
-	if p.may == (Authority{}) {
-		p.d.budget.giveBack(s.cost)
+	if p.authority == (Authority{}) {
+		p.domain.budget.refund(s.costMB)
 		out.Pending = true
 		st.Standing = Due
-		s.memory.names = sorted(s.there)
+		s.history.models = sortedKeys(s.current)
 		return st
 	}
-	if s.cost > 0 {
-		s.memory.loaded = p.now
+	if s.costMB > 0 {
+		s.history.lastLoadOrdered = p.now
 	}
-	p.d.flights[s.Name] = &flight{incarnation: s.Incarnation, models: st.Wanted, cost: s.cost}
-	s.memory.ordered = Order{Engine: s.Name, Models: st.Wanted, Role: s.wantedRole(), CostMB: s.cost}
-	out.Orders = append(out.Orders, s.memory.ordered)
+	p.domain.inFlight[s.Name] = &inFlightOrder{incarnation: s.Incarnation, models: st.Wanted, costMB: s.costMB}
+	s.history.lastOrder = Order{Engine: s.Name, Models: st.Wanted, Role: s.wantedRole(), CostMB: s.costMB}
+	out.Orders = append(out.Orders, s.history.lastOrder)
 	st.Standing = Ordered
 	return st
 }
 
-// differs reports whether the engine's own word is not what is wanted.
-func (s *seat) differs() bool {
-	return !maps.Equal(s.plan, s.there) || s.wantedRole() != s.State.Role
+// needsOrder reports whether the engine's own word is not what is wanted.
+func (s *enginePlan) needsOrder() bool {
+	return !maps.Equal(s.planned, s.current) || s.wantedRole() != s.State.Role
 }
 
-func (s *seat) wantedRole() string {
+func (s *enginePlan) wantedRole() string {
 	if s.rule.Role == "" {
 		return s.State.Role
 	}
 	return s.rule.Role
 }
 
-func (p *plan) standing(s *seat) Standing {
+func (p *planner) conditionOf(s *enginePlan) Standing {
 	switch {
 	case s.NoOrders:
 		return NoOrders
-	case s.flight != nil:
+	case s.inFlight != nil:
 		return Ordered
 	case s.State == nil:
 		return Unread
-	case s.memory.trouble != "":
-		return s.memory.trouble
+	case s.history.failure != "":
+		return s.history.failure
 	case s.stuck:
 		return Stuck
-	case !p.may.allows(s.rule):
+	case !p.authority.allows(s.rule):
 		return Waiting
 	case len(s.State.Loading) > 0:
 		return Loading
@@ -76,21 +76,21 @@
 	return AsWanted
 }
 
-func (p *plan) report(w *want) ModelStatus {
-	st := ModelStatus{Name: Name(w.m), Wanted: w.m.Replicas, Serving: w.serving, Note: w.note}
-	for _, s := range p.seats {
+func (p *planner) modelStatus(w *modelTarget) ModelStatus {
+	st := ModelStatus{Name: Name(w.model), Wanted: w.model.Replicas, Serving: w.serving, Note: w.note}
+	for _, s := range p.engines {
 		switch {
-		case !s.has(w.m):
-		case s.State != nil && s.loading(w.m):
+		case !s.holds(w.model):
+		case s.State != nil && s.loading(w.model):
 			st.Loading++
 		default:
 			st.Holding++
 		}
 	}
-	if st.Holding+st.Loading >= st.Wanted && w.note != noteHot && w.note != noteLast {
+	if st.Holding+st.Loading >= st.Wanted && w.note != noteSaturated && w.note != noteLastServing {
 		st.Note = ""
 	}
 	return st
 }
 
-func sorted(set map[string]bool) []string { return slices.Sorted(maps.Keys(set)) }
+func sortedKeys(set map[string]bool) []string { return slices.Sorted(maps.Keys(set)) }
--- a/core/order/domain.go
+++ b/core/order/domain.go
@@ -9,37 +9,37 @@
 // Domain decides for the engines of one failure domain. It is not safe for
 // concurrent use.
 type Domain struct {
-	cfg     Config
-	doc     *intent.Document
-	budget  budget
-	began   time.Time
-	flights map[string]*flight
-	known   map[string]*memory
-	// busy says when a model's engines last had work, hot since when they are full.
-	busy, hot map[string]time.Time
+	cfg       Config
+	doc       *intent.Document
+	budget    loadBudget
+	termStart time.Time
+	inFlight  map[string]*inFlightOrder
+	histories map[string]*engineHistory
+	// lastBusy says when a model's engines last had work, saturatedSince since when they are full.
+	lastBusy, saturatedSince map[string]time.Time
 }
 
-// flight is an order on its way.
-type flight struct {
+// inFlightOrder is an order on its way.
+type inFlightOrder struct {
 	incarnation uint64
 	models      []string
-	cost        int
+	costMB      int
 }
 
-// memory is what is remembered of an engine between steps.
-type memory struct {
-	seen        time.Time
-	incarnation uint64
-	names       []string // held or on their way when it was seen last
-	loaded      time.Time
-	loading     time.Time // since when it loads, zero if it does not
-	retry       time.Time // no order before then
-	trouble     Standing  // Unreached, Unfollowed or nothing
-	// ordered is the last order; answered says that the next word of the engine
+// engineHistory is what is remembered of an engine between steps.
+type engineHistory struct {
+	lastSeen        time.Time
+	incarnation     uint64
+	models          []string // held or on their way when it was seen last
+	lastLoadOrdered time.Time
+	loadingSince    time.Time // since when it loads, zero if it does not
+	retryAfter      time.Time // no order before then
+	failure         Standing  // Unreached, Unfollowed or nothing
+	// lastOrder is the last order; answered says that the next word of the engine
 	// is its answer to that.
-	ordered  Order
-	answered bool
-	failures int
+	lastOrder       Order
+	verifyLastOrder bool
+	failures        int
 }
 
 // New returns a Domain without an intent; it orders nothing.
@@ -61,44 +61,44 @@
 // starts empty: nobody knows how much the issuer before has spent, and a full one
 // with each new issuer would let a series of failures feed a stampede.
 func (d *Domain) Begin(now time.Time, first bool) {
-	d.began = now
-	d.flights = map[string]*flight{}
-	d.known = map[string]*memory{}
-	d.busy, d.hot = map[string]time.Time{}, map[string]time.Time{}
-	d.budget.at, d.budget.level = now, 0
+	d.termStart = now
+	d.inFlight = map[string]*inFlightOrder{}
+	d.histories = map[string]*engineHistory{}
+	d.lastBusy, d.saturatedSince = map[string]time.Time{}, map[string]time.Time{}
+	d.budget.refilledAt, d.budget.available = now, 0
 	if first {
-		d.budget.level = d.budget.most
+		d.budget.available = d.budget.capacity
 	}
 }
 
 // Answered ends an order's flight, if one is under way: the engine's State in the
 // next step is newer.
 func (d *Domain) Answered(engine string) {
-	if d.flights[engine] == nil {
+	if d.inFlight[engine] == nil {
 		return
 	}
-	delete(d.flights, engine)
-	if m := d.known[engine]; m != nil {
-		m.answered, m.trouble = true, ""
+	delete(d.inFlight, engine)
+	if m := d.histories[engine]; m != nil {
+		m.verifyLastOrder, m.failure = true, ""
 	}
 }
 
 // NotSent ends the flight of an order that is proved to have had no effect, and
 // gives its charge back. The engine is left alone for Config.Backoff.
 func (d *Domain) NotSent(now time.Time, engine string) {
-	f := d.flights[engine]
+	f := d.inFlight[engine]
 	if f == nil {
 		return
 	}
-	delete(d.flights, engine)
-	d.budget.giveBack(f.cost)
-	if m := d.known[engine]; m != nil {
-		m.retry, m.trouble = now.Add(d.cfg.Backoff), Unreached
+	delete(d.inFlight, engine)
+	d.budget.refund(f.costMB)
+	if m := d.histories[engine]; m != nil {
+		m.retryAfter, m.failure = now.Add(d.cfg.Backoff), Unreached
 	}
 }
 
 // InFlight reports whether an order to the engine is on its way.
-func (d *Domain) InFlight(engine string) bool { return d.flights[engine] != nil }
+func (d *Domain) InFlight(engine string) bool { return d.inFlight[engine] != nil }
 
 // Step compares the intent with the engines that are alive and returns the orders
 // to send now. Engines that the authority does not cover are left as they are.
@@ -107,51 +107,51 @@
 		return Decision{}
 	}
 	d.budget.refill(now)
-	d.forget(now, engines)
-	p := d.layOut(now, engines, may)
-	p.retire()
-	p.fill()
-	p.adapt()
-	p.convert()
-	p.follow()
+	d.dropStale(now, engines)
+	p := d.newPlanner(now, engines, may)
+	p.dropUnwanted()
+	p.assignReplicas()
+	p.loadMissingAdapters()
+	p.upgradeVersions()
+	p.scaleSaturated()
 	return p.decide()
 }
 
-// forget drops what belongs to engines that are gone or started anew: an order to
+// dropStale drops what belongs to engines that are gone or started anew: an order to
 // an earlier incarnation has no effect on the next.
-func (d *Domain) forget(now time.Time, engines []Engine) {
+func (d *Domain) dropStale(now time.Time, engines []Engine) {
 	live := make(map[string]uint64, len(engines))
 	for i := range engines {
 		live[engines[i].Name] = engines[i].Incarnation
 	}
-	for name, f := range d.flights {
+	for name, f := range d.inFlight {
 		if at, ok := live[name]; !ok || at != f.incarnation {
-			delete(d.flights, name)
+			delete(d.inFlight, name)
 		}
 	}
-	for name, m := range d.known {
-		if _, ok := live[name]; !ok && now.Sub(m.seen) > d.cfg.Grace {
-			delete(d.known, name)
+	for name, m := range d.histories {
+		if _, ok := live[name]; !ok && now.Sub(m.lastSeen) > d.cfg.ReplaceAfter {
+			delete(d.histories, name)
 		}
 	}
 }
 
-func (d *Domain) memoryOf(now time.Time, e *Engine) *memory {
-	m := d.known[e.Name]
+func (d *Domain) historyOf(now time.Time, e *Engine) *engineHistory {
+	m := d.histories[e.Name]
 	if m == nil || m.incarnation != e.Incarnation {
-		m = &memory{incarnation: e.Incarnation}
-		d.known[e.Name] = m
+		m = &engineHistory{incarnation: e.Incarnation}
+		d.histories[e.Name] = m
 	}
-	m.seen = now
+	m.lastSeen = now
 	return m
 }
 
 // inDemand reports whether a model had work lately. A new term counts as work,
 // since it has seen nothing yet.
 func (d *Domain) inDemand(now time.Time, model string) bool {
-	last := d.busy[model]
-	if d.began.After(last) {
-		last = d.began
+	last := d.lastBusy[model]
+	if d.termStart.After(last) {
+		last = d.termStart
 	}
 	return now.Sub(last) < d.cfg.Idle
 }
--- a/core/order/fill.go
+++ b/core/order/fill.go
@@ -2,101 +2,101 @@
 
 import "cmp"
 
-// fill loads models that too few engines hold. Those that no engine holds or
+// assignReplicas loads models that too few engines hold. Those that no engine holds or
 // serves go first, then those that are furthest from what is wanted, so that
 // after a restart of all engines each model comes back once before any comes
 // back twice.
-func (p *plan) fill() {
-	for !p.spent {
-		w := p.neediest()
+func (p *planner) assignReplicas() {
+	for !p.budgetExhausted {
+		w := p.mostUnderReplicated()
 		if w == nil {
 			return
 		}
-		if !p.affordable(w, wholeSize(w.m)) {
+		if !p.canStartLoad(w, sizeWithAdapters(w.model)) {
 			break
 		}
-		to := p.placeFor(w)
-		if to.s == nil {
+		to := p.findPlacement(w)
+		if to.engine == nil {
 			w.blocked, w.note = true, to.note
 			continue
 		}
 		w.note = ""
-		if to.w != w {
-			w.blocked, w.note = true, noteMove
+		if to.target != w {
+			w.blocked, w.note = true, noteOtherMove
 		}
-		if p.affordable(to.w, wholeSize(to.w.m)) {
-			p.load(to.w, to.s)
+		if p.canStartLoad(to.target, sizeWithAdapters(to.target.model)) {
+			p.assign(to.target, to.engine)
 		}
 	}
-	for _, w := range p.wants {
+	for _, w := range p.models {
 		if w.deficit() > 0 && !w.blocked && w.note == "" {
 			w.note = noteBudget
 		}
 	}
 }
 
-func (p *plan) neediest() *want {
-	var best *want
-	for _, w := range p.wants {
-		if w.deficit() > 0 && !w.blocked && (best == nil || w.needs(best)) {
+func (p *planner) mostUnderReplicated() *modelTarget {
+	var best *modelTarget
+	for _, w := range p.models {
+		if w.deficit() > 0 && !w.blocked && (best == nil || w.precedes(best)) {
 			best = w
 		}
 	}
 	return best
 }
 
-// needs reports whether w goes before o.
-func (w *want) needs(o *want) bool {
-	if none, other := w.good+w.serving == 0, o.good+o.serving == 0; none != other {
+// precedes reports whether w goes before o.
+func (w *modelTarget) precedes(o *modelTarget) bool {
+	if none, other := w.holders+w.serving == 0, o.holders+o.serving == 0; none != other {
 		return none
 	}
-	return w.good*o.m.Replicas < o.good*w.m.Replicas
+	return w.holders*o.model.Replicas < o.holders*w.model.Replicas
 }
 
-// place is a load to begin, or the reason why there is none.
-type place struct {
-	w    *want
-	s    *seat
-	note string
+// placement is a load to begin, or the reason why there is none.
+type placement struct {
+	target *modelTarget
+	engine *enginePlan
+	note   string
 }
 
-// placeFor returns where a model is to be loaded next. An engine that holds it in
+// findPlacement returns where a model is to be loaded next. An engine that holds it in
 // another version goes first, then one with room, then one whose model is held by
 // more engines than it has to be. Otherwise a model at an engine that w could
 // use is loaded elsewhere, by the same rules, so that the engine becomes free:
 // the search goes on from model to model, the shortest chain of moves first, and
 // the load that it returns is the last of the chain.
-func (p *plan) placeFor(w *want) place {
-	s, note := p.outdated(w)
+func (p *planner) findPlacement(w *modelTarget) placement {
+	s, note := p.engineToUpgrade(w)
 	if s != nil {
-		return place{w: w, s: s}
+		return placement{target: w, engine: s}
 	}
-	visited := map[*want]bool{w: true}
-	for queue := []*want{w}; len(queue) > 0; queue = queue[1:] {
+	visited := map[*modelTarget]bool{w: true}
+	for queue := []*modelTarget{w}; len(queue) > 0; queue = queue[1:] {
 		u := queue[0]
-		if s := p.roomy(u); s != nil {
-			return place{w: u, s: s}
+		if s := p.engineWithRoom(u); s != nil {
+			return placement{target: u, engine: s}
 		}
-		s, waits := p.displaced(u, func(*seat, *want) bool { return true })
+		s, waits := p.evict(u, func(*enginePlan, *modelTarget) bool { return true })
 		if s != nil {
-			return place{w: u, s: s}
+			return placement{target: u, engine: s}
 		}
 		if waits {
-			return place{note: noteLast}
+			return placement{note: noteLastServing}
 		}
-		queue = append(queue, p.inTheWayOf(u, visited)...)
+		queue = append(queue, p.blockingModels(u, visited)...)
 	}
-	return place{note: cmp.Or(note, noteRoom)}
+	return placement{note: cmp.Or(note, noteNoRoom)}
 }
 
-// inTheWayOf returns the models at engines that u could use.
-func (p *plan) inTheWayOf(u *want, visited map[*want]bool) (out []*want) {
-	for _, s := range p.seats {
-		if !p.open(s, u) || s.hasOld(u.m) {
+// blockingModels returns the models at engines that u could use.
+func (p *planner) blockingModels(u *modelTarget, visited map[*modelTarget]bool) (out []*modelTarget) {
+	for _, s := range p.engines {
+		if !p.canReceive(s, u) || s.holdsOtherVersion(u.model) {
 			continue
 		}
-		for _, v := range p.wants {
-			if !visited[v] && s.counts(v.m) {
+		for _, v := range p.models {
+			if !visited[v] && s.holdsPermitted(v.model) {
 				visited[v] = true
 				out = append(out, v)
 			}
@@ -105,153 +105,153 @@
 	return out
 }
 
-// outdated returns an engine that holds the model in another version and can load
+// engineToUpgrade returns an engine that holds the model in another version and can load
 // the wanted one beside it or in its place, or the reason why none may do so now.
-func (p *plan) outdated(w *want) (*seat, string) {
-	var best *seat
-	for _, s := range p.seats {
-		if !s.movable() || !s.hasOld(w.m) || !s.permits(w.m.Name) {
+func (p *planner) engineToUpgrade(w *modelTarget) (*enginePlan, string) {
+	var best *enginePlan
+	for _, s := range p.engines {
+		if !s.orderable() || !s.holdsOtherVersion(w.model) || !s.permits(w.model.Name) {
 			continue
 		}
-		if best == nil || better(s, best, w.m.Name) {
+		if best == nil || betterUpgrade(s, best, w.model.Name) {
 			best = s
 		}
 	}
-	if best != nil && best.copies(p.d.doc) >= best.limit && !p.mayDrop(best, w.m.Name) {
-		return nil, noteLast
+	if best != nil && best.plannedModels(p.domain.doc) >= best.maxModels && !p.canStopServing(best, w.model.Name) {
+		return nil, noteLastServing
 	}
 	return best, ""
 }
 
-// better prefers an engine that does not serve, then the higher rank.
-func better(a, b *seat, model string) bool {
+// betterUpgrade prefers an engine that does not serve, then the higher rank.
+func betterUpgrade(a, b *enginePlan, model string) bool {
 	if x, y := a.serves(model), b.serves(model); x != y {
 		return y
 	}
 	return a.rank(model) > b.rank(model)
 }
 
-// roomy returns an engine with room; those that may hold the fewest models go
+// engineWithRoom returns an engine with room; those that may hold the fewest models go
 // first, so that they are not left over while others are full.
-func (p *plan) roomy(w *want) *seat {
-	var best *seat
-	for _, s := range p.seats {
-		if !p.open(s, w) || s.hasOld(w.m) || s.copies(p.d.doc) >= s.limit {
+func (p *planner) engineWithRoom(w *modelTarget) *enginePlan {
+	var best *enginePlan
+	for _, s := range p.engines {
+		if !p.canReceive(s, w) || s.holdsOtherVersion(w.model) || s.plannedModels(p.domain.doc) >= s.maxModels {
 			continue
 		}
-		if best == nil || p.fits(s, best, w.m.Name) {
+		if best == nil || p.betterFit(s, best, w.model.Name) {
 			best = s
 		}
 	}
 	return best
 }
 
-func (p *plan) fits(a, b *seat, model string) bool {
-	if x, y := a.options(p.d.doc), b.options(p.d.doc); x != y {
+func (p *planner) betterFit(a, b *enginePlan, model string) bool {
+	if x, y := a.permittedModels(p.domain.doc), b.permittedModels(p.domain.doc); x != y {
 		return x < y
 	}
 	return a.rank(model) > b.rank(model)
 }
 
-// open reports whether the engine may be ordered to hold the model and does not.
-func (p *plan) open(s *seat, w *want) bool {
-	return s.movable() && s.permits(w.m.Name) && !s.has(w.m)
+// canReceive reports whether the engine may be ordered to hold the model and does not.
+func (p *planner) canReceive(s *enginePlan, w *modelTarget) bool {
+	return s.orderable() && s.permits(w.model.Name) && !s.holds(w.model)
 }
 
-// displaced makes room at an engine by dropping a model that enough others hold.
+// evict makes room at an engine by dropping a model that enough others hold.
 // It reports whether such a model only waits until enough others serve it.
-func (p *plan) displaced(w *want, allow func(*seat, *want) bool) (best *seat, waits bool) {
-	var victim *want
-	for _, s := range p.seats {
-		if !p.open(s, w) || s.hasOld(w.m) || s.cost > 0 {
+func (p *planner) evict(w *modelTarget, allow func(*enginePlan, *modelTarget) bool) (best *enginePlan, waits bool) {
+	var victim *modelTarget
+	for _, s := range p.engines {
+		if !p.canReceive(s, w) || s.holdsOtherVersion(w.model) || s.costMB > 0 {
 			continue
 		}
-		for _, v := range p.wants {
-			if v == w || v.surplus() <= 0 || !s.counts(v.m) || !allow(s, v) {
+		for _, v := range p.models {
+			if v == w || v.surplus() <= 0 || !s.holdsPermitted(v.model) || !allow(s, v) {
 				continue
 			}
-			if !p.mayDrop(s, v.m.Name) {
+			if !p.canStopServing(s, v.model.Name) {
 				waits = true
 				continue
 			}
-			if victim == nil || v.surplus() > victim.surplus() || v == victim && s.rank(w.m.Name) > best.rank(w.m.Name) {
+			if victim == nil || v.surplus() > victim.surplus() || v == victim && s.rank(w.model.Name) > best.rank(w.model.Name) {
 				best, victim = s, v
 			}
 		}
 	}
 	if best != nil {
-		p.forgetAt(best, victim)
+		p.unassign(best, victim)
 	}
 	return best, waits
 }
 
-// adapt loads adapters that are missing beside their model.
-func (p *plan) adapt() {
-	for _, s := range p.seats {
-		if !s.movable() {
+// loadMissingAdapters loads adapters that are missing beside their model.
+func (p *planner) loadMissingAdapters() {
+	for _, s := range p.engines {
+		if !s.orderable() {
 			continue
 		}
-		for _, w := range p.wants {
-			if !s.plan[Name(w.m)] {
+		for _, w := range p.models {
+			if !s.planned[Name(w.model)] {
 				continue
 			}
-			for _, name := range Names(w.m)[1:] {
-				if !s.plan[name] && p.affordable(w, adapterSize(w.m)) {
-					p.d.budget.level -= float64(adapterSize(w.m))
-					s.plan[name] = true
-					s.cost += adapterSize(w.m)
+			for _, name := range Names(w.model)[1:] {
+				if !s.planned[name] && p.canStartLoad(w, adapterSize(w.model)) {
+					p.domain.budget.available -= float64(adapterSize(w.model))
+					s.planned[name] = true
+					s.costMB += adapterSize(w.model)
 				}
 			}
 		}
 	}
 }
 
-// convert reloads engines that hold another version although enough hold the
+// upgradeVersions reloads engines that hold another version although enough hold the
 // wanted one: which version answers must not depend on the engine.
-func (p *plan) convert() {
-	for _, w := range p.wants {
-		for w.deficit() <= 0 && p.hasOutdated(w) && p.affordable(w, wholeSize(w.m)) {
-			s, note := p.outdated(w)
+func (p *planner) upgradeVersions() {
+	for _, w := range p.models {
+		for w.deficit() <= 0 && p.needsUpgrade(w) && p.canStartLoad(w, sizeWithAdapters(w.model)) {
+			s, note := p.engineToUpgrade(w)
 			if s == nil {
 				w.note = note
 				break
 			}
-			p.load(w, s)
+			p.assign(w, s)
 		}
 	}
 }
 
-func (p *plan) hasOutdated(w *want) bool {
-	for _, s := range p.seats {
-		if s.movable() && s.hasOld(w.m) && s.permits(w.m.Name) {
+func (p *planner) needsUpgrade(w *modelTarget) bool {
+	for _, s := range p.engines {
+		if s.orderable() && s.holdsOtherVersion(w.model) && s.permits(w.model.Name) {
 			return true
 		}
 	}
 	return false
 }
 
-// follow loads one more engine for a model whose engines have been full for long,
+// scaleSaturated loads one more engine for a model whose engines have been full for long,
 // if one is without work. The engine goes back to others when they need it.
-func (p *plan) follow() {
-	for _, w := range p.wants {
-		since := p.d.hot[w.m.Name]
-		if since.IsZero() || p.now.Sub(since) < p.d.cfg.Hot || w.good > w.serving || !p.affordable(w, wholeSize(w.m)) {
+func (p *planner) scaleSaturated() {
+	for _, w := range p.models {
+		since := p.domain.saturatedSince[w.model.Name]
+		if since.IsZero() || p.now.Sub(since) < p.domain.cfg.SaturatedAfter || w.holders > w.serving || !p.canStartLoad(w, sizeWithAdapters(w.model)) {
 			continue
 		}
-		if s := p.idle(w); s != nil {
-			p.load(w, s)
-			w.note = noteHot
-			p.d.hot[w.m.Name] = p.now
+		if s := p.idleEngine(w); s != nil {
+			p.assign(w, s)
+			w.note = noteSaturated
+			p.domain.saturatedSince[w.model.Name] = p.now
 		}
 	}
 }
 
-func (p *plan) idle(w *want) *seat {
-	if s := p.roomy(w); s != nil && !s.busy() {
+func (p *planner) idleEngine(w *modelTarget) *enginePlan {
+	if s := p.engineWithRoom(w); s != nil && !s.busy() {
 		return s
 	}
-	s, _ := p.displaced(w, func(s *seat, v *want) bool {
-		return !s.busy() && p.d.hot[v.m.Name].IsZero() && p.now.Sub(s.memory.loaded) >= p.d.cfg.Rest
+	s, _ := p.evict(w, func(s *enginePlan, v *modelTarget) bool {
+		return !s.busy() && p.domain.saturatedSince[v.model.Name].IsZero() && p.now.Sub(s.history.lastLoadOrdered) >= p.domain.cfg.ReassignCooldown
 	})
 	return s
 }
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -14,12 +14,12 @@
 
 func TestEachModelIsHeldAsOftenAsWantedAndNothingMoves(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(document(model("a", "1", 3), model("b", "", 2)), 6)
+	w := newSimulation(document(model("a", "1", 3), model("b", "", 2)), 6)
 	w.run(60)
 	g.Expect(w.holding("a@1")).To(Equal(3))
 	g.Expect(w.holding("b")).To(Equal(2))
 	g.Expect(w.orders).To(Equal(5))
-	g.Expect(w.quiet(500)).To(BeTrue())
+	g.Expect(w.converges(500)).To(BeTrue())
 	g.Expect(w.orders).To(Equal(5))
 	for _, s := range w.last.Engines {
 		g.Expect(s.Standing).To(Equal(order.AsWanted))
@@ -28,17 +28,17 @@
 
 func TestWhatEnginesHoldBeyondTheMinimumStays(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(document(model("a", "1", 1)), 4)
+	w := newSimulation(document(model("a", "1", 1)), 4)
 	for _, e := range w.engines {
 		e.models["a@1"] = start
 	}
-	g.Expect(w.quiet(500)).To(BeTrue())
+	g.Expect(w.converges(500)).To(BeTrue())
 	g.Expect(w.orders).To(BeZero())
 }
 
 func TestAnIntentWithoutModelsLeavesEnginesAlone(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(document(), 2)
+	w := newSimulation(document(), 2)
 	w.engines[0].models["x"] = start
 	w.run(30)
 	g.Expect(w.orders).To(BeZero())
@@ -46,7 +46,7 @@
 
 func TestModelsThatLeaveTheIntentAreUnloaded(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(document(model("a", "1", 1)), 2)
+	w := newSimulation(document(model("a", "1", 1)), 2)
 	w.engines[0].models["a@1"] = start
 	w.engines[1].models["x@7"] = start
 	w.run(30)
@@ -57,15 +57,15 @@
 // An operator changes a model's version while callers use it. If all engines
 // began to load the new one at once, nobody would serve the model for the length
 // of a load. The cause would be orders that look at the wanted end alone.
-func TestAVersionChangeRollsWhileTheModelIsServed(t *testing.T) {
+func TestVersionChangeKeepsTheModelServed(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(document(model("a", "1", 4)), 4)
+	w := newSimulation(document(model("a", "1", 4)), 4)
 	w.run(60)
 	for _, e := range w.engines {
 		e.running = 1
 	}
 	w.doc = document(model("a", "2", 4))
-	w.d.SetIntent(w.doc)
+	w.domain.SetIntent(w.doc)
 	for range 150 {
 		w.step()
 		g.Expect(w.serving("a")).To(BeNumerically(">=", 3))
@@ -80,14 +80,14 @@
 	for _, spare := range []bool{true, false} {
 		t.Run(fmt.Sprintf("spare=%t", spare), func(t *testing.T) {
 			g := NewWithT(t)
-			w := newWorld(document(model("a", "1", 1)), 1)
+			w := newSimulation(document(model("a", "1", 1)), 1)
 			w.run(60)
 			if spare {
 				w.engines = append(w.engines, &fakeEngine{name: "e-01", incarnation: 1, models: map[string]time.Time{}})
 			}
 			w.engines[0].running = 1
 			w.doc = document(model("a", "2", 1))
-			w.d.SetIntent(w.doc)
+			w.domain.SetIntent(w.doc)
 			for range 120 {
 				w.step()
 				g.Expect(w.serving("a")).To(BeNumerically(">=", 1))
@@ -108,12 +108,12 @@
 	g := NewWithT(t)
 	doc := document(model("a", "1", 1))
 	doc.Upstreams[0].MaxModels = 2
-	w := newWorld(doc, 1)
+	w := newSimulation(doc, 1)
 	w.run(30)
 	w.engines[0].running = 1
 	w.doc = document(model("a", "2", 1))
 	w.doc.Upstreams[0].MaxModels = 2
-	w.d.SetIntent(w.doc)
+	w.domain.SetIntent(w.doc)
 	for range 60 {
 		w.step()
 		g.Expect(w.serving("a")).To(Equal(1))
@@ -125,18 +125,18 @@
 func TestAdaptersFollowTheirModel(t *testing.T) {
 	g := NewWithT(t)
 	m := model("a", "1", 2)
-	w := newWorld(document(m), 2)
+	w := newSimulation(document(m), 2)
 	w.run(60)
 	m.Adapters = []string{"x", "y"}
 	w.doc = document(m)
-	w.d.SetIntent(w.doc)
+	w.domain.SetIntent(w.doc)
 	w.run(90)
 	g.Expect(w.holding("a@1:x")).To(Equal(2))
 	g.Expect(w.holding("a@1:y")).To(Equal(2))
 	g.Expect(w.engines[0].loads).To(Equal(3))
 	m.Adapters = []string{"y"}
 	w.doc = document(m)
-	w.d.SetIntent(w.doc)
+	w.domain.SetIntent(w.doc)
 	w.run(10)
 	g.Expect(w.holding("a@1:x")).To(BeZero())
 	g.Expect(w.holding("a@1:y")).To(Equal(2))
@@ -146,7 +146,7 @@
 	g := NewWithT(t)
 	doc := document(model("a", "1", 1), model("b", "1", 1))
 	doc.Upstreams = append(doc.Upstreams, intent.Upstream{Name: "e-00", Kind: intent.KindEngine, Models: []string{"b"}, Role: "prefill"})
-	w := newWorld(doc, 3)
+	w := newSimulation(doc, 3)
 	w.engines[0].models["a@1"] = start
 	w.engines[0].running = 1
 	for range 90 {
@@ -161,11 +161,11 @@
 
 // A model may be held at one engine only, and that one holds another model which
 // could be anywhere.
-func TestAModelMovesAsideForOneThatFitsNowhereElse(t *testing.T) {
+func TestModelMovesForOneThatFitsNowhereElse(t *testing.T) {
 	g := NewWithT(t)
 	doc := document(model("a", "1", 1), model("b", "1", 1))
 	doc.Upstreams = append(doc.Upstreams, intent.Upstream{Name: "e-01", Kind: intent.KindEngine, Models: []string{"a"}})
-	w := newWorld(doc, 2)
+	w := newSimulation(doc, 2)
 	w.engines[0].models["a@1"] = start
 	w.engines[0].running = 1
 	for range 90 {
@@ -180,9 +180,9 @@
 // If all were ordered to load at once, the weight store would crawl and every
 // model be away for long. Loads stay under the budget, and each model comes back
 // once before any comes back twice.
-func TestARestartOfAllEnginesDoesNotStampede(t *testing.T) {
+func TestLoadsAfterARestartOfAllEnginesStayWithinTheBudget(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(document(model("a", "1", 8), model("b", "1", 6), model("c", "1", 2)), 16)
+	w := newSimulation(document(model("a", "1", 8), model("b", "1", 6), model("c", "1", 2)), 16)
 	w.run(120)
 	g.Expect(w.holding("a@1") + w.holding("b@1") + w.holding("c@1")).To(Equal(16))
 	for _, e := range w.engines {
@@ -209,13 +209,13 @@
 	g := NewWithT(t)
 	doc := document(model("a", "1", 16))
 	doc.Weights.RateMB = 100
-	w := newWorld(doc, 16)
+	w := newSimulation(doc, 16)
 	w.loadTime = time.Hour
 	for range 12 {
 		w.step()
-		w.d = order.New(order.Config{})
-		w.d.SetIntent(w.doc)
-		w.d.Begin(w.now, false)
+		w.domain = order.New(order.Config{})
+		w.domain.SetIntent(w.doc)
+		w.domain.Begin(w.now, false)
 		g.Expect(w.loadedMB).To(BeNumerically("<=", w.budget()))
 	}
 }
@@ -224,7 +224,7 @@
 	g := NewWithT(t)
 	doc := document(model("a", "1", 8))
 	doc.Weights.Loads = 2
-	w := newWorld(doc, 8)
+	w := newSimulation(doc, 8)
 	for range 100 {
 		w.step()
 		coming := 0
@@ -239,9 +239,9 @@
 
 // An engine's beats are lost for a few seconds. To replace it at once would load
 // a model for nothing; one that was the only one is replaced at once.
-func TestAnEngineThatBlinksIsNotReplaced(t *testing.T) {
+func TestBrieflySilentEngineIsNotReplaced(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(document(model("a", "1", 2), model("b", "1", 1)), 5)
+	w := newSimulation(document(model("a", "1", 2), model("b", "1", 1)), 5)
 	w.run(60)
 	had := w.orders
 	var a, b *fakeEngine
@@ -269,12 +269,12 @@
 
 func TestAnEngineThatDoesNotFollowCostsLittle(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(document(model("a", "1", 1)), 1)
-	w.engines[0].deaf = true
+	w := newSimulation(document(model("a", "1", 1)), 1)
+	w.engines[0].ignoresOrders = true
 	w.run(600)
 	g.Expect(w.orders).To(BeNumerically("<=", 10))
-	g.Expect(w.last.Engines[0].Standing).To(Equal(order.Unfollowed))
-	w.engines[0].deaf = false
+	g.Expect(w.last.Engines[0].Standing).To(Equal(order.Diverged))
+	w.engines[0].ignoresOrders = false
 	w.run(600)
 	g.Expect(w.holding("a@1")).To(Equal(1))
 }
@@ -283,11 +283,11 @@
 	g := NewWithT(t)
 	doc := document(model("a", "1", 1))
 	doc.Weights.Loads = 1
-	w := newWorld(doc, 2)
+	w := newSimulation(doc, 2)
 	w.loadTime = 24 * time.Hour
 	w.step()
 	w.loadTime = 20 * time.Second
-	w.run(int(order.DefaultStuck/time.Second) + 60)
+	w.run(int(order.DefaultLoadTimeout/time.Second) + 60)
 	g.Expect(w.holding("a@1")).To(Equal(1))
 }
 
@@ -295,7 +295,7 @@
 // idle. It gets the model too, until the others need the room.
 func TestDemandLoadsAnIdleEngine(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(document(model("a", "1", 1), model("b", "1", 1)), 3)
+	w := newSimulation(document(model("a", "1", 1), model("b", "1", 1)), 3)
 	w.run(40)
 	had := w.orders
 	for _, e := range w.engines {
@@ -307,7 +307,7 @@
 	g.Expect(w.holding("a@1")).To(Equal(2))
 	g.Expect(w.orders).To(Equal(had + 1))
 	w.doc = document(model("a", "1", 1), model("b", "1", 2))
-	w.d.SetIntent(w.doc)
+	w.domain.SetIntent(w.doc)
 	w.run(60)
 	g.Expect(w.holding("b@1")).To(Equal(2))
 	g.Expect(w.holding("a@1")).To(Equal(1))
@@ -319,16 +319,16 @@
 	doc.Upstreams = []intent.Upstream{
 		{Name: "e-00", Kind: intent.KindEngine, ChecksFence: true}, {Name: "e-01", Kind: intent.KindEngine},
 	}
-	w := newWorld(doc, 2)
-	w.may = order.Authority{}
+	w := newSimulation(doc, 2)
+	w.authority = order.Authority{}
 	w.run(5)
 	g.Expect(w.orders).To(BeZero())
 	g.Expect(w.last.Pending).To(BeTrue())
-	w.may.Checking = true
+	w.authority.Checking = true
 	w.run(30)
 	g.Expect(w.engines[0].models).To(HaveKey("a@1"))
 	g.Expect(w.engines[1].models).To(BeEmpty())
-	w.may.Ignoring = true
+	w.authority.Ignoring = true
 	w.run(30)
 	g.Expect(w.engines[1].models).To(HaveKey("a@1"))
 }
@@ -369,16 +369,16 @@
 
 // A model is held once more than it has to be, and one of its engines just lost a
 // beat. Its other engines must not be given away: it comes back, or it does not.
-func TestAnEngineThatBlinksIsNoSurplus(t *testing.T) {
+func TestBrieflySilentEngineIsNotCountedAsSurplus(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(document(model("a", "1", 2)), 3)
+	w := newSimulation(document(model("a", "1", 2)), 3)
 	for _, e := range w.engines {
 		e.models["a@1"] = start
 	}
 	w.run(20)
 	w.engines[0].down = true
 	w.doc = document(model("a", "1", 2), model("b", "1", 1))
-	w.d.SetIntent(w.doc)
+	w.domain.SetIntent(w.doc)
 	w.run(5)
 	g.Expect(w.orders).To(BeZero())
 	w.engines[0].down = false
@@ -389,9 +389,9 @@
 
 // Two models are full in turn. An engine that followed the one must not follow
 // the other at once, or it would load most of the time.
-func TestDemandDoesNotChaseAnEngine(t *testing.T) {
+func TestReassignCooldownLimitsDemandDrivenLoads(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(document(model("a", "1", 1), model("b", "1", 1)), 3)
+	w := newSimulation(document(model("a", "1", 1), model("b", "1", 1)), 3)
 	w.run(60)
 	had := w.orders
 	turn := func(busy string) {
--- a/core/order/property_test.go
+++ b/core/order/property_test.go
@@ -12,8 +12,8 @@
 )
 
 // drawDocument returns an intent that the engines can hold at once.
-func drawDocument(t *rapid.T, engines, side int) *intent.Document {
-	room := engines * side
+func drawDocument(t *rapid.T, engines, maxModels int) *intent.Document {
+	room := engines * maxModels
 	var models []intent.Model
 	for i := range rapid.IntRange(1, 5).Draw(t, "models") {
 		n := rapid.IntRange(0, min(engines, room)).Draw(t, "replicas")
@@ -26,22 +26,22 @@
 		models = append(models, m)
 	}
 	doc := document(models...)
-	doc.Upstreams[0].MaxModels = side
+	doc.Upstreams[0].MaxModels = maxModels
 	return doc
 }
 
 // restrict lets some engines hold only some of the models; then not all may fit.
-func (w *world) restrict(t *rapid.T) bool {
+func (w *simulation) restrict(t *rapid.T) bool {
 	for i := range rapid.IntRange(0, 2).Draw(t, "rules") {
 		m := rapid.SampledFrom(w.doc.Models).Draw(t, "permitted")
 		w.doc.Upstreams = append(w.doc.Upstreams, intent.Upstream{Name: w.engines[i].name, Kind: intent.KindEngine, Models: []string{m.Name}})
 	}
-	w.d.SetIntent(w.doc)
+	w.domain.SetIntent(w.doc)
 	return len(w.doc.Upstreams) > 1
 }
 
-// disturb restarts, silences or loads engines, or changes the intent.
-func (w *world) disturb(t *rapid.T, side int) {
+// injectEvent restarts, silences or loads engines, or changes the intent.
+func (w *simulation) injectEvent(t *rapid.T, maxModels int) {
 	e := w.engines[rapid.IntRange(0, len(w.engines)-1).Draw(t, "engine")]
 	switch rapid.SampledFrom([]string{"restart", "down", "work", "none", "none", "all", "intent", "successor"}).Draw(t, "event") {
 	case "restart":
@@ -55,12 +55,12 @@
 			e.restart()
 		}
 	case "intent":
-		w.doc = drawDocument(t, len(w.engines), side)
-		w.d.SetIntent(w.doc)
+		w.doc = drawDocument(t, len(w.engines), maxModels)
+		w.domain.SetIntent(w.doc)
 	case "successor":
-		w.d = order.New(order.Config{})
-		w.d.SetIntent(w.doc)
-		w.d.Begin(w.now, false)
+		w.domain = order.New(order.Config{})
+		w.domain.SetIntent(w.doc)
+		w.domain.Begin(w.now, false)
 	}
 }
 
@@ -69,11 +69,11 @@
 // held as often as wanted, in one version, and no further order is given.
 func TestOrdersConvergeAndKeepTheLastHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		engines, side := rapid.IntRange(2, 8).Draw(t, "engines"), rapid.IntRange(1, 3).Draw(t, "side")
-		w := newWorld(drawDocument(t, engines, side), engines)
+		engines, maxModels := rapid.IntRange(2, 8).Draw(t, "engines"), rapid.IntRange(1, 3).Draw(t, "side")
+		w := newSimulation(drawDocument(t, engines, maxModels), engines)
 		w.loadTime = time.Duration(rapid.IntRange(1, 20).Draw(t, "load")) * time.Second
 		for range rapid.IntRange(1, 25).Draw(t, "events") {
-			w.disturb(t, side)
+			w.injectEvent(t, maxModels)
 			w.run(rapid.IntRange(1, 20).Draw(t, "pause"))
 		}
 		restricted := w.restrict(t)
@@ -84,7 +84,7 @@
 		for _, e := range w.engines {
 			e.running, e.down = 0, false
 		}
-		if !w.quiet(10_000) {
+		if !w.converges(10_000) {
 			t.Fatalf("orders do not end: %+v", w.last)
 		}
 		for _, m := range w.doc.Models {
@@ -105,10 +105,10 @@
 // what the domain was ordered to load stays under the store's rate and one load.
 func TestLoadsStayUnderTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		engines, side := rapid.IntRange(1, 12).Draw(t, "engines"), rapid.IntRange(1, 2).Draw(t, "side")
-		w := newWorld(drawDocument(t, engines, side), engines)
+		engines, maxModels := rapid.IntRange(1, 12).Draw(t, "engines"), rapid.IntRange(1, 2).Draw(t, "side")
+		w := newSimulation(drawDocument(t, engines, maxModels), engines)
 		w.doc.Weights.RateMB = 50 * rapid.IntRange(1, 40).Draw(t, "rate")
-		w.d.SetIntent(w.doc)
+		w.domain.SetIntent(w.doc)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
@@ -118,9 +118,9 @@
 			case 1:
 				w.engines[rapid.IntRange(0, engines-1).Draw(t, "engine")].restart()
 			case 2:
-				w.d = order.New(order.Config{})
-				w.d.SetIntent(w.doc)
-				w.d.Begin(w.now, false)
+				w.domain = order.New(order.Config{})
+				w.domain.SetIntent(w.doc)
+				w.domain.Begin(w.now, false)
 			}
 			w.run(rapid.IntRange(1, 10).Draw(t, "pause"))
 			if w.loadedMB > w.budget() {
--- a/core/order/sim_test.go
+++ b/core/order/sim_test.go
@@ -21,37 +21,37 @@
 	role        string
 	running     int
 	down        bool
-	// deaf engines take orders and do nothing.
-	deaf bool
+	// ignoresOrders engines take orders and do nothing.
+	ignoresOrders bool
 	// since is when it began to announce; a model shows in the next beat.
 	loads int
 }
 
-// world is a failure domain in virtual time.
-type world struct {
-	d        *order.Domain
-	doc      *intent.Document
-	now      time.Time
-	began    time.Time
-	engines  []*fakeEngine
-	loadTime time.Duration
-	may      order.Authority
-	loadedMB int
-	orders   int
-	last     order.Decision
+// simulation is a failure domain in virtual time.
+type simulation struct {
+	domain    *order.Domain
+	doc       *intent.Document
+	now       time.Time
+	began     time.Time
+	engines   []*fakeEngine
+	loadTime  time.Duration
+	authority order.Authority
+	loadedMB  int
+	orders    int
+	last      order.Decision
 	// outages lists models in demand that an order took the last serving engine of.
 	outages []string
 }
 
 var all = order.Authority{Checking: true, Ignoring: true}
 
-func newWorld(doc *intent.Document, engines int) *world {
-	w := &world{d: order.New(order.Config{}), doc: doc, now: start, began: start, loadTime: 20 * time.Second, may: all}
+func newSimulation(doc *intent.Document, engines int) *simulation {
+	w := &simulation{domain: order.New(order.Config{}), doc: doc, now: start, began: start, loadTime: 20 * time.Second, authority: all}
 	for i := range engines {
 		w.engines = append(w.engines, &fakeEngine{name: fmt.Sprintf("e-%02d", i), incarnation: 1, models: map[string]time.Time{}})
 	}
-	w.d.SetIntent(doc)
-	w.d.Begin(w.now, true)
+	w.domain.SetIntent(doc)
+	w.domain.Begin(w.now, true)
 	return w
 }
 
@@ -103,7 +103,7 @@
 	e.down = false
 }
 
-func (w *world) serving(name string) (n int) {
+func (w *simulation) serving(name string) (n int) {
 	for _, e := range w.engines {
 		if e.serves(w.now, name) {
 			n++
@@ -112,7 +112,7 @@
 	return n
 }
 
-func (w *world) holding(full string) (n int) {
+func (w *simulation) holding(full string) (n int) {
 	for _, e := range w.engines {
 		if done, _ := e.loaded(w.now); !e.down && slices.Contains(done, full) {
 			n++
@@ -122,17 +122,17 @@
 }
 
 // busy reports whether an engine that serves the model has work.
-func (w *world) busy(name string) bool {
+func (w *simulation) busy(name string) bool {
 	return slices.ContainsFunc(w.engines, func(e *fakeEngine) bool { return e.running > 0 && e.serves(w.now, name) })
 }
 
-func (w *world) engine(name string) *fakeEngine {
+func (w *simulation) engine(name string) *fakeEngine {
 	i := slices.IndexFunc(w.engines, func(e *fakeEngine) bool { return e.name == name })
 	return w.engines[i]
 }
 
 // step lets one second pass and carries out the orders.
-func (w *world) step() []order.Order {
+func (w *simulation) step() []order.Order {
 	w.now = w.now.Add(time.Second)
 	var view []order.Engine
 	for _, e := range w.engines {
@@ -140,18 +140,18 @@
 			view = append(view, e.view(w.now))
 		}
 	}
-	w.last = w.d.Step(w.now, view, w.may)
+	w.last = w.domain.Step(w.now, view, w.authority)
 	for _, o := range w.last.Orders {
 		w.apply(o)
-		w.d.Answered(o.Engine)
+		w.domain.Answered(o.Engine)
 	}
 	w.orders += len(w.last.Orders)
 	return w.last.Orders
 }
 
-func (w *world) apply(o order.Order) {
+func (w *simulation) apply(o order.Order) {
 	e := w.engine(o.Engine)
-	if e.deaf {
+	if e.ignoresOrders {
 		return
 	}
 	before := map[string]bool{}
@@ -176,7 +176,7 @@
 	}
 }
 
-func (w *world) size(full string) int {
+func (w *simulation) size(full string) int {
 	for _, m := range w.doc.Models {
 		if order.Name(&m) == full {
 			return m.SizeMB
@@ -188,14 +188,14 @@
 	return 0
 }
 
-func (w *world) run(seconds int) {
+func (w *simulation) run(seconds int) {
 	for range seconds {
 		w.step()
 	}
 }
 
-// quiet runs until no order is given for a while; it reports whether that came.
-func (w *world) quiet(within int) bool {
+// converges runs until no order is given for a while; it reports whether that came.
+func (w *simulation) converges(within int) bool {
 	still := 0
 	for range within {
 		if len(w.step()) > 0 {
@@ -208,7 +208,7 @@
 }
 
 // budget returns what the store may have given so far.
-func (w *world) budget() int {
+func (w *simulation) budget() int {
 	largest := 0
 	for _, m := range w.doc.Models {
 		largest = max(largest, m.SizeMB+len(m.Adapters)*max(m.SizeMB/50, 1))
--- a/core/order/types.go
+++ b/core/order/types.go
@@ -21,62 +21,62 @@
 
 // Defaults of Config. They are reasoned, not measured.
 const (
-	// DefaultGrace outlives a lost beat and a quick restart of an engine, and is
+	// DefaultReplaceAfter outlives a lost beat and a quick restart of an engine, and is
 	// short against the time that a replacement takes to load.
-	DefaultGrace = 15 * time.Second
-	// DefaultFresh is two beats and some: an engine that has been silent for
+	DefaultReplaceAfter = 15 * time.Second
+	// DefaultMaxHeartbeatAge is two beats and some: an engine that has been silent for
 	// longer may be gone although it still counts as alive.
-	DefaultFresh = 2500 * time.Millisecond
-	// DefaultIdle is longer than load reports lag.
-	DefaultIdle = 10 * time.Second
-	// DefaultHot is longer than most bursts: a load takes longer than to wait
+	DefaultMaxHeartbeatAge = 2500 * time.Millisecond
+	// DefaultIdleAfter is longer than load reports lag.
+	DefaultIdleAfter = 10 * time.Second
+	// DefaultSaturatedAfter is longer than most bursts: a load takes longer than to wait
 	// such a burst out.
-	DefaultHot = 20 * time.Second
-	// DefaultRest keeps loads that demand asked for from chasing it.
-	DefaultRest = 5 * time.Minute
+	DefaultSaturatedAfter = 20 * time.Second
+	// DefaultReassignCooldown keeps loads that demand asked for from chasing it.
+	DefaultReassignCooldown = 5 * time.Minute
 	// DefaultBackoff is the pause before an engine that could not be ordered is
 	// tried again.
 	DefaultBackoff = 5 * time.Second
-	// DefaultStuck is longer than the greatest models take at a gigabyte a second.
-	DefaultStuck = 15 * time.Minute
+	// DefaultLoadTimeout is longer than the greatest models take at a gigabyte a second.
+	DefaultLoadTimeout = 15 * time.Minute
 )
 
-// maxDoublings bounds how often Config.Backoff doubles: to five minutes and some.
-const maxDoublings = 6
+// maxBackoffDoublings bounds how often Config.Backoff doubles: to five minutes and some.
+const maxBackoffDoublings = 6
 
 // Config holds times; zero values take the defaults.
 type Config struct {
-	// Grace is how long an engine that disappeared still counts as a holder of
+	// ReplaceAfter is how long an engine that disappeared still counts as a holder of
 	// its models, unless it was the only one.
-	Grace time.Duration
-	// Fresh is the greatest age of an engine's last beat with which it counts on
+	ReplaceAfter time.Duration
+	// MaxHeartbeatAge is the greatest age of an engine's last beat with which it counts on
 	// to serve.
-	Fresh time.Duration
+	MaxHeartbeatAge time.Duration
 	// Idle is for how long a model's engines must have been without work for the
 	// model to count as not in demand.
 	Idle time.Duration
-	// Hot is for how long a model's engines must have been full before one more
+	// SaturatedAfter is for how long a model's engines must have been full before one more
 	// engine is loaded than the intent asks for.
-	Hot time.Duration
-	// Rest is for how long after a load an engine is not given to another model
+	SaturatedAfter time.Duration
+	// ReassignCooldown is for how long after a load an engine is not given to another model
 	// because of demand.
-	Rest time.Duration
+	ReassignCooldown time.Duration
 	// Backoff is the pause after an order that did not reach its engine, and after
 	// the first one that the engine took and did not follow; then it doubles.
 	Backoff time.Duration
-	// Stuck is for how long an engine may load before it no longer counts as one
+	// LoadTimeout is for how long an engine may load before it no longer counts as one
 	// that will hold the model.
-	Stuck time.Duration
+	LoadTimeout time.Duration
 }
 
 func (c Config) withDefaults() Config {
-	defaults.Set(&c.Grace, DefaultGrace)
-	defaults.Set(&c.Fresh, DefaultFresh)
-	defaults.Set(&c.Idle, DefaultIdle)
-	defaults.Set(&c.Hot, DefaultHot)
-	defaults.Set(&c.Rest, DefaultRest)
+	defaults.Set(&c.ReplaceAfter, DefaultReplaceAfter)
+	defaults.Set(&c.MaxHeartbeatAge, DefaultMaxHeartbeatAge)
+	defaults.Set(&c.Idle, DefaultIdleAfter)
+	defaults.Set(&c.SaturatedAfter, DefaultSaturatedAfter)
+	defaults.Set(&c.ReassignCooldown, DefaultReassignCooldown)
 	defaults.Set(&c.Backoff, DefaultBackoff)
-	defaults.Set(&c.Stuck, DefaultStuck)
+	defaults.Set(&c.LoadTimeout, DefaultLoadTimeout)
 	return c
 }
 
@@ -156,9 +156,9 @@
 	NoOrders Standing = "takes no orders"
 	// Unreached engines did not get their last order; it is tried again.
 	Unreached Standing = "unreached"
-	// Unfollowed orders were taken by the engine, which then said other than what
+	// Diverged orders were taken by the engine, which then said other than what
 	// was ordered; they are tried again.
-	Unfollowed Standing = "does not follow"
+	Diverged Standing = "does not follow"
 	// Stuck engines have been loading for longer than Config.Stuck.
 	Stuck Standing = "stuck loading"
 )
