--- a/core/order/domain.go
+++ b/core/order/domain.go
@@ -153,5 +153,5 @@
 	if d.termStart.After(last) {
 		last = d.termStart
 	}
-	return now.Sub(last) < d.cfg.Idle
+	return now.Sub(last) < d.cfg.IdleAfter
 }
--- a/core/order/types.go
+++ b/core/order/types.go
@@ -52,9 +52,9 @@
 	// MaxHeartbeatAge is the greatest age of an engine's last beat with which it counts on
 	// to serve.
 	MaxHeartbeatAge time.Duration
-	// Idle is for how long a model's engines must have been without work for the
+	// IdleAfter is for how long a model's engines must have been without work for the
 	// model to count as not in demand.
-	Idle time.Duration
+	IdleAfter time.Duration
 	// SaturatedAfter is for how long a model's engines must have been full before one more
 	// engine is loaded than the intent asks for.
 	SaturatedAfter time.Duration
@@ -72,7 +72,7 @@
 func (c Config) withDefaults() Config {
 	defaults.Set(&c.ReplaceAfter, DefaultReplaceAfter)
 	defaults.Set(&c.MaxHeartbeatAge, DefaultMaxHeartbeatAge)
-	defaults.Set(&c.Idle, DefaultIdleAfter)
+	defaults.Set(&c.IdleAfter, DefaultIdleAfter)
 	defaults.Set(&c.SaturatedAfter, DefaultSaturatedAfter)
 	defaults.Set(&c.ReassignCooldown, DefaultReassignCooldown)
 	defaults.Set(&c.Backoff, DefaultBackoff)
