--- a/core/order/decide.go
+++ b/core/order/decide.go
@@ -56,7 +56,7 @@
 	return s.rule.Role
 }
 
-func (p *planner) conditionOf(s *enginePlan) Standing {
+func (p *planner) conditionOf(s *enginePlan) Condition {
 	switch {
 	case s.NoOrders:
 		return NoOrders
--- a/core/order/domain.go
+++ b/core/order/domain.go
@@ -34,7 +34,7 @@
 	lastLoadOrdered time.Time
 	loadingSince    time.Time // since when it loads, zero if it does not
 	retryAfter      time.Time // no order before then
-	failure         Standing  // Unreached, Unfollowed or nothing
+	failure         Condition // Unreached, Unfollowed or nothing
 	// lastOrder is the last order; answered says that the next word of the engine
 	// is its answer to that.
 	lastOrder       Order
--- a/core/order/types.go
+++ b/core/order/types.go
@@ -135,32 +135,32 @@
 	CostMB int
 }
 
-// Standing says how an engine stands to what is wanted of it.
-type Standing string
+// Condition says how an engine stands to what is wanted of it.
+type Condition string
 
 // The standings.
 const (
 	// AsWanted engines hold what they should.
-	AsWanted Standing = "as wanted"
+	AsWanted Condition = "as wanted"
 	// Loading engines have their order and load.
-	Loading Standing = "loading"
+	Loading Condition = "loading"
 	// Ordered engines are being sent an order.
-	Ordered Standing = "ordered"
+	Ordered Condition = "ordered"
 	// Due engines are to be sent an order, once the lease allows it.
-	Due Standing = "due"
+	Due Condition = "due"
 	// Waiting engines are given no orders before those of earlier issuers are over.
-	Waiting Standing = "waits for earlier issuers"
+	Waiting Condition = "waits for earlier issuers"
 	// Unread engines have not said yet what they hold.
-	Unread Standing = "unread"
+	Unread Condition = "unread"
 	// NoOrders engines take no orders; they are left as they are.
-	NoOrders Standing = "takes no orders"
+	NoOrders Condition = "takes no orders"
 	// Unreached engines did not get their last order; it is tried again.
-	Unreached Standing = "unreached"
+	Unreached Condition = "unreached"
 	// Diverged orders were taken by the engine, which then said other than what
 	// was ordered; they are tried again.
-	Diverged Standing = "does not follow"
+	Diverged Condition = "does not follow"
 	// Stuck engines have been loading for longer than Config.Stuck.
-	Stuck Standing = "stuck loading"
+	Stuck Condition = "stuck loading"
 )
 
 // EngineStatus is the wanted end of one engine.
@@ -168,7 +168,7 @@
 	Name     string
 	Wanted   []string
 	Held     []string
-	Standing Standing
+	Standing Condition
 	// Fence is the highest fencing number that the engine has seen.
 	Fence uint64
 	// Checks says that it refuses an order with an old number.
--- a/instance/order/order_test.go
+++ b/instance/order/order_test.go
@@ -56,7 +56,7 @@
 	nodes := startAll(p, "a", "b", "c")
 	p.Eventually(p.loaded("1")).Should(BeTrue())
 	issuer, _ := elected(p, nodes)
-	p.Eventually(func() order.Standing { return issuer.Status().Engines[0].Standing }).Should(Equal(order.AsWanted))
+	p.Eventually(func() order.Condition { return issuer.Status().Engines[0].Standing }).Should(Equal(order.AsWanted))
 	for _, e := range p.engines {
 		p.Expect(e.taken()).To(HaveLen(1))
 	}
@@ -180,7 +180,7 @@
 	p.Eventually(func() uint64 { return issuer.Status().Fence }).Should(BeZero())
 	p.confirm("2", append(others, issuer)...)
 	p.Consistently(p.loaded("1"), 2*ttl).Should(BeTrue())
-	p.Eventually(func() order.Standing { return issuer.Status().Engines[0].Standing }).Should(Equal(order.Due))
+	p.Eventually(func() order.Condition { return issuer.Status().Engines[0].Standing }).Should(Equal(order.Due))
 	p.setDown(false)
 	p.Eventually(p.loaded("2")).Should(BeTrue())
 }
@@ -193,7 +193,7 @@
 	nodes := startAll(p, "a")
 	p.Eventually(p.loaded("1")).Should(BeTrue())
 	p.Eventually(func() []order.EngineStatus { return nodes["a"].Status().Engines }).ShouldNot(BeEmpty())
-	p.Eventually(func() order.Standing { return nodes["a"].Status().Engines[0].Standing }).Should(Equal(order.AsWanted))
+	p.Eventually(func() order.Condition { return nodes["a"].Status().Engines[0].Standing }).Should(Equal(order.AsWanted))
 	p.Expect(p.engines[0].taken()).To(HaveLen(1))
 }
 
@@ -284,7 +284,7 @@
 	p.engines[0].none = true
 	nodes := startAll(p, "a")
 	p.Eventually(func() []string { return p.engines[1].holds() }).Should(Equal([]string{"m@1"}))
-	p.Eventually(func() order.Standing { return nodes["a"].Status().Engines[0].Standing }).Should(Equal(order.NoOrders))
+	p.Eventually(func() order.Condition { return nodes["a"].Status().Engines[0].Standing }).Should(Equal(order.NoOrders))
 }
 
 // An engine restarts and holds nothing. What was known of it may not be taken for
