--- a/core/order/decide.go
+++ b/core/order/decide.go
@@ -19,7 +19,7 @@
 
 // decideEngine returns where an engine stands and adds its order, if one is due.
 func (p *planner) decideEngine(s *enginePlan, out *Decision) EngineStatus {
-	st := EngineStatus{Name: s.Name, Wanted: sortedKeys(s.planned), Checks: s.rule.ChecksFence, Standing: p.conditionOf(s)}
+	st := EngineStatus{Name: s.Name, Wanted: sortedKeys(s.planned), Checks: s.rule.ChecksFence, Condition: p.conditionOf(s)}
 	s.history.models = st.Wanted
 	if s.State != nil {
 		st.Held, st.Fence = s.State.Models, s.State.Fence
@@ -30,7 +30,7 @@
 	if p.authority == (Authority{}) {
 		p.domain.budget.refund(s.costMB)
 		out.Pending = true
-		st.Standing = Due
+		st.Condition = Due
 		s.history.models = sortedKeys(s.current)
 		return st
 	}
@@ -40,7 +40,7 @@
 	p.domain.inFlight[s.Name] = &inFlightOrder{incarnation: s.Incarnation, models: st.Wanted, costMB: s.costMB}
 	s.history.lastOrder = Order{Engine: s.Name, Models: st.Wanted, Role: s.wantedRole(), CostMB: s.costMB}
 	out.Orders = append(out.Orders, s.history.lastOrder)
-	st.Standing = Ordered
+	st.Condition = Ordered
 	return st
 }
 
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -22,7 +22,7 @@
 	g.Expect(w.converges(500)).To(BeTrue())
 	g.Expect(w.orders).To(Equal(5))
 	for _, s := range w.last.Engines {
-		g.Expect(s.Standing).To(Equal(order.AsWanted))
+		g.Expect(s.Condition).To(Equal(order.AsWanted))
 	}
 }
 
@@ -273,7 +273,7 @@
 	w.engines[0].ignoresOrders = true
 	w.run(600)
 	g.Expect(w.orders).To(BeNumerically("<=", 10))
-	g.Expect(w.last.Engines[0].Standing).To(Equal(order.Diverged))
+	g.Expect(w.last.Engines[0].Condition).To(Equal(order.Diverged))
 	w.engines[0].ignoresOrders = false
 	w.run(600)
 	g.Expect(w.holding("a@1")).To(Equal(1))
--- a/core/order/types.go
+++ b/core/order/types.go
@@ -165,10 +165,10 @@
 
 // EngineStatus is the wanted end of one engine.
 type EngineStatus struct {
-	Name     string
-	Wanted   []string
-	Held     []string
-	Standing Condition
+	Name      string
+	Wanted    []string
+	Held      []string
+	Condition Condition
 	// Fence is the highest fencing number that the engine has seen.
 	Fence uint64
 	// Checks says that it refuses an order with an old number.
--- a/instance/order/order_test.go
+++ b/instance/order/order_test.go
@@ -56,7 +56,7 @@
 	nodes := startAll(p, "a", "b", "c")
 	p.Eventually(p.loaded("1")).Should(BeTrue())
 	issuer, _ := elected(p, nodes)
-	p.Eventually(func() order.Condition { return issuer.Status().Engines[0].Standing }).Should(Equal(order.AsWanted))
+	p.Eventually(func() order.Condition { return issuer.Status().Engines[0].Condition }).Should(Equal(order.AsWanted))
 	for _, e := range p.engines {
 		p.Expect(e.taken()).To(HaveLen(1))
 	}
@@ -80,7 +80,7 @@
 	issuer, others := elected(p, nodes)
 	// An order whose answer is still on its way would rightly be waited for.
 	p.Eventually(func() bool {
-		return !slices.ContainsFunc(issuer.Status().Engines, func(e order.EngineStatus) bool { return e.Standing != order.AsWanted })
+		return !slices.ContainsFunc(issuer.Status().Engines, func(e order.EngineStatus) bool { return e.Condition != order.AsWanted })
 	}).Should(BeTrue())
 	p.setMembers(without(p.live(), nameOf(nodes, issuer))...)
 	p.stop(issuer)
@@ -180,7 +180,7 @@
 	p.Eventually(func() uint64 { return issuer.Status().Fence }).Should(BeZero())
 	p.confirm("2", append(others, issuer)...)
 	p.Consistently(p.loaded("1"), 2*ttl).Should(BeTrue())
-	p.Eventually(func() order.Condition { return issuer.Status().Engines[0].Standing }).Should(Equal(order.Due))
+	p.Eventually(func() order.Condition { return issuer.Status().Engines[0].Condition }).Should(Equal(order.Due))
 	p.setDown(false)
 	p.Eventually(p.loaded("2")).Should(BeTrue())
 }
@@ -193,7 +193,7 @@
 	nodes := startAll(p, "a")
 	p.Eventually(p.loaded("1")).Should(BeTrue())
 	p.Eventually(func() []order.EngineStatus { return nodes["a"].Status().Engines }).ShouldNot(BeEmpty())
-	p.Eventually(func() order.Condition { return nodes["a"].Status().Engines[0].Standing }).Should(Equal(order.AsWanted))
+	p.Eventually(func() order.Condition { return nodes["a"].Status().Engines[0].Condition }).Should(Equal(order.AsWanted))
 	p.Expect(p.engines[0].taken()).To(HaveLen(1))
 }
 
@@ -246,7 +246,7 @@
 	nodes := startAll(p, "a")
 	p.Eventually(func() bool {
 		list := nodes["a"].Status().Engines
-		return len(list) == 2 && list[0].Standing == order.Loading
+		return len(list) == 2 && list[0].Condition == order.Loading
 	}).Should(BeTrue())
 	p.Expect(p.engines[1].taken()).To(BeEmpty())
 	p.Expect(p.given()).To(BeEmpty())
@@ -284,7 +284,7 @@
 	p.engines[0].none = true
 	nodes := startAll(p, "a")
 	p.Eventually(func() []string { return p.engines[1].holds() }).Should(Equal([]string{"m@1"}))
-	p.Eventually(func() order.Condition { return nodes["a"].Status().Engines[0].Standing }).Should(Equal(order.NoOrders))
+	p.Eventually(func() order.Condition { return nodes["a"].Status().Engines[0].Condition }).Should(Equal(order.NoOrders))
 }
 
 // An engine restarts and holds nothing. What was known of it may not be taken for
