--- a/core/order/decide.go
+++ b/core/order/decide.go
@@ -73,7 +73,7 @@
 	case len(s.State.Loading) > 0:
 		return Loading
 	}
-	return AsWanted
+	return Converged
 }
 
 func (p *planner) modelStatus(w *modelTarget) ModelStatus {
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -22,7 +22,7 @@
 	g.Expect(w.converges(500)).To(BeTrue())
 	g.Expect(w.orders).To(Equal(5))
 	for _, s := range w.last.Engines {
-		g.Expect(s.Condition).To(Equal(order.AsWanted))
+		g.Expect(s.Condition).To(Equal(order.Converged))
 	}
 }
 
--- a/core/order/types.go
+++ b/core/order/types.go
@@ -140,8 +140,8 @@
 
 // The standings.
 const (
-	// AsWanted engines hold what they should.
-	AsWanted Condition = "as wanted"
+	// Converged engines hold what they should.
+	Converged Condition = "as wanted"
 	// Loading engines have their order and load.
 	Loading Condition = "loading"
 	// Ordered engines are being sent an order.
--- a/instance/order/order_test.go
+++ b/instance/order/order_test.go
@@ -56,7 +56,7 @@
 	nodes := startAll(p, "a", "b", "c")
 	p.Eventually(p.loaded("1")).Should(BeTrue())
 	issuer, _ := elected(p, nodes)
-	p.Eventually(func() order.Condition { return issuer.Status().Engines[0].Condition }).Should(Equal(order.AsWanted))
+	p.Eventually(func() order.Condition { return issuer.Status().Engines[0].Condition }).Should(Equal(order.Converged))
 	for _, e := range p.engines {
 		p.Expect(e.taken()).To(HaveLen(1))
 	}
@@ -80,7 +80,7 @@
 	issuer, others := elected(p, nodes)
 	// An order whose answer is still on its way would rightly be waited for.
 	p.Eventually(func() bool {
-		return !slices.ContainsFunc(issuer.Status().Engines, func(e order.EngineStatus) bool { return e.Condition != order.AsWanted })
+		return !slices.ContainsFunc(issuer.Status().Engines, func(e order.EngineStatus) bool { return e.Condition != order.Converged })
 	}).Should(BeTrue())
 	p.setMembers(without(p.live(), nameOf(nodes, issuer))...)
 	p.stop(issuer)
@@ -193,7 +193,7 @@
 	nodes := startAll(p, "a")
 	p.Eventually(p.loaded("1")).Should(BeTrue())
 	p.Eventually(func() []order.EngineStatus { return nodes["a"].Status().Engines }).ShouldNot(BeEmpty())
-	p.Eventually(func() order.Condition { return nodes["a"].Status().Engines[0].Condition }).Should(Equal(order.AsWanted))
+	p.Eventually(func() order.Condition { return nodes["a"].Status().Engines[0].Condition }).Should(Equal(order.Converged))
 	p.Expect(p.engines[0].taken()).To(HaveLen(1))
 }
 
