--- a/core/order/decide.go
+++ b/core/order/decide.go
@@ -19,7 +19,7 @@
 
 // decideEngine returns where an engine stands and adds its order, if one is due.
 func (p *planner) decideEngine(s *enginePlan, out *Decision) EngineStatus {
-	st := EngineStatus{Name: s.Name, Wanted: sortedKeys(s.planned), Checks: s.rule.ChecksFence, Condition: p.conditionOf(s)}
+	st := EngineStatus{Name: s.Name, Wanted: sortedKeys(s.planned), ChecksFence: s.rule.ChecksFence, Condition: p.conditionOf(s)}
 	s.history.models = st.Wanted
 	if s.State != nil {
 		st.Held, st.Fence = s.State.Models, s.State.Fence
--- a/core/order/types.go
+++ b/core/order/types.go
@@ -171,8 +171,8 @@
 	Condition Condition
 	// Fence is the highest fencing number that the engine has seen.
 	Fence uint64
-	// Checks says that it refuses an order with an old number.
-	Checks bool
+	// ChecksFence says that it refuses an order with an old number.
+	ChecksFence bool
 }
 
 // ModelStatus says how far a model is from what the intent asks for.
