--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -324,7 +324,7 @@
 	w.run(5)
 	g.Expect(w.orders).To(BeZero())
 	g.Expect(w.last.Pending).To(BeTrue())
-	w.authority.Checking = true
+	w.authority.FenceChecking = true
 	w.run(30)
 	g.Expect(w.engines[0].models).To(HaveKey("a@1"))
 	g.Expect(w.engines[1].models).To(BeEmpty())
--- a/core/order/types.go
+++ b/core/order/types.go
@@ -110,9 +110,9 @@
 // Authority says which engines may be given orders now. The zero value gives
 // none; then a step only tells whether orders are due.
 type Authority struct {
-	// Checking is for engines that refuse an old fencing number, Ignoring for
+	// FenceChecking is for engines that refuse an old fencing number, Ignoring for
 	// those that do not.
-	Checking, Ignoring bool
+	FenceChecking, Ignoring bool
 }
 
 func (a Authority) allows(rule *intent.Upstream) bool {
@@ -120,7 +120,7 @@
 		return true
 	}
 	if rule.ChecksFence {
-		return a.Checking
+		return a.FenceChecking
 	}
 	return a.Ignoring
 }
