--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -328,7 +328,7 @@
 	w.run(30)
 	g.Expect(w.engines[0].models).To(HaveKey("a@1"))
 	g.Expect(w.engines[1].models).To(BeEmpty())
-	w.authority.Ignoring = true
+	w.authority.FenceIgnoring = true
 	w.run(30)
 	g.Expect(w.engines[1].models).To(HaveKey("a@1"))
 }
--- a/core/order/sim_test.go
+++ b/core/order/sim_test.go
@@ -43,7 +43,7 @@
 	outages []string
 }
 
-var all = order.Authority{FenceChecking: true, Ignoring: true}
+var all = order.Authority{FenceChecking: true, FenceIgnoring: true}
 
 func newSimulation(doc *intent.Document, engines int) *simulation {
 	w := &simulation{domain: order.New(order.Config{}), doc: doc, now: start, began: start, loadTime: 20 * time.Second, authority: all}
--- a/core/order/types.go
+++ b/core/order/types.go
@@ -110,9 +110,9 @@
 // Authority says which engines may be given orders now. The zero value gives
 // none; then a step only tells whether orders are due.
 type Authority struct {
-	// FenceChecking is for engines that refuse an old fencing number, Ignoring for
+	// FenceChecking is for engines that refuse an old fencing number, FenceIgnoring for
 	// those that do not.
-	FenceChecking, Ignoring bool
+	FenceChecking, FenceIgnoring bool
 }
 
 func (a Authority) allows(rule *intent.Upstream) bool {
@@ -122,7 +122,7 @@
 	if rule.ChecksFence {
 		return a.FenceChecking
 	}
-	return a.Ignoring
+	return a.FenceIgnoring
 }
 
 // Order is the wanted end of one engine.
--- a/instance/order/lease.go
+++ b/instance/order/lease.go
@@ -13,7 +13,7 @@
 // authority returns which engines may be ordered now.
 func (s *Service) authority(now time.Time) core.Authority {
 	ok := s.lease.Valid(now)
-	return core.Authority{FenceChecking: ok, Ignoring: ok && s.lease.IsSettled(now)}
+	return core.Authority{FenceChecking: ok, FenceIgnoring: ok && s.lease.IsSettled(now)}
 }
 
 func (s *Service) terms() fence.Terms {
