--- a/core/drain/conn.go
+++ b/core/drain/conn.go
@@ -42,8 +42,8 @@
 // the connection, or a drain close it; else it would cut off a request.
 func (c *Conn) idle() bool { return c.pending == 0 && !c.reading }
 
-// Begins notes the first byte of a request.
-func (c *Conn) Begins() { c.reading, c.used = true, true }
+// BeginRequest notes the first byte of a request.
+func (c *Conn) BeginRequest() { c.reading, c.used = true, true }
 
 // Takes notes that a request was read, or failed to be; both are answered.
 func (c *Conn) Takes() {
--- a/core/drain/drain_test.go
+++ b/core/drain/drain_test.go
@@ -63,7 +63,7 @@
 		}
 		w.unread--
 		w.reading, w.armed = true, false
-		w.conn.Begins()
+		w.conn.BeginRequest()
 		return true
 	}},
 	{"a request is whole", func(w *world) bool {
@@ -168,7 +168,7 @@
 	RegisterTestingT(t)
 	var c drain.Conn
 	Expect(c.Sweep(0)).To(Equal(drain.Soon))
-	c.Begins()
+	c.BeginRequest()
 	Expect(c.Sweep(0)).To(Equal(drain.WithAnswer))
 	c.Takes()
 	Expect(c.Answered(drain.Announcing, true)).To(Equal(drain.Await))
--- a/core/drain/lastphase_test.go
+++ b/core/drain/lastphase_test.go
@@ -97,6 +97,6 @@
 	Expect(c.Sweep(100 * time.Millisecond)).To(Equal(drain.Soon))
 	Expect(c.Sweep(590 * time.Millisecond)).To(Equal(drain.Soon))
 	Expect(c.Sweep(600 * time.Millisecond)).To(Equal(drain.Now))
-	c.Begins()
+	c.BeginRequest()
 	Expect(c.Sweep(700 * time.Millisecond)).To(Equal(drain.WithAnswer))
 }
--- a/instance/relay/conn.go
+++ b/instance/relay/conn.go
@@ -118,7 +118,7 @@
 func (c *conn) beginRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.Begins()
+	c.life.BeginRequest()
 	_ = c.nc.SetReadDeadline(time.Now().Add(limits(c.s.cfg.State.View()).HeaderTimeout))
 }
 
--- a/instance/roles/listener.go
+++ b/instance/roles/listener.go
@@ -92,7 +92,7 @@
 	case fasthttp.StateNew:
 		l.conns[c] = &drain.Conn{}
 	case fasthttp.StateActive:
-		l.conns[c].Begins()
+		l.conns[c].BeginRequest()
 		if l.draining.Load() {
 			// A sweep may have ended the reading right before.
 			_ = c.SetReadDeadline(time.Now().Add(drainCalls))
