--- a/core/drain/conn.go
+++ b/core/drain/conn.go
@@ -45,8 +45,8 @@
 // BeginRequest notes the first byte of a request.
 func (c *Conn) BeginRequest() { c.reading, c.used = true, true }
 
-// Takes notes that a request was read, or failed to be; both are answered.
-func (c *Conn) Takes() {
+// RequestRead notes that a request was read, or failed to be; both are answered.
+func (c *Conn) RequestRead() {
 	c.reading = false
 	c.pending++
 }
--- a/core/drain/drain_test.go
+++ b/core/drain/drain_test.go
@@ -71,7 +71,7 @@
 			return false
 		}
 		w.reading = false
-		w.conn.Takes()
+		w.conn.RequestRead()
 		if w.finished {
 			w.conn.Drops()
 			w.dropped++
@@ -170,7 +170,7 @@
 	Expect(c.Sweep(0)).To(Equal(drain.Soon))
 	c.BeginRequest()
 	Expect(c.Sweep(0)).To(Equal(drain.WithAnswer))
-	c.Takes()
+	c.RequestRead()
 	Expect(c.Answered(drain.Announcing, true)).To(Equal(drain.Await))
 	Expect(c.Sweep(0)).To(Equal(drain.Now))
 }
--- a/instance/relay/conn.go
+++ b/instance/relay/conn.go
@@ -128,7 +128,7 @@
 	c.s.inFlight.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.Takes()
+	c.life.RequestRead()
 	_ = c.nc.SetReadDeadline(time.Time{})
 }
 
--- a/instance/roles/listener.go
+++ b/instance/roles/listener.go
@@ -98,7 +98,7 @@
 			_ = c.SetReadDeadline(time.Now().Add(drainCalls))
 		}
 	case fasthttp.StateIdle:
-		l.conns[c].Takes()
+		l.conns[c].RequestRead()
 		l.conns[c].Answered(drain.Serving, true)
 	case fasthttp.StateClosed, fasthttp.StateHijacked:
 		delete(l.conns, c)
