--- a/core/drain/conn.go
+++ b/core/drain/conn.go
@@ -51,9 +51,9 @@
 	c.pending++
 }
 
-// Drops notes that a request which was read after the last answer stays unanswered. It
+// DropRequest notes that a request which was read after the last answer stays unanswered. It
 // crossed the end of the connection and has not run.
-func (c *Conn) Drops() { c.pending-- }
+func (c *Conn) DropRequest() { c.pending-- }
 
 // HangUp notes that nothing more will come: the caller has closed the connection, or
 // the deadline of an idle connection has passed. What is pending has nobody who waits.
--- a/core/drain/drain_test.go
+++ b/core/drain/drain_test.go
@@ -73,7 +73,7 @@
 		w.reading = false
 		w.conn.RequestRead()
 		if w.finished {
-			w.conn.Drops()
+			w.conn.DropRequest()
 			w.dropped++
 			w.readerDone = true
 			return true
--- a/instance/relay/conn.go
+++ b/instance/relay/conn.go
@@ -136,7 +136,7 @@
 func (c *conn) drop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.Drops()
+	c.life.DropRequest()
 	c.s.inFlight.Add(-1)
 }
 
