--- a/core/drain/drain.go
+++ b/core/drain/drain.go
@@ -32,8 +32,8 @@
 	Begun, EndingAt, Over time.Time
 }
 
-// Begin returns the schedule of a drain that begins now.
-func Begin(now time.Time, announce, timeout time.Duration) Schedule {
+// NewSchedule returns the schedule of a drain that begins now.
+func NewSchedule(now time.Time, announce, timeout time.Duration) Schedule {
 	return Schedule{Begun: now, EndingAt: now.Add(announce), Over: now.Add(timeout)}
 }
 
--- a/core/drain/drain_test.go
+++ b/core/drain/drain_test.go
@@ -17,7 +17,7 @@
 	RegisterTestingT(t)
 	none := drain.Schedule{}
 	Expect(none.Phase(at(0))).To(Equal(drain.Serving))
-	s := drain.Begin(begun, 2500*time.Millisecond, 7*time.Second)
+	s := drain.NewSchedule(begun, 2500*time.Millisecond, 7*time.Second)
 	Expect(s.Phase(at(0))).To(Equal(drain.Announcing))
 	Expect(s.Phase(at(2499))).To(Equal(drain.Announcing))
 	Expect(s.Phase(at(2500))).To(Equal(drain.Ending))
@@ -30,7 +30,7 @@
 	RegisterTestingT(t)
 	none := drain.Schedule{}
 	Expect(none.Takes(at(0), true, at(1e6))).To(BeTrue())
-	s := drain.Begin(begun, 2500*time.Millisecond, 7*time.Second)
+	s := drain.NewSchedule(begun, 2500*time.Millisecond, 7*time.Second)
 	Expect(s.Takes(at(2000), true, at(1e6))).To(BeTrue(), "the balancer still sends callers here")
 	Expect(s.Takes(at(2500), true, at(2600))).To(BeFalse(), "nobody knows how long a stream takes")
 	Expect(s.Takes(at(2500), false, at(7000))).To(BeTrue())
--- a/core/drain/lastphase_test.go
+++ b/core/drain/lastphase_test.go
@@ -12,7 +12,7 @@
 const look = 50 * time.Millisecond
 
 func finishing() (*drain.Schedule, *drain.LastPhase) {
-	s := drain.Begin(begun, 2500*time.Millisecond, 7*time.Second)
+	s := drain.NewSchedule(begun, 2500*time.Millisecond, 7*time.Second)
 	return &s, drain.NewLastPhase(&s, look)
 }
 
--- a/instance/relay/drain.go
+++ b/instance/relay/drain.go
@@ -15,7 +15,7 @@
 // are closed only afterwards, so that no request crosses the close meanwhile. The
 // listener stays open while answers are under way, as callers may have nowhere else to go.
 func (s *Service) Drain(ctx context.Context) error {
-	course := drain.Begin(clock.Now(), s.cfg.Announce, s.cfg.DrainTimeout)
+	course := drain.NewSchedule(clock.Now(), s.cfg.Announce, s.cfg.DrainTimeout)
 	s.drain.Store(&course)
 	s.cfg.Log.Event("drain").Int("in_flight", s.inFlight.Load()).MS("announce", s.cfg.Announce).MS("timeout", s.cfg.DrainTimeout).End()
 	return shutdown.Run(ctx, &course, (*connections)(s))
--- a/instance/roles/listener.go
+++ b/instance/roles/listener.go
@@ -109,7 +109,7 @@
 func (l *listener) end(ctx context.Context, limit time.Duration) (err error) {
 	l.ended.Do(func() {
 		l.draining.Store(true)
-		course := drain.Begin(clock.Now(), 0, limit)
+		course := drain.NewSchedule(clock.Now(), 0, limit)
 		err = shutdown.Run(ctx, &course, l)
 	})
 	return err
