--- a/core/drain/drain.go
+++ b/core/drain/drain.go
@@ -48,11 +48,11 @@
 	return Ending
 }
 
-// Takes reports whether a request may begin. In the last phase one is turned away that
+// Accepts reports whether a request may begin. In the last phase one is turned away that
 // the process may not live to see the end of: any stream, and a request whose time goes
 // on beyond the drain's. It would be cut off, and a caller that is told so at once is
 // better off at another instance.
-func (s *Schedule) Takes(now time.Time, streaming bool, deadline time.Time) bool {
+func (s *Schedule) Accepts(now time.Time, streaming bool, deadline time.Time) bool {
 	if s.Phase(now) != Ending {
 		return true
 	}
--- a/core/drain/drain_test.go
+++ b/core/drain/drain_test.go
@@ -29,12 +29,12 @@
 func TestOnlyWhatEndsInTimeIsTaken(t *testing.T) {
 	RegisterTestingT(t)
 	none := drain.Schedule{}
-	Expect(none.Takes(at(0), true, at(1e6))).To(BeTrue())
+	Expect(none.Accepts(at(0), true, at(1e6))).To(BeTrue())
 	s := drain.NewSchedule(begun, 2500*time.Millisecond, 7*time.Second)
-	Expect(s.Takes(at(2000), true, at(1e6))).To(BeTrue(), "the balancer still sends callers here")
-	Expect(s.Takes(at(2500), true, at(2600))).To(BeFalse(), "nobody knows how long a stream takes")
-	Expect(s.Takes(at(2500), false, at(7000))).To(BeTrue())
-	Expect(s.Takes(at(2500), false, at(7001))).To(BeFalse())
+	Expect(s.Accepts(at(2000), true, at(1e6))).To(BeTrue(), "the balancer still sends callers here")
+	Expect(s.Accepts(at(2500), true, at(2600))).To(BeFalse(), "nobody knows how long a stream takes")
+	Expect(s.Accepts(at(2500), false, at(7000))).To(BeTrue())
+	Expect(s.Accepts(at(2500), false, at(7001))).To(BeFalse())
 }
 
 // world runs a connection's state beside what its two ends do, for every order of
--- a/instance/relay/drain.go
+++ b/instance/relay/drain.go
@@ -60,7 +60,7 @@
 // takes reports whether a request may begin, as far as a drain is concerned.
 func (s *Service) takes(r *request) bool {
 	course := s.drain.Load()
-	return course == nil || course.Takes(clock.Now(), r.route.Kind == route.Streaming, r.deadline)
+	return course == nil || course.Accepts(clock.Now(), r.route.Kind == route.Streaming, r.deadline)
 }
 
 // lastCall reports whether a drain takes nothing new any more.
