--- a/core/drain/lastphase.go
+++ b/core/drain/lastphase.go
@@ -53,8 +53,8 @@
 	return &LastPhase{course: course, time: NewRunTime(pause), overAt: -1}
 }
 
-// Look returns for how long the process has run in this phase.
-func (f *LastPhase) Look(now time.Time) time.Duration {
+// Tick returns for how long the process has run in this phase.
+func (f *LastPhase) Tick(now time.Time) time.Duration {
 	ran := f.time.Look(now)
 	if f.overAt < 0 && !now.Before(f.course.Over) {
 		f.overAt = ran
--- a/core/drain/lastphase_test.go
+++ b/core/drain/lastphase_test.go
@@ -18,7 +18,7 @@
 
 // next looks once and returns what follows.
 func next(f *drain.LastPhase, now time.Time, w drain.Work) drain.Step {
-	f.Look(now)
+	f.Tick(now)
 	return f.Next(now, w)
 }
 
