--- a/core/drain/lastphase_test.go
+++ b/core/drain/lastphase_test.go
@@ -36,14 +36,14 @@
 	RegisterTestingT(t)
 	q := drain.NewQuiet(300*time.Millisecond, 10*time.Millisecond)
 	for ms := 0; ms < 290; ms += 10 {
-		Expect(q.Look(at(ms), false)).To(BeFalse(), "%d ms", ms)
+		Expect(q.Tick(at(ms), false)).To(BeFalse(), "%d ms", ms)
 	}
-	Expect(q.Look(at(2000), false)).To(BeFalse())
-	Expect(q.Look(at(2010), true)).To(BeFalse())
+	Expect(q.Tick(at(2000), false)).To(BeFalse())
+	Expect(q.Tick(at(2010), true)).To(BeFalse())
 	for ms := 2020; ms < 2310; ms += 10 {
-		Expect(q.Look(at(ms), false)).To(BeFalse(), "%d ms", ms)
+		Expect(q.Tick(at(ms), false)).To(BeFalse(), "%d ms", ms)
 	}
-	Expect(q.Look(at(2310), false)).To(BeTrue())
+	Expect(q.Tick(at(2310), false)).To(BeTrue())
 }
 
 // Guards against an end before the connections that waited for the accept are served.
--- a/core/drain/runtime.go
+++ b/core/drain/runtime.go
@@ -37,8 +37,8 @@
 // NewQuiet returns a Quiet for a span; it is looked at every pause.
 func NewQuiet(span, pause time.Duration) *Quiet { return &Quiet{span: span, frozen: lateLooks * pause} }
 
-// Look notes whether there is work, and reports whether the span is over.
-func (q *Quiet) Look(now time.Time, busy bool) bool {
+// Tick notes whether there is work, and reports whether the span is over.
+func (q *Quiet) Tick(now time.Time, busy bool) bool {
 	if busy || q.last.IsZero() || now.Sub(q.last) > q.frozen {
 		q.since = now
 	}
--- a/instance/shutdown/shutdown.go
+++ b/instance/shutdown/shutdown.go
@@ -58,7 +58,7 @@
 // fault.DeadlineExceeded when ctx ends before.
 func AwaitQuiet(ctx context.Context, span time.Duration, busy func() bool) error {
 	quiet := drain.NewQuiet(span, quietPoll)
-	for !quiet.Look(clock.Now(), busy()) {
+	for !quiet.Tick(clock.Now(), busy()) {
 		if !clock.Sleep(ctx, quietPoll) {
 			return fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "requests are still in flight")
 		}
