--- a/core/drain/lastphase.go
+++ b/core/drain/lastphase.go
@@ -55,7 +55,7 @@
 
 // Tick returns for how long the process has run in this phase.
 func (f *LastPhase) Tick(now time.Time) time.Duration {
-	ran := f.time.Look(now)
+	ran := f.time.Tick(now)
 	if f.overAt < 0 && !now.Before(f.course.Over) {
 		f.overAt = ran
 	}
--- a/core/drain/lastphase_test.go
+++ b/core/drain/lastphase_test.go
@@ -26,9 +26,9 @@
 func TestTimeInWhichTheProcessDidNotRunIsNotCounted(t *testing.T) {
 	RegisterTestingT(t)
 	r := drain.NewRunTime(look)
-	Expect(r.Look(at(0))).To(BeZero())
-	Expect(r.Look(at(40))).To(Equal(40 * time.Millisecond))
-	Expect(r.Look(at(5000))).To(Equal(90 * time.Millisecond))
+	Expect(r.Tick(at(0))).To(BeZero())
+	Expect(r.Tick(at(40))).To(Equal(40 * time.Millisecond))
+	Expect(r.Tick(at(5000))).To(Equal(90 * time.Millisecond))
 }
 
 // Guards against an end that is decided at the first look after a freeze.
--- a/core/drain/runtime.go
+++ b/core/drain/runtime.go
@@ -14,8 +14,8 @@
 // NewRunTime returns a RunTime that is looked at every pause.
 func NewRunTime(pause time.Duration) *RunTime { return &RunTime{pause: pause} }
 
-// Look returns for how long the process has run since the first look.
-func (r *RunTime) Look(now time.Time) time.Duration {
+// Tick returns for how long the process has run since the first look.
+func (r *RunTime) Tick(now time.Time) time.Duration {
 	if !r.last.IsZero() {
 		r.ran += min(now.Sub(r.last), r.pause)
 	}
