--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -108,8 +108,8 @@
 	OpUnknown Op = "unknown"
 	// OpResolve settles an unknown outcome, by a query or an operator.
 	OpResolve Op = "resolve"
-	// OpLook reads a claim at this place of the log.
-	OpLook Op = "look"
+	// OpRead reads a claim at this place of the log.
+	OpRead Op = "look"
 )
 
 // Command is one entry of the log.
--- a/core/claim/machine.go
+++ b/core/claim/machine.go
@@ -97,7 +97,7 @@
 		return Result{Verdict: Absent}
 	}
 	switch c.Op {
-	case OpLook:
+	case OpRead:
 		return e.tell(at)
 	case OpReceipt:
 		return m.receipt(c, e)
--- a/instance/control/operate.go
+++ b/instance/control/operate.go
@@ -50,7 +50,7 @@
 // operator's word counts for the attempt that was unknown, and for no later one.
 func (s *Service) Resolve(ctx context.Context, operator string, key claim.Key, as claim.Outcome) error {
 	ledger := plain.ProposeFunc(s.Propose)
-	r, err := ledger.Submit(ctx, &claim.Command{Op: claim.OpLook, Key: key})
+	r, err := ledger.Submit(ctx, &claim.Command{Op: claim.OpRead, Key: key})
 	if err != nil {
 		return err
 	}
