--- a/core/claim/store.go
+++ b/core/claim/store.go
@@ -110,21 +110,21 @@
 	return s
 }
 
-// Named is one claim with its key.
-type Named struct {
+// KeyedClaim is one claim with its key.
+type KeyedClaim struct {
 	Key  Key
 	View View
 }
 
 // Unknowns lists at most limit claims with an unknown outcome, in order of time.
-func (m *Machine) Unknowns(at time.Time, limit int) []Named {
-	var out []Named
+func (m *Machine) Unknowns(at time.Time, limit int) []KeyedClaim {
+	var out []KeyedClaim
 	for _, e := range m.entries {
 		if r := e.tell(InstantOf(at)); r.Verdict == OutcomeUnknown {
-			out = append(out, Named{Key: e.Key, View: *r.View})
+			out = append(out, KeyedClaim{Key: e.Key, View: *r.View})
 		}
 	}
-	slices.SortFunc(out, func(a, b Named) int {
+	slices.SortFunc(out, func(a, b KeyedClaim) int {
 		if c := cmp.Compare(a.View.At, b.View.At); c != 0 {
 			return c
 		}
--- a/instance/admin/claims.go
+++ b/instance/admin/claims.go
@@ -15,7 +15,7 @@
 // Claims is what the API needs for calls with an unknown outcome.
 type Claims interface {
 	// Unknowns lists them, the oldest first, after a check that nothing lacks.
-	Unknowns(ctx context.Context) ([]claim.Named, error)
+	Unknowns(ctx context.Context) ([]claim.KeyedClaim, error)
 	// Resolve settles one by an operator's word. It fails with fault.NotFound,
 	// and with fault.Conflict when the outcome is not unknown (any more).
 	Resolve(ctx context.Context, operator string, key claim.Key, as claim.Outcome) error
--- a/instance/control/operate.go
+++ b/instance/control/operate.go
@@ -24,7 +24,7 @@
 )
 
 // Unknowns implements admin.Claims.
-func (s *Service) Unknowns(ctx context.Context) (list []claim.Named, err error) {
+func (s *Service) Unknowns(ctx context.Context) (list []claim.KeyedClaim, err error) {
 	g := s.group.Load()
 	if g == nil {
 		err = s.ask(ctx, channelUnknowns, struct{}{}, &list)
