--- a/core/intent/lookup.go
+++ b/core/intent/lookup.go
@@ -25,9 +25,9 @@
 	return find(d.Services, name, func(s *Service) string { return s.Name })
 }
 
-// Trust returns the rule that covers the upstream with the given name, or nil.
+// UpstreamRule returns the rule that covers the upstream with the given name, or nil.
 // An exact rule goes before a prefix, and a longer prefix before a shorter one.
-func (d *Document) Trust(name string) *Upstream {
+func (d *Document) UpstreamRule(name string) *Upstream {
 	var best *Upstream
 	for i := range d.Upstreams {
 		u := &d.Upstreams[i]
--- a/core/order/plan.go
+++ b/core/order/plan.go
@@ -66,7 +66,7 @@
 	p := &planner{domain: d, now: now, authority: may, byName: map[string]*modelTarget{}}
 	for i := range engines {
 		e := &engines[i]
-		rule := d.doc.Trust(e.Name)
+		rule := d.doc.UpstreamRule(e.Name)
 		if rule == nil || rule.Kind != intent.KindEngine {
 			continue
 		}
--- a/instance/config/config.go
+++ b/instance/config/config.go
@@ -73,7 +73,7 @@
 
 // Upstream checks an upstream's credential and returns the rule that trusts it.
 func (v *View) Upstream(name, key string) (*intent.Upstream, error) {
-	rule := v.Document.Trust(name)
+	rule := v.Document.UpstreamRule(name)
 	if rule == nil || subtle.ConstantTimeCompare([]byte(rule.KeyHash), []byte(HashKey(key))) != 1 {
 		return nil, fault.New(fault.Unauthenticated, "no rule trusts upstream %q with this credential", name)
 	}
--- a/instance/daemon/http.go
+++ b/instance/daemon/http.go
@@ -91,7 +91,7 @@
 	view := r.View()
 	for i := range view.Upstreams {
 		u := &view.Upstreams[i]
-		rule := v.Document.Trust(u.Name)
+		rule := v.Document.UpstreamRule(u.Name)
 		if u.Kind == intent.KindService && u.Service == service && rule != nil && rule.Kind == u.Kind {
 			open = append(open, upstream.Target{Name: u.Name, Address: u.Address})
 		}
--- a/instance/daemon/work.go
+++ b/instance/daemon/work.go
@@ -56,7 +56,7 @@
 	}
 	for i := range v.Upstreams {
 		u := &v.Upstreams[i]
-		rule := c.Document.Trust(u.Name)
+		rule := c.Document.UpstreamRule(u.Name)
 		if u.Kind != intent.KindEngine || rule == nil || rule.Kind != u.Kind {
 			continue
 		}
--- a/instance/order/engine.go
+++ b/instance/order/engine.go
@@ -54,7 +54,7 @@
 	live, ready := map[string]bool{}, true
 	for i := range view.Upstreams {
 		u := &view.Upstreams[i]
-		rule := s.doc.Trust(u.Name)
+		rule := s.doc.UpstreamRule(u.Name)
 		if u.Kind != intent.KindEngine || rule == nil || rule.Kind != u.Kind {
 			continue
 		}
--- a/operator/load/parse.go
+++ b/operator/load/parse.go
@@ -95,7 +95,7 @@
 	for _, a := range x.Faults {
 		p.fault(a)
 	}
-	if x.Intent != nil && x.Engines.Prefix != "" && x.Intent.Trust(x.Engines.Prefix+"1") == nil {
+	if x.Intent != nil && x.Engines.Prefix != "" && x.Intent.UpstreamRule(x.Engines.Prefix+"1") == nil {
 		p.file.Add("engines", "prefix", x.Engines.Prefix, "no trust rule of the intent covers these names")
 	}
 }
