--- a/core/intent/diff.go
+++ b/core/intent/diff.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// Verb says what a change does to one entry.
-type Verb string
+// ChangeKind says what a change does to one entry.
+type ChangeKind string
 
 // The verbs of a Change.
 const (
-	Added   Verb = "added"
-	Removed Verb = "removed"
-	Changed Verb = "changed"
+	Added   ChangeKind = "added"
+	Removed ChangeKind = "removed"
+	Changed ChangeKind = "changed"
 )
 
 // Change is one line of a plan.
 type Change struct {
-	Verb Verb `json:"verb" codec:"verb"`
+	Verb ChangeKind `json:"verb" codec:"verb"`
 	// Path names the entry, such as "class.nurse-review".
 	Path string `json:"path" codec:"path"`
 	// Fields lists the fields that differ; it is empty for added and removed.
