--- a/core/intent/diff.go
+++ b/core/intent/diff.go
@@ -18,7 +18,7 @@
 
 // Change is one line of a plan.
 type Change struct {
-	Verb ChangeKind `json:"verb" codec:"verb"`
+	Kind ChangeKind `json:"verb" codec:"verb"`
 	// Path names the entry, such as "class.nurse-review".
 	Path string `json:"path" codec:"path"`
 	// Fields lists the fields that differ; it is empty for added and removed.
@@ -52,7 +52,7 @@
 	out = append(out, diffList("service", from.Services, to.Services, func(v Service) string { return v.Name })...)
 	out = append(out, diffList("operator", from.Operators, to.Operators, func(v Operator) string { return v.Name })...)
 	if fields := diffFields(from.Weights, to.Weights); len(fields) > 0 {
-		out = append(out, Change{Verb: Changed, Path: "weights", Fields: fields})
+		out = append(out, Change{Kind: Changed, Path: "weights", Fields: fields})
 	}
 	return out
 }
@@ -71,12 +71,12 @@
 		is, has := next[n]
 		switch {
 		case !had:
-			out = append(out, Change{Verb: Added, Path: path})
+			out = append(out, Change{Kind: Added, Path: path})
 		case !has:
-			out = append(out, Change{Verb: Removed, Path: path})
+			out = append(out, Change{Kind: Removed, Path: path})
 		default:
 			if fields := diffFields(was, is); len(fields) > 0 {
-				out = append(out, Change{Verb: Changed, Path: path, Fields: fields})
+				out = append(out, Change{Kind: Changed, Path: path, Fields: fields})
 			}
 		}
 	}
--- a/core/intent/intent_test.go
+++ b/core/intent/intent_test.go
@@ -83,10 +83,10 @@
 		to.Models = []intent.Model{{Name: "m"}}
 		to.Weights.RateMB = 500
 		Expect(intent.Diff(from, to)).To(Equal([]intent.Change{
-			{Verb: intent.Changed, Path: "class.bulk", Fields: []intent.FieldChange{{Field: "floor", From: 0.1, To: 0.2}}},
-			{Verb: intent.Removed, Path: "organisation.ward"},
-			{Verb: intent.Added, Path: "model.m"},
-			{Verb: intent.Changed, Path: "weights", Fields: []intent.FieldChange{{Field: "rate_mb", From: 0, To: 500}}},
+			{Kind: intent.Changed, Path: "class.bulk", Fields: []intent.FieldChange{{Field: "floor", From: 0.1, To: 0.2}}},
+			{Kind: intent.Removed, Path: "organisation.ward"},
+			{Kind: intent.Added, Path: "model.m"},
+			{Kind: intent.Changed, Path: "weights", Fields: []intent.FieldChange{{Field: "rate_mb", From: 0, To: 500}}},
 		}))
 		Expect(intent.Diff(from, valid())).To(BeEmpty())
 	})
--- a/instance/control/intent.go
+++ b/instance/control/intent.go
@@ -69,7 +69,7 @@
 			continue
 		}
 		for _, c := range changes {
-			detail += "; revision " + strconv.FormatUint(m.Record.Revision, 10) + " by " + m.Record.Operator + " " + string(c.Verb) + " " + c.Path
+			detail += "; revision " + strconv.FormatUint(m.Record.Revision, 10) + " by " + m.Record.Operator + " " + string(c.Kind) + " " + c.Path
 		}
 	}
 	out := *f
--- a/operator/commands/show/show.go
+++ b/operator/commands/show/show.go
@@ -20,7 +20,7 @@
 	}
 	fmt.Fprintf(w, "Seen from revision %d, %d entries would change:\n", p.Base, len(p.Changes))
 	for _, ch := range p.Changes {
-		fmt.Fprintf(w, "  %-8s %s\n", ch.Verb, ch.Path)
+		fmt.Fprintf(w, "  %-8s %s\n", ch.Kind, ch.Path)
 		for _, f := range ch.Fields {
 			fmt.Fprintf(w, "           %s: %v -> %v\n", f.Field, f.From, f.To)
 		}
