--- a/core/order/bench_test.go
+++ b/core/order/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/comfreyladder/comfreyladder/core/order"
 )
 
-// BenchmarkStep is one step of a failure domain at the size to design for: 76
-// engines and 9 models, at rest and right after all engines restarted.
+// BenchmarkStep measures one step of a failure domain of the largest intended size, 76
+// engines and 9 models, both in steady state and right after a restart of all engines.
 func BenchmarkStep(b *testing.B) {
 	const engines, models = 76, 9
 	var list []intent.Model
--- a/core/order/budget.go
+++ b/core/order/budget.go
@@ -7,9 +7,9 @@
 	"github.com/comfreyladder/comfreyladder/core/intent"
 )
 
-// loadBudget is a token bucket over the megabytes that the domain's engines are
-// ordered to load. It holds one load of the largest model, so that in any time t
-// they are ordered to load at most that and rate x t.
+// loadBudget is a token bucket over the megabytes that the engines of a failure domain
+// are ordered to load. Its capacity is one load of the largest model with its adapters,
+// so that in any time t the engines are ordered to load at most capacity + rate x t.
 type loadBudget struct {
 	ratePerSecond float64 // megabytes a second
 	capacity      float64
@@ -37,13 +37,13 @@
 	b.available = min(b.available+float64(megabytes), b.capacity)
 }
 
-// adapterSizeDivisor is the part of its model's size that an adapter is charged: low-rank
-// adapters are well under it.
+// adapterSizeDivisor divides a model's size to give the size charged for one of its
+// adapters: low-rank adapters are well below 1/50 of their model.
 const adapterSizeDivisor = 50
 
 func modelSize(m *intent.Model) int { return cmp.Or(m.SizeMB, intent.DefaultSizeMB) }
 
 func adapterSize(m *intent.Model) int { return max(modelSize(m)/adapterSizeDivisor, 1) }
 
-// sizeWithAdapters is that of a model with all its adapters.
+// sizeWithAdapters returns the size of a model with all its adapters, in megabytes.
 func sizeWithAdapters(m *intent.Model) int { return modelSize(m) + len(m.Adapters)*adapterSize(m) }
--- a/core/order/decide.go
+++ b/core/order/decide.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// decide turns the plans into orders and reports.
+// decide returns the orders to send now and the status of all engines and models.
 func (p *planner) decide() Decision {
 	var out Decision
 	for _, s := range p.engines {
@@ -17,7 +17,9 @@
 	return out
 }
 
-// decideEngine returns where an engine stands and adds its order, if one is due.
+// decideEngine returns the status of an engine and appends an order to out if the engine
+// needs one. Without any authority the order is only reported as due and its cost
+// refunded.
 func (p *planner) decideEngine(s *enginePlan, out *Decision) EngineStatus {
 	st := EngineStatus{Name: s.Name, Wanted: sortedKeys(s.planned), ChecksFence: s.rule.ChecksFence, Condition: p.conditionOf(s)}
 	s.history.models = st.Wanted
@@ -44,7 +46,8 @@
 	return st
 }
 
-// needsOrder reports whether the engine's own word is not what is wanted.
+// needsOrder reports whether the models or the role that the engine reported differ from
+// the plan.
 func (s *enginePlan) needsOrder() bool {
 	return !maps.Equal(s.planned, s.current) || s.wantedRole() != s.State.Role
 }
--- a/core/order/domain.go
+++ b/core/order/domain.go
@@ -6,7 +6,7 @@
 	"github.com/comfreyladder/comfreyladder/core/intent"
 )
 
-// Domain decides for the engines of one failure domain. It is not safe for
+// Domain decides on the orders to the engines of one failure domain. It is not safe for
 // concurrent use.
 type Domain struct {
 	cfg       Config
@@ -15,51 +15,52 @@
 	termStart time.Time
 	inFlight  map[string]*inFlightOrder
 	histories map[string]*engineHistory
-	// lastBusy says when a model's engines last had work, saturatedSince since when they are full.
+	// lastBusy is when the engines of a model last had work, saturatedSince since when
+	// they have been full.
 	lastBusy, saturatedSince map[string]time.Time
 }
 
-// inFlightOrder is an order on its way.
+// inFlightOrder is an order that was sent and is not answered yet.
 type inFlightOrder struct {
 	incarnation uint64
 	models      []string
 	costMB      int
 }
 
-// engineHistory is what is remembered of an engine between steps.
+// engineHistory is what a Domain remembers of an engine between steps.
 type engineHistory struct {
 	lastSeen        time.Time
 	incarnation     uint64
-	models          []string // held or on their way when it was seen last
+	models          []string // held or being loaded when the engine was last seen
 	lastLoadOrdered time.Time
-	loadingSince    time.Time // since when it loads, zero if it does not
-	retryAfter      time.Time // no order before then
-	failure         Condition // Unreached, Unfollowed or nothing
-	// lastOrder is the last order; answered says that the next word of the engine
-	// is its answer to that.
+	loadingSince    time.Time // zero if nothing is being loaded
+	retryAfter      time.Time // no order is sent before this time
+	failure         Condition // Unreached, Diverged or empty
+	// lastOrder is the last order to the engine; verifyLastOrder says that the next
+	// reported state is the engine's answer to it.
 	lastOrder       Order
 	verifyLastOrder bool
 	failures        int
 }
 
-// New returns a Domain without an intent; it orders nothing.
+// New returns a Domain without an intent. It issues no orders until SetIntent is called.
 func New(cfg Config) *Domain {
 	d := &Domain{cfg: cfg.withDefaults(), doc: &intent.Document{}}
 	d.Begin(time.Time{}, false)
 	return d
 }
 
-// SetIntent puts a document in force. A document that declares no models leaves
-// all engines as they are.
+// SetIntent puts a document in force. A document that declares no models leaves all
+// engines as they are.
 func (d *Domain) SetIntent(doc *intent.Document) {
 	d.doc = doc
 	d.budget.configure(doc)
 }
 
-// Begin starts a term as the domain's only issuer of orders. It forgets what an
-// earlier term knew. Unless this is the domain's first term ever, the budget
-// starts empty: nobody knows how much the issuer before has spent, and a full one
-// with each new issuer would let a series of failures feed a stampede.
+// Begin starts a term as the only issuer of orders in the domain and discards the state
+// of earlier terms. Unless this is the domain's first term ever, the budget starts empty:
+// how much the previous issuer spent is unknown, and a full budget for each new issuer
+// would let a series of failovers make all engines load at once.
 func (d *Domain) Begin(now time.Time, first bool) {
 	d.termStart = now
 	d.inFlight = map[string]*inFlightOrder{}
@@ -71,8 +72,8 @@
 	}
 }
 
-// Answered ends an order's flight, if one is under way: the engine's State in the
-// next step is newer.
+// Answered removes the in-flight order of an engine, if there is one. The engine's State
+// in the next step must be newer than the order.
 func (d *Domain) Answered(engine string) {
 	if d.inFlight[engine] == nil {
 		return
@@ -83,8 +84,8 @@
 	}
 }
 
-// NotSent ends the flight of an order that is proved to have had no effect, and
-// gives its charge back. The engine is left alone for Config.Backoff.
+// NotSent removes an in-flight order that provably had no effect and refunds its cost.
+// The engine gets no order for Config.Backoff.
 func (d *Domain) NotSent(now time.Time, engine string) {
 	f := d.inFlight[engine]
 	if f == nil {
@@ -97,18 +98,18 @@
 	}
 }
 
-// InFlight reports whether an order to the engine is on its way.
+// InFlight reports whether an order to the engine is still unanswered.
 func (d *Domain) InFlight(engine string) bool { return d.inFlight[engine] != nil }
 
-// Step compares the intent with the engines that are alive and returns the orders
-// to send now. Engines that the authority does not cover are left as they are.
-func (d *Domain) Step(now time.Time, engines []Engine, may Authority) Decision {
+// Step compares the intent with the live engines and returns the orders to send now.
+// Engines that the authority does not cover are left as they are.
+func (d *Domain) Step(now time.Time, engines []Engine, authority Authority) Decision {
 	if len(d.doc.Models) == 0 {
 		return Decision{}
 	}
 	d.budget.refill(now)
 	d.dropStale(now, engines)
-	p := d.newPlanner(now, engines, may)
+	p := d.newPlanner(now, engines, authority)
 	p.dropUnwanted()
 	p.assignReplicas()
 	p.loadMissingAdapters()
@@ -117,8 +118,9 @@
 	return p.decide()
 }
 
-// dropStale drops what belongs to engines that are gone or started anew: an order to
-// an earlier incarnation has no effect on the next.
+// dropStale drops in-flight orders to engines that are gone or have restarted, since an
+// order to an earlier incarnation has no effect on the next, and the histories of engines
+// that have been gone for longer than Config.ReplaceAfter.
 func (d *Domain) dropStale(now time.Time, engines []Engine) {
 	live := make(map[string]uint64, len(engines))
 	for i := range engines {
@@ -146,8 +148,8 @@
 	return m
 }
 
-// inDemand reports whether a model had work lately. A new term counts as work,
-// since it has seen nothing yet.
+// inDemand reports whether a model had work within Config.IdleAfter. The start of a term
+// counts as work, because nothing before it was observed.
 func (d *Domain) inDemand(now time.Time, model string) bool {
 	last := d.lastBusy[model]
 	if d.termStart.After(last) {
--- a/core/order/fill.go
+++ b/core/order/fill.go
@@ -2,10 +2,9 @@
 
 import "cmp"
 
-// assignReplicas loads models that too few engines hold. Those that no engine holds or
-// serves go first, then those that are furthest from what is wanted, so that
-// after a restart of all engines each model comes back once before any comes
-// back twice.
+// assignReplicas assigns models with too few replicas to engines. Models that no engine
+// holds or serves go first, then those with the smallest share of their replicas, so that
+// after a restart of all engines each model comes back once before any comes back twice.
 func (p *planner) assignReplicas() {
 	for !p.budgetExhausted {
 		w := p.mostUnderReplicated()
@@ -45,7 +44,7 @@
 	return best
 }
 
-// precedes reports whether w goes before o.
+// precedes reports whether w is assigned before o.
 func (w *modelTarget) precedes(o *modelTarget) bool {
 	if none, other := w.holders+w.serving == 0, o.holders+o.serving == 0; none != other {
 		return none
@@ -53,19 +52,19 @@
 	return w.holders*o.model.Replicas < o.holders*w.model.Replicas
 }
 
-// placement is a load to begin, or the reason why there is none.
+// placement is a load to start, or the reason why none can start.
 type placement struct {
 	target *modelTarget
 	engine *enginePlan
 	note   string
 }
 
-// findPlacement returns where a model is to be loaded next. An engine that holds it in
-// another version goes first, then one with room, then one whose model is held by
-// more engines than it has to be. Otherwise a model at an engine that w could
-// use is loaded elsewhere, by the same rules, so that the engine becomes free:
-// the search goes on from model to model, the shortest chain of moves first, and
-// the load that it returns is the last of the chain.
+// findPlacement returns the next load that helps a model to another replica. It prefers
+// an engine that holds the model in another version, then an engine with room, then an
+// engine with a model that has surplus replicas. If there is none, a model on an engine
+// that w could use is moved to another engine by the same rules, so that its engine
+// becomes free. The search is breadth-first from model to model, so the shortest chain of
+// moves is found, and the load returned is the last of the chain.
 func (p *planner) findPlacement(w *modelTarget) placement {
 	s, note := p.engineToUpgrade(w)
 	if s != nil {
@@ -89,7 +88,7 @@
 	return placement{note: cmp.Or(note, noteNoRoom)}
 }
 
-// blockingModels returns the models at engines that u could use.
+// blockingModels returns the unvisited models on engines that u could use.
 func (p *planner) blockingModels(u *modelTarget, visited map[*modelTarget]bool) (out []*modelTarget) {
 	for _, s := range p.engines {
 		if !p.canReceive(s, u) || s.holdsOtherVersion(u.model) {
@@ -123,7 +122,7 @@
 	return best, ""
 }
 
-// betterUpgrade prefers an engine that does not serve, then the higher rank.
+// betterUpgrade prefers an engine that does not serve the model, then the higher rank.
 func betterUpgrade(a, b *enginePlan, model string) bool {
 	if x, y := a.serves(model), b.serves(model); x != y {
 		return y
@@ -131,8 +130,8 @@
 	return a.rank(model) > b.rank(model)
 }
 
-// engineWithRoom returns an engine with room; those that may hold the fewest models go
-// first, so that they are not left over while others are full.
+// engineWithRoom returns an engine that can hold one more model. Engines that may hold
+// the fewest models are preferred, so that they are not left over while others are full.
 func (p *planner) engineWithRoom(w *modelTarget) *enginePlan {
 	var best *enginePlan
 	for _, s := range p.engines {
@@ -153,25 +152,26 @@
 	return a.rank(model) > b.rank(model)
 }
 
-// canReceive reports whether the engine may be ordered to hold the model and does not.
+// canReceive reports whether the engine may be ordered to hold the model and does not
+// hold it.
 func (p *planner) canReceive(s *enginePlan, w *modelTarget) bool {
 	return s.orderable() && s.permits(w.model.Name) && !s.holds(w.model)
 }
 
-// evict makes room at an engine by dropping a model that enough others hold.
-// It reports whether such a model only waits until enough others serve it.
-func (p *planner) evict(w *modelTarget, allow func(*enginePlan, *modelTarget) bool) (best *enginePlan, waits bool) {
+// evict makes room on an engine by unassigning a model with surplus replicas. mustWait
+// reports that such a model exists but has to stay until enough other engines serve it.
+func (p *planner) evict(w *modelTarget, mayEvict func(*enginePlan, *modelTarget) bool) (best *enginePlan, mustWait bool) {
 	var victim *modelTarget
 	for _, s := range p.engines {
 		if !p.canReceive(s, w) || s.holdsOtherVersion(w.model) || s.costMB > 0 {
 			continue
 		}
 		for _, v := range p.models {
-			if v == w || v.surplus() <= 0 || !s.holdsPermitted(v.model) || !allow(s, v) {
+			if v == w || v.surplus() <= 0 || !s.holdsPermitted(v.model) || !mayEvict(s, v) {
 				continue
 			}
 			if !p.canStopServing(s, v.model.Name) {
-				waits = true
+				mustWait = true
 				continue
 			}
 			if victim == nil || v.surplus() > victim.surplus() || v == victim && s.rank(w.model.Name) > best.rank(w.model.Name) {
@@ -182,10 +182,10 @@
 	if best != nil {
 		p.unassign(best, victim)
 	}
-	return best, waits
+	return best, mustWait
 }
 
-// loadMissingAdapters loads adapters that are missing beside their model.
+// loadMissingAdapters adds missing adapters to the engines that hold their model.
 func (p *planner) loadMissingAdapters() {
 	for _, s := range p.engines {
 		if !s.orderable() {
@@ -206,8 +206,9 @@
 	}
 }
 
-// upgradeVersions reloads engines that hold another version although enough hold the
-// wanted one: which version answers must not depend on the engine.
+// upgradeVersions reloads engines that hold another version of a model even if it has
+// enough replicas of the wanted version: the version that answers must not depend on the
+// engine.
 func (p *planner) upgradeVersions() {
 	for _, w := range p.models {
 		for w.deficit() <= 0 && p.needsUpgrade(w) && p.canStartLoad(w, sizeWithAdapters(w.model)) {
@@ -230,8 +231,9 @@
 	return false
 }
 
-// scaleSaturated loads one more engine for a model whose engines have been full for long,
-// if one is without work. The engine goes back to others when they need it.
+// scaleSaturated loads a model on one more idle engine if the model's engines have been
+// full for Config.SaturatedAfter. The engine becomes available again when other models
+// need it.
 func (p *planner) scaleSaturated() {
 	for _, w := range p.models {
 		since := p.domain.saturatedSince[w.model.Name]
--- a/core/order/names.go
+++ b/core/order/names.go
@@ -6,15 +6,15 @@
 	"github.com/comfreyladder/comfreyladder/core/intent"
 )
 
-// Engines are ordered to hold "model@version" and "model@version:adapter"; a
-// model without a version goes by its name alone. They serve and announce both
-// without the version, which is how requests ask for them.
+// Engines are ordered to hold "model@version" and "model@version:adapter"; a model
+// without a version is ordered by its name alone. Engines serve and announce both without
+// the version, as requests name them.
 const (
 	versionSeparator = "@"
 	adapterSeparator = ":"
 )
 
-// Name returns the name under which engines are ordered to hold a model.
+// Name returns the name by which engines are ordered to hold a model.
 func Name(m *intent.Model) string {
 	if m.Version == "" {
 		return m.Name
@@ -22,7 +22,7 @@
 	return m.Name + versionSeparator + m.Version
 }
 
-// Names returns the names of a model and of all its adapters.
+// Names returns the ordered names of a model and all its adapters.
 func Names(m *intent.Model) []string {
 	name := Name(m)
 	out := []string{name}
@@ -32,7 +32,7 @@
 	return out
 }
 
-// Served returns the name under which a held model or adapter is served.
+// Served returns the name by which a held model or adapter is served.
 func Served(held string) string {
 	name, adapter, has := strings.Cut(held, adapterSeparator)
 	name = baseName(name)
@@ -42,7 +42,7 @@
 	return name + adapterSeparator + adapter
 }
 
-// versionedName returns "model@version" of a model or of an adapter of it.
+// versionedName returns "model@version" for a model or one of its adapters.
 func versionedName(held string) string {
 	name, _, _ := strings.Cut(held, adapterSeparator)
 	return name
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -54,9 +54,9 @@
 	g.Expect(w.holding("a@1")).To(Equal(1))
 }
 
-// An operator changes a model's version while callers use it. If all engines
-// began to load the new one at once, nobody would serve the model for the length
-// of a load. The cause would be orders that look at the wanted end alone.
+// If a version change made all engines load the new version at once, no engine would
+// serve the model for the length of a load. Orders that consider the target state alone
+// would do so.
 func TestVersionChangeKeepsTheModelServed(t *testing.T) {
 	g := NewWithT(t)
 	w := newSimulation(document(model("a", "1", 4)), 4)
@@ -74,8 +74,8 @@
 	g.Expect(w.holding("a@1")).To(BeZero())
 }
 
-// The only engine with a model has work and no room beside it. The new version
-// goes to another engine first; without another engine it waits for an idle time.
+// The only engine with a model has work and no room for a second version. The new version
+// goes to another engine first; without another engine it waits until this one is idle.
 func TestTheLastEngineOfAModelInDemandGoesOn(t *testing.T) {
 	for _, spare := range []bool{true, false} {
 		t.Run(fmt.Sprintf("spare=%t", spare), func(t *testing.T) {
@@ -159,8 +159,8 @@
 	g.Expect(w.engines[0].role).To(Equal("prefill"))
 }
 
-// A model may be held at one engine only, and that one holds another model which
-// could be anywhere.
+// One model may be held by a single engine only, and that engine holds another model that
+// any engine may hold.
 func TestModelMovesForOneThatFitsNowhereElse(t *testing.T) {
 	g := NewWithT(t)
 	doc := document(model("a", "1", 1), model("b", "1", 1))
@@ -176,10 +176,10 @@
 	g.Expect(w.engines[1].models).To(HaveKey("a@1"))
 }
 
-// All engines of a failure domain lose power and come back empty within seconds.
-// If all were ordered to load at once, the weight store would crawl and every
-// model be away for long. Loads stay under the budget, and each model comes back
-// once before any comes back twice.
+// All engines of a failure domain restart empty within seconds, as after a power failure.
+// If all were ordered to load at once, they would overload the weight store and every
+// model would be unavailable for long. Loads must stay within the budget, and each model
+// must come back once before any comes back twice.
 func TestLoadsAfterARestartOfAllEnginesStayWithinTheBudget(t *testing.T) {
 	g := NewWithT(t)
 	w := newSimulation(document(model("a", "1", 8), model("b", "1", 6), model("c", "1", 2)), 16)
@@ -203,8 +203,8 @@
 	g.Expect(w.holding("a@1") + w.holding("b@1") + w.holding("c@1")).To(Equal(16))
 }
 
-// Issuers of orders die in a row. Each successor could take the budget for full
-// and load at once what the one before loaded already.
+// Issuers of orders fail one after another. A successor that started with a full budget
+// would order loads that its predecessor has already spent the budget on.
 func TestABudgetIsNotRefilledByASuccessor(t *testing.T) {
 	g := NewWithT(t)
 	doc := document(model("a", "1", 16))
@@ -237,8 +237,8 @@
 	g.Expect(w.holding("a@1")).To(Equal(8))
 }
 
-// An engine's beats are lost for a few seconds. To replace it at once would load
-// a model for nothing; one that was the only one is replaced at once.
+// An engine whose heartbeats are lost for a few seconds must not be replaced at once,
+// since the load would be wasted. The only engine with a model is replaced at once.
 func TestBrieflySilentEngineIsNotReplaced(t *testing.T) {
 	g := NewWithT(t)
 	w := newSimulation(document(model("a", "1", 2), model("b", "1", 1)), 5)
@@ -291,8 +291,8 @@
 	g.Expect(w.holding("a@1")).To(Equal(1))
 }
 
-// Callers want a model more than its engines can serve, while another engine is
-// idle. It gets the model too, until the others need the room.
+// A model's engines are full while another engine is idle. The idle engine loads the
+// model too, until another model needs its room.
 func TestDemandLoadsAnIdleEngine(t *testing.T) {
 	g := NewWithT(t)
 	w := newSimulation(document(model("a", "1", 1), model("b", "1", 1)), 3)
@@ -367,8 +367,9 @@
 	g.Expect(served).To(Equal([]string{"a", "a:x"}))
 }
 
-// A model is held once more than it has to be, and one of its engines just lost a
-// beat. Its other engines must not be given away: it comes back, or it does not.
+// A model has one replica more than required, and one of its engines has just lost a
+// heartbeat. Its other engines must not be given to another model, since the silent one
+// may not come back.
 func TestBrieflySilentEngineIsNotCountedAsSurplus(t *testing.T) {
 	g := NewWithT(t)
 	w := newSimulation(document(model("a", "1", 2)), 3)
@@ -387,8 +388,8 @@
 	g.Expect(w.holding("a@1")).To(Equal(2))
 }
 
-// Two models are full in turn. An engine that followed the one must not follow
-// the other at once, or it would load most of the time.
+// Two models are full in turn. An engine that was loaded for one must not be reassigned
+// to the other at once, or it would spend most of its time loading.
 func TestReassignCooldownLimitsDemandDrivenLoads(t *testing.T) {
 	g := NewWithT(t)
 	w := newSimulation(document(model("a", "1", 1), model("b", "1", 1)), 3)
--- a/core/order/plan.go
+++ b/core/order/plan.go
@@ -7,7 +7,7 @@
 	"github.com/comfreyladder/comfreyladder/core/intent"
 )
 
-// Notes of ModelStatus.
+// Values of ModelStatus.Note.
 const (
 	noteBudget      = "waits for the weight store's budget"
 	noteNoRoom      = "no engine that may hold it has room"
@@ -16,29 +16,30 @@
 	noteSaturated   = "its engines are full; one more is loaded"
 )
 
-// modelTarget is one model in a step.
+// modelTarget is the wanted and the planned state of one model during a step.
 type modelTarget struct {
 	model *intent.Model
-	// holders engines hold it in the wanted version or shall, anyVersion hold some version,
-	// serving ones serve it in some version.
+	// holders counts the engines that hold or are planned to hold the model in the wanted
+	// version, anyVersion those in any version, serving those that serve any version.
 	holders, anyVersion, serving int
-	// recentlyLost are among the good ones: engines that disappeared a moment ago.
+	// recentlyLost counts the engines among holders that disappeared within
+	// Config.ReplaceAfter.
 	recentlyLost int
 	inDemand     bool
-	// blocked models have no place in this step.
+	// blocked says that the model cannot be placed in this step.
 	blocked bool
 	note    string
 }
 
-// deficit is how many engines are missing.
+// deficit returns how many replicas are missing.
 func (w *modelTarget) deficit() int { return w.model.Replicas - w.holders }
 
-// surplus is how many engines could be given to other models.
+// surplus returns how many replicas could give way to other models.
 func (w *modelTarget) surplus() int { return w.holders - w.recentlyLost - w.model.Replicas }
 
-// minServing is how many engines go on to serve whatever is reloaded. A model in
-// demand keeps its last one until the successor serves. Besides, only a quarter
-// of the wanted engines, or one, may be away at a time.
+// minServing returns how many engines must keep serving the model during reloads. At most
+// a quarter of the wanted engines, but at least one, may be reloading at a time; a model
+// in demand also keeps its last serving engine until another one serves it.
 func (w *modelTarget) minServing() int {
 	wanted := min(w.model.Replicas, w.anyVersion)
 	floor := wanted - max(wanted/4, 1)
@@ -48,7 +49,7 @@
 	return max(floor, 0)
 }
 
-// planner is one step.
+// planner computes one step.
 type planner struct {
 	domain    *Domain
 	now       time.Time
@@ -56,21 +57,22 @@
 	engines   []*enginePlan
 	models    []*modelTarget
 	byName    map[string]*modelTarget
-	// activeLoads counts loads under way in the domain, new ones included.
+	// activeLoads counts the loads in progress in the domain, including those planned in
+	// this step.
 	activeLoads int
-	// budgetExhausted says that the budget lets no further load begin.
+	// budgetExhausted says that no further load may start in this step.
 	budgetExhausted bool
 }
 
-func (d *Domain) newPlanner(now time.Time, engines []Engine, may Authority) *planner {
-	p := &planner{domain: d, now: now, authority: may, byName: map[string]*modelTarget{}}
+func (d *Domain) newPlanner(now time.Time, engines []Engine, authority Authority) *planner {
+	p := &planner{domain: d, now: now, authority: authority, byName: map[string]*modelTarget{}}
 	for i := range engines {
 		e := &engines[i]
 		rule := d.doc.UpstreamRule(e.Name)
 		if rule == nil || rule.Kind != intent.KindEngine {
 			continue
 		}
-		p.engines = append(p.engines, d.newEnginePlan(now, e, rule, may))
+		p.engines = append(p.engines, d.newEnginePlan(now, e, rule, authority))
 	}
 	for i := range d.doc.Models {
 		w := &modelTarget{model: &d.doc.Models[i]}
@@ -107,8 +109,9 @@
 	p.trackUtilisation(w, slots, work)
 }
 
-// countRecentlyLost counts engines that disappeared a moment ago and held the model. A lost
-// beat or a quick restart of an engine does not set a load off elsewhere.
+// countRecentlyLost counts engines that disappeared a moment ago and held the model. They
+// still count as holders, so that a lost heartbeat or a quick restart does not start a
+// load on another engine.
 func (p *planner) countRecentlyLost(m *intent.Model) int {
 	n := 0
 	for _, k := range p.domain.histories {
@@ -128,10 +131,12 @@
 	return false
 }
 
-// saturationThreshold is the share of used slots from which a model's engines count as full.
+// saturationThreshold is the share of used slots from which the engines of a model count
+// as full.
 const saturationThreshold = 0.9
 
-// trackUtilisation keeps since when the model is without work or its engines are full.
+// trackUtilisation records when the model last had work and since when its engines have
+// been full.
 func (p *planner) trackUtilisation(w *modelTarget, slots, work int) {
 	name := w.model.Name
 	if work > 0 {
@@ -147,16 +152,16 @@
 
 // canStopServing reports whether the engine may stop serving a model now.
 //
-// It guards against the outage that a change of version or a move makes when the
-// only engine that serves a model begins to load something else: its callers
-// wait for a whole load, or get refused. The successor counts from when it
-// announces the model itself, since an order that was accepted may still fail.
+// It prevents the outage that a version change or a move would cause if the only engine
+// that serves a model began to load something else: requests would wait for a whole load
+// or be refused. A replacement counts only once it announces the model, since an accepted
+// order may still fail.
 func (p *planner) canStopServing(s *enginePlan, model string) bool {
 	w := p.byName[model]
 	return w == nil || !s.serves(model) || w.serving > w.minServing()
 }
 
-// dropUnwanted takes out of the plans what is not wanted any more and may go.
+// dropUnwanted removes from the plans what is no longer wanted and may be dropped.
 func (p *planner) dropUnwanted() {
 	for _, s := range p.engines {
 		if s.orderable() {
@@ -177,7 +182,7 @@
 				p.unassign(s, w)
 			}
 		case versionedName(name) != Name(w.model):
-			// An old version goes once the new one is loaded beside it.
+			// An old version is dropped once the wanted one is loaded beside it.
 			if contains(s.State.Models, Name(w.model)) {
 				delete(s.planned, name)
 			}
@@ -187,7 +192,7 @@
 	}
 }
 
-// unassign drops a model at an engine and counts that.
+// unassign removes a model from the plan of an engine and updates its counts.
 func (p *planner) unassign(s *enginePlan, w *modelTarget) {
 	if s.holdsPermitted(w.model) {
 		w.holders--
@@ -196,7 +201,8 @@
 	p.adjustServing(s, w, func() { s.dropModel(w.model.Name) })
 }
 
-// adjustServing counts whether the engine stops serving a model by a adjustServing of its plan.
+// adjustServing applies a change to the plan of an engine and updates the model's serving
+// count if the engine stops serving it.
 func (p *planner) adjustServing(s *enginePlan, w *modelTarget, f func()) {
 	before := s.serves(w.model.Name)
 	f()
@@ -205,8 +211,8 @@
 	}
 }
 
-// canStartLoad reports whether a load may begin now; if not, no other one may
-// either, so that small loads do not hold up a large one for ever.
+// canStartLoad reports whether a load may start now. After the first refusal no other
+// load may start in this step either, so that small loads cannot starve a large one.
 func (p *planner) canStartLoad(w *modelTarget, megabytes int) bool {
 	most := cmp.Or(p.domain.doc.Weights.Loads, intent.DefaultLoads)
 	if p.budgetExhausted || p.activeLoads >= most || p.domain.budget.available < float64(megabytes) {
@@ -216,7 +222,7 @@
 	return !p.budgetExhausted
 }
 
-// assign plans a model at an engine and charges the budget.
+// assign adds a model to the plan of an engine and charges the load budget.
 func (p *planner) assign(w *modelTarget, s *enginePlan) {
 	if !s.holdsOtherVersion(w.model) {
 		w.anyVersion++
--- a/core/order/property_test.go
+++ b/core/order/property_test.go
@@ -11,7 +11,7 @@
 	"github.com/comfreyladder/comfreyladder/core/order"
 )
 
-// drawDocument returns an intent that the engines can hold at once.
+// drawDocument returns an intent that the engines can satisfy.
 func drawDocument(t *rapid.T, engines, maxModels int) *intent.Document {
 	room := engines * maxModels
 	var models []intent.Model
@@ -30,7 +30,8 @@
 	return doc
 }
 
-// restrict lets some engines hold only some of the models; then not all may fit.
+// restrict lets some engines hold a single model each, and reports whether it did so:
+// then the intent may no longer be satisfiable.
 func (w *simulation) restrict(t *rapid.T) bool {
 	for i := range rapid.IntRange(0, 2).Draw(t, "rules") {
 		m := rapid.SampledFrom(w.doc.Models).Draw(t, "permitted")
@@ -40,7 +41,8 @@
 	return len(w.doc.Upstreams) > 1
 }
 
-// injectEvent restarts, silences or loads engines, or changes the intent.
+// injectEvent restarts engines, makes one silent or busy, changes the intent, or replaces
+// the issuer.
 func (w *simulation) injectEvent(t *rapid.T, maxModels int) {
 	e := w.engines[rapid.IntRange(0, len(w.engines)-1).Draw(t, "engine")]
 	switch rapid.SampledFrom([]string{"restart", "down", "work", "none", "none", "all", "intent", "successor"}).Draw(t, "event") {
@@ -64,9 +66,9 @@
 	}
 }
 
-// Whatever happens to engines, intents and issuers, no order takes the last
-// serving engine from a model in demand, and when things calm down every model is
-// held as often as wanted, in one version, and no further order is given.
+// Under any sequence of engine failures, intent changes and changes of the issuer, no
+// order takes the last serving engine from a model in demand. Afterwards every model has
+// the wanted replicas in one version, and no further order is given.
 func TestOrdersConvergeAndKeepTheLastHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines, maxModels := rapid.IntRange(2, 8).Draw(t, "engines"), rapid.IntRange(1, 3).Draw(t, "side")
@@ -101,8 +103,8 @@
 	})
 }
 
-// Engines restart in any pattern, all at once among them, and issuers change, but
-// what the domain was ordered to load stays under the store's rate and one load.
+// Engines restart in any pattern, including all at once, and issuers change. The loads
+// ordered in the domain must stay within the rate of the weight store plus one load.
 func TestLoadsStayUnderTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines, maxModels := rapid.IntRange(1, 12).Draw(t, "engines"), rapid.IntRange(1, 2).Draw(t, "side")
--- a/core/order/seat.go
+++ b/core/order/seat.go
@@ -10,24 +10,26 @@
 	"github.com/comfreyladder/comfreyladder/core/intent"
 )
 
-// enginePlan is one engine in a step, with what it is planned to hold.
+// enginePlan is one engine during a step, with the models that it is planned to hold.
 type enginePlan struct {
 	*Engine
 	rule     *intent.Upstream
 	history  *engineHistory
 	inFlight *inFlightOrder
-	// fresh engines count on to serve.
+	// fresh says that the last heartbeat is recent enough for the engine to count as
+	// serving.
 	fresh bool
-	// stuck engines load for too long; allowed ones may be ordered at this time.
+	// stuck says that a load has taken longer than Config.LoadTimeout; allowed that the
+	// authority covers the engine and no backoff is pending.
 	stuck, allowed bool
-	// current is what it holds or loads by its own word or by an order on its way,
-	// planned what it shall.
+	// current is what the engine reports as held or being loaded, and what an in-flight
+	// order adds to that; planned is what it should hold.
 	current, planned map[string]bool
 	costMB           int
 	maxModels        int
 }
 
-func (d *Domain) newEnginePlan(now time.Time, e *Engine, rule *intent.Upstream, may Authority) *enginePlan {
+func (d *Domain) newEnginePlan(now time.Time, e *Engine, rule *intent.Upstream, authority Authority) *enginePlan {
 	s := &enginePlan{
 		Engine: e, rule: rule, history: d.historyOf(now, e), inFlight: d.inFlight[e.Name],
 		fresh: now.Sub(e.HeardAt) <= d.cfg.MaxHeartbeatAge, current: map[string]bool{}, planned: map[string]bool{},
@@ -46,7 +48,7 @@
 		addAll(s.planned, s.inFlight.models)
 		addAll(s.current, s.inFlight.models)
 	}
-	s.allowed = may.allows(rule) && !now.Before(s.history.retryAfter)
+	s.allowed = authority.allows(rule) && !now.Before(s.history.retryAfter)
 	s.maxModels = rule.MaxModels
 	if s.maxModels == 0 {
 		s.maxModels = max(1, s.plannedModels(d.doc))
@@ -54,9 +56,9 @@
 	return s
 }
 
-// detectStuckLoad guards against an engine whose load never ends: it would take one
-// of the loads that the domain may have under way for ever, and its model would
-// be waited for in vain.
+// detectStuckLoad marks an engine whose load does not end. Otherwise the load would
+// permanently take one of the domain's concurrent loads, and its model would never be
+// loaded elsewhere.
 func (s *enginePlan) detectStuckLoad(now time.Time, patience time.Duration) {
 	switch {
 	case len(s.State.Loading) == 0:
@@ -67,9 +69,10 @@
 	s.stuck = !s.history.loadingSince.IsZero() && now.Sub(s.history.loadingSince) > patience
 }
 
-// checkLastOrder guards against an engine that takes an order and does otherwise,
-// such as one whose memory is too small: it would be sent the same order, and the
-// budget be charged for it, with each step.
+// checkLastOrder compares the reported state with the last order that was answered and
+// backs off if they differ. Otherwise an engine that accepts an order and does not follow
+// it, such as one with too little memory, would be sent the same order, and the budget
+// charged for it, in every step.
 func (s *enginePlan) checkLastOrder(now time.Time, backoff time.Duration) {
 	m := s.history
 	if !m.verifyLastOrder {
@@ -96,12 +99,13 @@
 	}
 }
 
-// orderable seats may be given an order in this step.
+// orderable reports whether the engine may be given an order in this step.
 func (s *enginePlan) orderable() bool {
 	return s.allowed && s.State != nil && !s.NoOrders && s.inFlight == nil && !s.stuck
 }
 
-// plannedModels counts the weights that the engine shall hold.
+// plannedModels counts the declared models that the engine is planned to hold; each
+// version counts.
 func (s *enginePlan) plannedModels(doc *intent.Document) int {
 	weights := map[string]bool{}
 	for name := range s.planned {
@@ -112,7 +116,7 @@
 	return len(weights)
 }
 
-// permits reports whether the rule lets the engine hold a model.
+// permits reports whether the upstream rule lets the engine hold a model.
 func (s *enginePlan) permits(model string) bool {
 	return len(s.rule.Models) == 0 || slices.Contains(s.rule.Models, model)
 }
@@ -125,9 +129,9 @@
 	return len(s.rule.Models)
 }
 
-// holds reports whether the engine holds or shall hold the model in its wanted
-// version. What an engine that was not read serves is taken for that: else each
-// new issuer would order everything anew.
+// holds reports whether the engine holds, or is planned to hold, the model in the wanted
+// version. If the engine's state was not read, what it announces is taken for the wanted
+// version: otherwise each new issuer would order everything again.
 func (s *enginePlan) holds(m *intent.Model) bool {
 	if s.State == nil || s.NoOrders {
 		return slices.Contains(s.Serves, m.Name)
@@ -135,10 +139,11 @@
 	return s.planned[Name(m)] && (!s.stuck || !s.loading(m))
 }
 
-// holdsPermitted reports whether it has the model and may.
+// holdsPermitted reports whether the engine holds the model and is permitted to.
 func (s *enginePlan) holdsPermitted(m *intent.Model) bool { return s.holds(m) && s.permits(m.Name) }
 
-// holdsOtherVersion reports whether it shall hold the model only in another version.
+// holdsOtherVersion reports whether the engine is planned to hold the model only in
+// another version.
 func (s *enginePlan) holdsOtherVersion(m *intent.Model) bool {
 	if s.State == nil || s.NoOrders || s.holds(m) {
 		return false
@@ -151,8 +156,8 @@
 	return false
 }
 
-// serves reports whether the engine serves a model in any version now and goes on
-// to do so with what it shall hold.
+// serves reports whether the engine serves a model in any version now and keeps doing so
+// under its plan.
 func (s *enginePlan) serves(model string) bool {
 	if !s.fresh || !slices.Contains(s.Serves, model) {
 		return false
@@ -168,7 +173,8 @@
 	return false
 }
 
-// loading reports whether weights of a model are on their way to the engine.
+// loading reports whether the engine is planned to hold a model whose weights are not
+// loaded yet.
 func (s *enginePlan) loading(m *intent.Model) bool {
 	name := Name(m)
 	return s.planned[name] && (s.State == nil || !slices.Contains(s.State.Models, name))
@@ -176,7 +182,8 @@
 
 func (s *enginePlan) busy() bool { return s.Running+s.Waiting > 0 }
 
-// planModel plans the whole model; without room beside them, its other versions go.
+// planModel plans a model with its adapters. If there is no room for both, its other
+// versions are dropped.
 func (s *enginePlan) planModel(m *intent.Model, doc *intent.Document) {
 	addAll(s.planned, Names(m))
 	if s.plannedModels(doc) > s.maxModels {
@@ -185,7 +192,7 @@
 	s.costMB += sizeWithAdapters(m)
 }
 
-// dropOtherVersions takes versions of the model that are not wanted out of the plan.
+// dropOtherVersions removes unwanted versions of the model from the plan.
 func (s *enginePlan) dropOtherVersions(m *intent.Model) {
 	for name := range s.planned {
 		if baseName(name) == m.Name && versionedName(name) != Name(m) {
@@ -194,7 +201,7 @@
 	}
 }
 
-// dropModel takes a model in all versions out of the plan.
+// dropModel removes all versions of a model from the plan.
 func (s *enginePlan) dropModel(model string) {
 	for name := range s.planned {
 		if baseName(name) == model {
@@ -203,6 +210,6 @@
 	}
 }
 
-// rank is the rendezvous hash of a model at an engine: which engines a model
-// prefers changes little when engines come and go.
+// rank is the rendezvous hash of a model and an engine, so that a model's preferred
+// engines change little when engines come and go.
 func (s *enginePlan) rank(model string) uint64 { return xxhash.Sum64String(model + "\x00" + s.Name) }
--- a/core/order/sim_test.go
+++ b/core/order/sim_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// fakeEngine does what an engine does with orders.
+// fakeEngine is an engine that carries out orders.
 type fakeEngine struct {
 	name        string
 	incarnation uint64
@@ -21,9 +21,9 @@
 	role        string
 	running     int
 	down        bool
-	// ignoresOrders engines take orders and do nothing.
+	// ignoresOrders makes the engine accept orders without acting on them.
 	ignoresOrders bool
-	// since is when it began to announce; a model shows in the next beat.
+	// loads counts the loads that the engine has started.
 	loads int
 }
 
@@ -39,7 +39,7 @@
 	loadedMB  int
 	orders    int
 	last      order.Decision
-	// outages lists models in demand that an order took the last serving engine of.
+	// outages lists models in demand whose last serving engine was removed by an order.
 	outages []string
 }
 
@@ -131,7 +131,7 @@
 	return w.engines[i]
 }
 
-// step lets one second pass and carries out the orders.
+// step advances the time by one second and carries out the orders.
 func (w *simulation) step() []order.Order {
 	w.now = w.now.Add(time.Second)
 	var view []order.Engine
@@ -194,7 +194,8 @@
 	}
 }
 
-// converges runs until no order is given for a while; it reports whether that came.
+// converges runs until no order has been given for more than 400 seconds, and reports
+// whether that happened within the given number of seconds.
 func (w *simulation) converges(within int) bool {
 	still := 0
 	for range within {
@@ -207,7 +208,7 @@
 	return false
 }
 
-// budget returns what the store may have given so far.
+// budget returns how many megabytes may have been ordered so far.
 func (w *simulation) budget() int {
 	largest := 0
 	for _, m := range w.doc.Models {
--- a/core/order/types.go
+++ b/core/order/types.go
@@ -1,15 +1,16 @@
-// Package order decides what the engines of one failure domain are ordered to
-// hold. It compares the operators' intent with what the engines say that they
-// hold and returns the orders to give now. It is pure: time is passed in, and
-// what engines said is a value.
+// Package order decides which models the engines of one failure domain are ordered to
+// hold. It compares the operators' intent with what the engines report and returns the
+// orders to send now. It does no I/O and reads no clock: the time and the engines'
+// reports are arguments.
 //
-// An order states the whole wanted end of one engine, not a step, so that it may
-// be repeated and a lost or late one is corrected by the next. Three rules bound
-// the orders: the weight store's budget (loads are spread and never stampede),
-// the last engine that serves a model goes on until its successor serves, and
-// what an engine holds already is left where it is. From the last two follows a
-// limit: where every engine is full and in demand, models that would have to
-// change places stay, and the status says so, until an engine is added or idle.
+// An order states the complete target state of one engine, not a step towards it, so it
+// may be repeated, and a lost or late order is corrected by the next one. Three rules
+// limit the orders: loads stay within the budget of the weight store, so that engines
+// never load all at once; the last engine that serves a model keeps serving until a
+// replacement serves it; and models that an engine already holds are not moved without
+// need. The last two rules have a limitation: if every engine is full and in demand,
+// models that would have to change places stay where they are, and the status reports
+// this, until an engine is added or becomes idle.
 package order
 
 import (
@@ -19,53 +20,57 @@
 	"github.com/comfreyladder/comfreyladder/core/intent"
 )
 
-// Defaults of Config. They are reasoned, not measured.
+// Default values of Config.
 const (
-	// DefaultReplaceAfter outlives a lost beat and a quick restart of an engine, and is
-	// short against the time that a replacement takes to load.
+	// DefaultReplaceAfter covers a lost heartbeat and a quick restart of an engine, and
+	// is short compared with the time that a replacement takes to load.
 	DefaultReplaceAfter = 15 * time.Second
-	// DefaultMaxHeartbeatAge is two beats and some: an engine that has been silent for
-	// longer may be gone although it still counts as alive.
+	// DefaultMaxHeartbeatAge is slightly more than two heartbeats: an engine that has
+	// been silent for longer may be gone although it still counts as alive.
 	DefaultMaxHeartbeatAge = 2500 * time.Millisecond
-	// DefaultIdleAfter is longer than load reports lag.
+	// DefaultIdleAfter is longer than the delay of load reports.
 	DefaultIdleAfter = 10 * time.Second
-	// DefaultSaturatedAfter is longer than most bursts: a load takes longer than to wait
-	// such a burst out.
+	// DefaultSaturatedAfter is longer than most bursts: loading a model takes longer than
+	// waiting for such a burst to end.
 	DefaultSaturatedAfter = 20 * time.Second
-	// DefaultReassignCooldown keeps loads that demand asked for from chasing it.
+	// DefaultReassignCooldown keeps engines from being reassigned with each change of
+	// demand.
 	DefaultReassignCooldown = 5 * time.Minute
-	// DefaultBackoff is the pause before an engine that could not be ordered is
-	// tried again.
+	// DefaultBackoff is the delay before the next order to an engine that the last one did
+	// not reach.
 	DefaultBackoff = 5 * time.Second
-	// DefaultLoadTimeout is longer than the greatest models take at a gigabyte a second.
+	// DefaultLoadTimeout is longer than the largest models take to load at a gigabyte a
+	// second.
 	DefaultLoadTimeout = 15 * time.Minute
 )
 
-// maxBackoffDoublings bounds how often Config.Backoff doubles: to five minutes and some.
+// maxBackoffDoublings bounds how often Config.Backoff doubles: with the default, to 320
+// seconds.
 const maxBackoffDoublings = 6
 
-// Config holds times; zero values take the defaults.
+// Config holds the timing parameters. Values of zero or below take the defaults.
 type Config struct {
-	// ReplaceAfter is how long an engine that disappeared still counts as a holder of
-	// its models, unless it was the only one.
+	// ReplaceAfter is how long an engine that disappeared still counts as a holder of its
+	// models, unless no other engine serves them.
 	ReplaceAfter time.Duration
-	// MaxHeartbeatAge is the greatest age of an engine's last beat with which it counts on
-	// to serve.
+	// MaxHeartbeatAge is the age of an engine's last heartbeat up to which the engine
+	// counts as serving.
 	MaxHeartbeatAge time.Duration
-	// IdleAfter is for how long a model's engines must have been without work for the
-	// model to count as not in demand.
+	// IdleAfter is how long the engines of a model must have been without work before the
+	// model counts as not in demand.
 	IdleAfter time.Duration
-	// SaturatedAfter is for how long a model's engines must have been full before one more
-	// engine is loaded than the intent asks for.
+	// SaturatedAfter is how long the engines of a model must have been full before one
+	// more engine than the intent asks for loads it.
 	SaturatedAfter time.Duration
-	// ReassignCooldown is for how long after a load an engine is not given to another model
+	// ReassignCooldown is how long after a load an engine is not given to another model
 	// because of demand.
 	ReassignCooldown time.Duration
-	// Backoff is the pause after an order that did not reach its engine, and after
-	// the first one that the engine took and did not follow; then it doubles.
+	// Backoff is the delay after an order that did not reach its engine, and after the
+	// first one that the engine accepted and did not follow; it doubles with each further
+	// one.
 	Backoff time.Duration
-	// LoadTimeout is for how long an engine may load before it no longer counts as one
-	// that will hold the model.
+	// LoadTimeout is how long an engine may load before it no longer counts as a holder
+	// of the model.
 	LoadTimeout time.Duration
 }
 
@@ -80,38 +85,38 @@
 	return c
 }
 
-// Engine is one live engine as its beats and its own word show it.
+// Engine is the observed state of one live engine.
 type Engine struct {
 	Name string
-	// Incarnation and HeardAt are those of its last beat.
+	// Incarnation and HeardAt are those of its last heartbeat.
 	Incarnation uint64
 	HeardAt     time.Time
-	// Serves lists what it announces, as "model" or "model:adapter".
+	// Serves lists what the engine announces, as "model" or "model:adapter".
 	Serves []string
-	// Slots, Running and Waiting are from its beat and load report.
+	// Slots, Running and Waiting come from its heartbeat and load report.
 	Slots, Running, Waiting int
-	// State is what this incarnation said when it was asked last; nil while it
-	// has not answered.
+	// State is the last answer of this incarnation; nil if it has not answered yet.
 	State *State
-	// NoOrders says that it takes no orders at all.
+	// NoOrders says that the engine does not support orders.
 	NoOrders bool
 }
 
-// State is what an engine answers to an order or to GET /v1/orders.
+// State is an engine's answer to an order or to GET /v1/orders.
 type State struct {
-	// Fence is the highest fencing number that it has seen.
+	// Fence is the highest fencing number that the engine has seen.
 	Fence uint64 `json:"fence"`
-	// Models are loaded, Loading are on their way; both by their names in orders.
+	// Models lists what is loaded, Loading what is being loaded, both by their names in
+	// orders.
 	Models  []string `json:"models"`
 	Loading []string `json:"loading"`
 	Role    string   `json:"role"`
 }
 
-// Authority says which engines may be given orders now. The zero value gives
-// none; then a step only tells whether orders are due.
+// Authority says which engines may be given orders now. The zero value covers none; a
+// step then only reports whether orders are due.
 type Authority struct {
-	// FenceChecking is for engines that refuse an old fencing number, FenceIgnoring for
-	// those that do not.
+	// FenceChecking covers engines that refuse an old fencing number, FenceIgnoring those
+	// that do not.
 	FenceChecking, FenceIgnoring bool
 }
 
@@ -125,45 +130,46 @@
 	return a.FenceIgnoring
 }
 
-// Order is the wanted end of one engine.
+// Order is the target state of one engine.
 type Order struct {
 	Engine string
-	// Models lists all that it is to hold, sorted.
+	// Models lists everything that the engine is to hold, sorted.
 	Models []string
 	Role   string
-	// CostMB is what the order's loads were charged to the budget.
+	// CostMB is what the loads of the order were charged to the budget.
 	CostMB int
 }
 
-// Condition says how an engine stands to what is wanted of it.
+// Condition says how the state of an engine relates to what it is wanted to hold.
 type Condition string
 
-// The standings.
+// Values of Condition.
 const (
 	// Converged engines hold what they should.
 	Converged Condition = "as wanted"
-	// Loading engines have their order and load.
+	// Loading engines have received their order and are loading.
 	Loading Condition = "loading"
 	// Ordered engines are being sent an order.
 	Ordered Condition = "ordered"
-	// Due engines are to be sent an order, once the lease allows it.
+	// Due engines get an order as soon as the lease allows it.
 	Due Condition = "due"
-	// Waiting engines are given no orders before those of earlier issuers are over.
+	// Waiting engines get no orders until those of earlier issuers can no longer take
+	// effect.
 	Waiting Condition = "waits for earlier issuers"
-	// Unread engines have not said yet what they hold.
+	// Unread engines have not reported what they hold yet.
 	Unread Condition = "unread"
-	// NoOrders engines take no orders; they are left as they are.
+	// NoOrders engines do not support orders and are left as they are.
 	NoOrders Condition = "takes no orders"
-	// Unreached engines did not get their last order; it is tried again.
+	// Unreached engines did not get their last order, which is retried.
 	Unreached Condition = "unreached"
-	// Diverged orders were taken by the engine, which then said other than what
-	// was ordered; they are tried again.
+	// Diverged engines accepted an order and then reported another state; the order is
+	// retried.
 	Diverged Condition = "does not follow"
-	// Stuck engines have been loading for longer than Config.Stuck.
+	// Stuck engines have been loading for longer than Config.LoadTimeout.
 	Stuck Condition = "stuck loading"
 )
 
-// EngineStatus is the wanted end of one engine.
+// EngineStatus is the target and the reported state of one engine.
 type EngineStatus struct {
 	Name      string
 	Wanted    []string
@@ -171,27 +177,27 @@
 	Condition Condition
 	// Fence is the highest fencing number that the engine has seen.
 	Fence uint64
-	// ChecksFence says that it refuses an order with an old number.
+	// ChecksFence says that the engine refuses orders with an old fencing number.
 	ChecksFence bool
 }
 
-// ModelStatus says how far a model is from what the intent asks for.
+// ModelStatus compares a model with what the intent asks for.
 type ModelStatus struct {
-	// Name is the name in orders.
+	// Name is the model's name in orders.
 	Name string
-	// Wanted engines should hold it at least; Holding ones do; Loading ones will;
-	// Serving ones announce it, in whatever version.
+	// Wanted is the minimum number of engines that should hold the model. Holding engines
+	// do, Loading ones are about to, and Serving ones announce it in any version.
 	Wanted, Holding, Loading, Serving int
-	// Note says why it is not as wanted, if it is not.
+	// Note says why the model is not as wanted; it is empty otherwise.
 	Note string
 }
 
 // Decision is the result of one step.
 type Decision struct {
-	// Orders are to be sent now; they count as on their way until Answered,
-	// NotSent or the end of the engine.
+	// Orders are to be sent now. Each stays in flight until Answered or NotSent is called
+	// for its engine or the engine ends.
 	Orders []Order
-	// Pending says that orders are due and the zero Authority was given.
+	// Pending says that orders are due but no authority was given.
 	Pending bool
 	Engines []EngineStatus
 	Models  []ModelStatus
