--- a/core/intent/diff.go
+++ b/core/intent/diff.go
@@ -6,26 +6,26 @@
 	"slices"
 )
 
-// ChangeKind says what a change does to one entry.
+// ChangeKind says whether an entry was added, removed or changed.
 type ChangeKind string
 
-// The verbs of a Change.
+// Values of Change.Kind.
 const (
 	Added   ChangeKind = "added"
 	Removed ChangeKind = "removed"
 	Changed ChangeKind = "changed"
 )
 
-// Change is one line of a plan.
+// Change is the difference of one entry between two documents.
 type Change struct {
 	Kind ChangeKind `json:"verb" codec:"verb"`
 	// Path names the entry, such as "class.nurse-review".
 	Path string `json:"path" codec:"path"`
-	// Fields lists the fields that differ; it is empty for added and removed.
+	// Fields lists the fields that differ. It is empty for added and removed entries.
 	Fields []FieldChange `json:"fields,omitempty" codec:"fields"`
 }
 
-// FieldChange is one field of a changed entry.
+// FieldChange is the old and the new value of one field.
 type FieldChange struct {
 	Field string `json:"field" codec:"field"`
 	From  any    `json:"from" codec:"from"`
@@ -34,15 +34,15 @@
 
 // Normalize sorts all lists by name.
 func (d *Document) Normalize() {
-	byName(d.Classes, func(v Class) string { return v.Name })
-	byName(d.Organisations, func(v Organisation) string { return v.Name })
-	byName(d.Upstreams, func(v Upstream) string { return v.Name })
-	byName(d.Models, func(v Model) string { return v.Name })
-	byName(d.Services, func(v Service) string { return v.Name })
-	byName(d.Operators, func(v Operator) string { return v.Name })
+	sortByName(d.Classes, func(v Class) string { return v.Name })
+	sortByName(d.Organisations, func(v Organisation) string { return v.Name })
+	sortByName(d.Upstreams, func(v Upstream) string { return v.Name })
+	sortByName(d.Models, func(v Model) string { return v.Name })
+	sortByName(d.Services, func(v Service) string { return v.Name })
+	sortByName(d.Operators, func(v Operator) string { return v.Name })
 }
 
-// Diff returns what changes from one document to the next, in a stable order.
+// Diff returns the changes from one document to another in a stable order.
 func Diff(from, to *Document) []Change {
 	var out []Change
 	out = append(out, diffList("class", from.Classes, to.Classes, func(v Class) string { return v.Name })...)
@@ -57,13 +57,13 @@
 	return out
 }
 
-func byName[T any](list []T, name func(T) string) {
+func sortByName[T any](list []T, name func(T) string) {
 	slices.SortStableFunc(list, func(a, b T) int { return cmp.Compare(name(a), name(b)) })
 }
 
 func diffList[T any](kind string, from, to []T, name func(T) string) []Change {
-	old := index(from, name)
-	next := index(to, name)
+	old := indexByName(from, name)
+	next := indexByName(to, name)
 	var out []Change
 	for _, n := range sortedKeys(old, next) {
 		path := kind + "." + n
@@ -88,7 +88,7 @@
 	var out []FieldChange
 	for i := range a.NumField() {
 		x, y := a.Field(i), b.Field(i)
-		if reflect.DeepEqual(x.Interface(), y.Interface()) || emptySlices(x, y) {
+		if reflect.DeepEqual(x.Interface(), y.Interface()) || bothEmpty(x, y) {
 			continue
 		}
 		out = append(out, FieldChange{Field: a.Type().Field(i).Tag.Get("json"), From: x.Interface(), To: y.Interface()})
@@ -96,12 +96,13 @@
 	return out
 }
 
-// emptySlices makes a nil and an empty list equal: codecs do not keep them apart.
-func emptySlices(x, y reflect.Value) bool {
+// bothEmpty reports whether both values are empty lists. Codecs do not distinguish nil
+// from an empty list.
+func bothEmpty(x, y reflect.Value) bool {
 	return x.Kind() == reflect.Slice && x.Len() == 0 && y.Len() == 0
 }
 
-func index[T any](list []T, name func(T) string) map[string]T {
+func indexByName[T any](list []T, name func(T) string) map[string]T {
 	m := make(map[string]T, len(list))
 	for _, v := range list {
 		m[name(v)] = v
