--- a/core/claim/age.go
+++ b/core/claim/age.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// maxSkew bounds how far ahead a caller's clock may be.
-const maxSkew = 5 * time.Minute
+// maxClockSkew bounds how far ahead a client's clock may be.
+const maxClockSkew = 5 * time.Minute
 
-// outdated refuses a version 7 UUID that could stand for a forgotten claim. Such
-// a claim was made at most skew before the UUID's time and was forgotten two
-// retentions later; from two retentions less the skew on, the UUID is refused. One
-// from further ahead than the skew is refused as well, or it would still look
-// new when its claim is forgotten.
-func outdated(key string, at time.Time, retention time.Duration) bool {
-	made, ok := madeAt(key)
+// uuidOutdated reports whether a version 7 UUID may belong to a claim that was already
+// forgotten. Such a claim was made no earlier than skew before the UUID's time and is
+// forgotten two retentions later, so the UUID is refused from two retentions less skew
+// after its time. A UUID that is further ahead than skew is refused as well, because it
+// would still look new when its claim is forgotten.
+func uuidOutdated(key string, at time.Time, retention time.Duration) bool {
+	made, ok := uuid7Time(key)
 	if !ok {
 		return false
 	}
-	skew := min(maxSkew, retention/2)
+	skew := min(maxClockSkew, retention/2)
 	return made.After(at.Add(skew)) || !at.Before(made.Add(2*retention-skew))
 }
 
-// madeAt returns the time inside a version 7 UUID (RFC 9562, section 5.7).
-func madeAt(key string) (time.Time, bool) {
+// uuid7Time returns the timestamp of a version 7 UUID (RFC 9562, section 5.7).
+func uuid7Time(key string) (time.Time, bool) {
 	const textLen, versionAt = 36, 14
 	if len(key) != textLen || key[versionAt] != '7' || key[8] != '-' || key[13] != '-' {
 		return time.Time{}, false
--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -1,19 +1,19 @@
-// Package claim is the state machine of at-most-once calls. Before a call with
-// an idempotency key leaves, its key is claimed; after the answer, the receipt
-// is recorded. A resend finds one or the other and is never sent again.
+// Package claim is the state machine of at-most-once calls. Before a call with an
+// idempotency key is sent, its key is claimed; after the response, the receipt is
+// recorded. A resend finds the claim or the receipt, and the call is not sent again.
 //
-// The order "commit the identity, make the call, commit the receipt" leaves one
-// gap that no protocol closes: the call may have run though no receipt came. It
-// has a name here, OutcomeUnknown, and never turns into another attempt. The
-// order and the four outcomes follow "The queue did exactly what I asked"; the
-// history test of instance/plain counts the effects.
+// The sequence of committing the key, making the call and committing the receipt leaves
+// one gap that no protocol can close: the call may have run although no receipt was
+// recorded. This outcome is OutcomeUnknown, and it never leads to another attempt. The
+// sequence and the four outcomes follow "The queue did exactly what I asked"; the history
+// test of instance/plain counts the effects.
 //
-// Retention. A claim keeps its receipt for its retention. For as long again
-// it is a tombstone: the key, without the receipt, which still refuses a resend
-// as Expired. After that the key is forgotten. A key that is a version 7 UUID
-// carries its time of creation and is refused for good once it is older than
-// that, so that it never runs twice; for any other key the second edge is the
-// stated limit, because a forgotten key can't be told from a new one.
+// A claim keeps its receipt for its retention. For the same time again it is a tombstone:
+// the key without the receipt, which still refuses a resend as Expired. After that the
+// key is forgotten. A key that is a version 7 UUID contains its creation time and is
+// refused for ever once it is older than that, so its call never runs twice. For any
+// other key the guarantee ends there, because a forgotten key cannot be told from a new
+// one.
 package claim
 
 import (
@@ -22,16 +22,16 @@
 	"time"
 )
 
-// Key names one intended effect.
+// Key identifies one intended effect.
 type Key struct {
 	Organisation string `codec:"o"`
 	Service      string `codec:"s"`
-	// Idempotency is the caller's Idempotency-Key.
+	// Idempotency is the client's Idempotency-Key.
 	Idempotency string `codec:"k"`
 }
 
-// Digest returns the SHA-256 of a call's content, in 32 bytes. It is compared
-// when a key comes again; a weaker hash could be made to collide by a caller.
+// Digest returns the SHA-256 of a call's content, in 32 bytes. It is compared when a key
+// is used again; a client could produce collisions of a weaker hash.
 func Digest(method, path string, body []byte) []byte {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(method), []byte(path), body} {
@@ -43,21 +43,21 @@
 	return h.Sum(nil)
 }
 
-// Outcome is what is known about a claimed call.
+// Outcome is what is known about the result of a claimed call.
 type Outcome string
 
-// The outcomes. A call that is proved not to have run has no claim.
+// Values of Outcome. A call that provably has not run has no claim.
 const (
-	// Pending means that no observation was recorded yet.
+	// Pending means that no result was recorded yet.
 	Pending Outcome = "pending"
-	// Done means that the service answered with success.
+	// Done means that the service reported success.
 	Done Outcome = "done"
-	// Rejected means that the service answered that it refuses the call.
+	// Rejected means that the service refused the call.
 	Rejected Outcome = "rejected"
 	// Unknown means that the call may or may not have run.
 	Unknown Outcome = "unknown"
-	// NotRun is for OpResolve alone: the operator has proof that the call did
-	// not run and, its claimer being gone, never will.
+	// NotRun is used by OpResolve only: the operator has proof that the call did not run
+	// and, since its claimer is gone, never will.
 	NotRun Outcome = "not_run"
 )
 
@@ -67,66 +67,68 @@
 	Value string `codec:"v"`
 }
 
-// Receipt is the service's answer as far as it is kept.
+// Receipt is the stored part of the service's response.
 type Receipt struct {
 	Status  int     `codec:"s"`
 	Headers []Field `codec:"h"`
 	Body    []byte  `codec:"b"`
-	// Truncated says that headers and body were too large to be kept.
+	// Truncated says that headers and body were too large to store.
 	Truncated bool `codec:"t"`
 }
 
-// View is what a result tells about a claim.
+// View is the state of a claim as returned in a Result.
 type View struct {
 	Outcome  Outcome `codec:"o"`
 	Instance string  `codec:"i"`
 	Attempt  string  `codec:"a"`
-	// Request is the ID under which the service knows the call.
+	// Request is the ID of the call at the service.
 	Request  string `codec:"r"`
 	Upstream string `codec:"u"`
 	// At is when the claim was made; Until is when its call ends at the latest.
 	At    Instant `codec:"at"`
 	Until Instant `codec:"un"`
-	// Receipt is the kept answer, or nil.
+	// Receipt is the stored response, or nil.
 	Receipt *Receipt `codec:"rc"`
-	// ResolvedBy names who settled an unknown outcome; empty for the call itself.
+	// ResolvedBy names who resolved an unknown outcome; it is empty if the call itself
+	// did.
 	ResolvedBy string `codec:"by"`
 }
 
 // Op is the kind of a Command.
 type Op string
 
-// The commands.
+// Values of Op.
 const (
 	// OpClaim claims a key for an attempt.
 	OpClaim Op = "claim"
-	// OpReceipt records the answer of an attempt.
+	// OpReceipt records the response to an attempt.
 	OpReceipt Op = "receipt"
-	// OpRelease gives a claim back: the attempt is proved not to have run.
+	// OpRelease removes the claim of an attempt that provably did not run.
 	OpRelease Op = "release"
-	// OpUnknown records that an attempt ended without an answer.
+	// OpUnknown records that an attempt ended without a response.
 	OpUnknown Op = "unknown"
-	// OpResolve settles an unknown outcome, by a query or an operator.
+	// OpResolve resolves an unknown outcome after a query or by an operator.
 	OpResolve Op = "resolve"
-	// OpRead reads a claim at this place of the log.
+	// OpRead reads a claim at this position of the log.
 	OpRead Op = "look"
 )
 
-// Command is one entry of the log.
+// Command is one log entry.
 type Command struct {
 	Op      Op     `codec:"op"`
 	Key     Key    `codec:"k"`
 	Attempt string `codec:"a"`
-	// For OpClaim: the content's Digest, who claims, and for how long.
+	// The fields from Digest to Retention are for OpClaim: the Digest of the content, the
+	// claimer, and the times.
 	Digest   []byte `codec:"d"`
 	Instance string `codec:"i"`
 	Request  string `codec:"r"`
 	Upstream string `codec:"u"`
-	// Timeout bounds the call. After it, and a margin, a claim without a
-	// receipt is an unknown outcome: its claimer died or is cut off.
+	// Timeout limits the call. After it and a margin, a claim without a receipt has an
+	// unknown outcome: its claimer has failed or is cut off.
 	Timeout   time.Duration `codec:"to"`
 	Retention time.Duration `codec:"re"`
-	// For OpReceipt and OpResolve.
+	// Outcome, Receipt and By are for OpReceipt and OpResolve.
 	Outcome Outcome  `codec:"oc"`
 	Receipt *Receipt `codec:"rc"`
 	By      string   `codec:"by"`
@@ -135,29 +137,29 @@
 // Verdict is the kind of a Result.
 type Verdict string
 
-// The verdicts.
+// Values of Verdict.
 const (
 	// Granted means that the attempt may be sent, once.
 	Granted Verdict = "granted"
 	// InProgress means that another attempt holds the claim and may be running.
 	InProgress Verdict = "in_progress"
-	// Settled means that the outcome is known; View says which.
+	// Settled means that the outcome is known; View contains it.
 	Settled Verdict = "settled"
 	// OutcomeUnknown means that an attempt may have run; it is not repeated.
 	OutcomeUnknown Verdict = "outcome_unknown"
-	// KeyReused means that the key was claimed with other content.
+	// KeyReused means that the key was claimed with different content.
 	KeyReused Verdict = "key_reused"
-	// Expired means that the key was used, or is too old to tell.
+	// Expired means that the key was used before, or is too old to tell.
 	Expired Verdict = "expired"
 	// Full means that there is no room for another claim; nothing was run.
 	Full Verdict = "full"
 	// Recorded means that a command other than OpClaim took effect.
 	Recorded Verdict = "recorded"
-	// Stale means that the claim belongs to another attempt or is settled.
+	// Stale means that the claim belongs to another attempt or already has an outcome.
 	Stale Verdict = "stale"
 	// Absent means that there is no such claim.
 	Absent Verdict = "absent"
-	// Malformed means that the command is not valid.
+	// Malformed means that the command is invalid.
 	Malformed Verdict = "malformed"
 )
 
--- a/core/claim/claim_test.go
+++ b/core/claim/claim_test.go
@@ -20,7 +20,7 @@
 
 var start = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-var roomy = claim.Limits{Bytes: 1 << 20, OrganisationBytes: 1 << 19, ReceiptBytes: 1000}
+var testLimits = claim.Limits{Bytes: 1 << 20, OrganisationBytes: 1 << 19, ReceiptBytes: 1000}
 
 func key(k string) claim.Key {
 	return claim.Key{Organisation: "neihu-dishes", Service: "booking", Idempotency: k}
@@ -50,7 +50,7 @@
 }
 
 func TestResendGetsTheReceipt(t *testing.T) {
-	g, m := NewWithT(t), claim.New(roomy)
+	g, m := NewWithT(t), claim.New(testLimits)
 	g.Expect(apply(t, m, start, claimOf("k", "a", "x")).Verdict).To(Equal(claim.Granted))
 	g.Expect(apply(t, m, start, claimOf("k", "a", "x")).Verdict).To(Equal(claim.Granted))
 	g.Expect(apply(t, m, start, claimOf("k", "b", "x")).Verdict).To(Equal(claim.InProgress))
@@ -63,11 +63,11 @@
 	g.Expect(apply(t, m, start, claimOf("k", "c", "other")).Verdict).To(Equal(claim.KeyReused))
 }
 
-// A caller books; the instance is killed after the claim and before the receipt.
-// The caller resends at another instance, an hour of retries long. Whether the
-// booking ran can't be known, so it is told just that and nothing is sent again.
+// An instance fails after the claim and before the receipt, and the client resends at
+// another instance. Whether the call ran cannot be known, so the client is told that, and
+// nothing is sent again.
 func TestClaimOfADeadInstanceIsUnknown(t *testing.T) {
-	g, m := NewWithT(t), claim.New(roomy)
+	g, m := NewWithT(t), claim.New(testLimits)
 	apply(t, m, start, claimOf("k", "a", "x"))
 	for _, after := range []time.Duration{timeout + 2*time.Second, time.Minute, retention - 1} {
 		r := apply(t, m, start.Add(after), claimOf("k", "b", "x"))
@@ -80,7 +80,7 @@
 }
 
 func TestReleaseAndResolve(t *testing.T) {
-	g, m := NewWithT(t), claim.New(roomy)
+	g, m := NewWithT(t), claim.New(testLimits)
 	apply(t, m, start, claimOf("k", "a", "x"))
 	g.Expect(apply(t, m, start, op(claim.OpRelease, "k", "b")).Verdict).To(Equal(claim.Stale))
 	g.Expect(apply(t, m, start, op(claim.OpRelease, "k", "a")).Verdict).To(Equal(claim.Recorded))
@@ -97,10 +97,10 @@
 	g.Expect(apply(t, m, start, done).Verdict).To(Equal(claim.Stale))
 }
 
-// A caller's retry loop resends just after the retention. The receipt is gone by
-// then; if the key were gone as well, the parts would be ordered twice.
+// A client resends just after the retention, when the receipt is gone. If the key were
+// gone too, the call would run twice.
 func TestResendAtTheEdgeOfRetentionIsRefused(t *testing.T) {
-	g, m := NewWithT(t), claim.New(roomy)
+	g, m := NewWithT(t), claim.New(testLimits)
 	apply(t, m, start, claimOf("k", "a", "x"))
 	apply(t, m, start, receiptOf("k", "a", "ok"))
 	g.Expect(apply(t, m, start.Add(retention-1), claimOf("k", "b", "x")).Verdict).To(Equal(claim.Settled))
@@ -115,12 +115,11 @@
 	return h[:8] + "-" + h[8:] + "-7abc-8def-0123456789ab"
 }
 
-// With a key that tells its age, a resend never runs again, however late: also
-// when the service's retention was raised or lowered in the meantime, and when
-// the caller's clock is off.
+// A key with a timestamp is never granted twice, however late the resend, even if the
+// service's retention was raised or lowered in between or the client's clock is wrong.
 func TestKeyThatTellsItsAgeNeverRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := claim.New(roomy)
+		m := claim.New(testLimits)
 		draw := func(name string, of ...time.Duration) time.Duration { return rapid.SampledFrom(of).Draw(t, name) }
 		k := uuid7(start.Add(draw("skew", -time.Hour, -time.Minute, 0, 9*time.Second, 4*time.Minute, 6*time.Minute, time.Hour)))
 		granted, at := 0, start
@@ -157,7 +156,7 @@
 }
 
 func TestMalformedCommandsChangeNothing(t *testing.T) {
-	g, m := NewWithT(t), claim.New(roomy)
+	g, m := NewWithT(t), claim.New(testLimits)
 	var r claim.Result
 	g.Expect(claim.Decode(m.Apply(0, start, []byte("junk")), &r)).To(Succeed())
 	g.Expect(r.Verdict).To(Equal(claim.Malformed))
@@ -183,12 +182,12 @@
 	return op(claim.OpUnknown, k, attempt)
 }
 
-// Two members apply the same log; one is restored from a snapshot between any
-// two commands. They answer alike byte for byte, and no key is granted while an
-// attempt that wasn't released may have run.
+// Two members apply the same log, and one may be restored from a snapshot after any
+// command. Their results must be byte-identical, and no key may be granted while an
+// attempt that was not released may have run.
 func TestMembersAgreeAcrossSnapshots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := claim.New(roomy), claim.New(roomy)
+		a, b := claim.New(testLimits), claim.New(testLimits)
 		at := start
 		holder := map[claim.Key]time.Time{}
 		for i := range rapid.IntRange(1, 40).Draw(t, "n") {
@@ -212,7 +211,7 @@
 				delete(holder, c.Key)
 			}
 			sa, _ := a.Snapshot()
-			fresh := claim.New(roomy)
+			fresh := claim.New(testLimits)
 			if err := fresh.Restore(sa); err != nil {
 				t.Fatal(err)
 			}
@@ -227,8 +226,8 @@
 	})
 }
 
-// The account must not be below what a claim takes on the heap, or the bound in
-// bytes would not bound the memory.
+// The accounted size must not be below the heap that a claim takes, or the limit in bytes
+// would not limit the memory.
 func TestBytesPerClaim(t *testing.T) {
 	const n = 20_000
 	m := claim.New(claim.Limits{Bytes: 1 << 30, OrganisationBytes: 1 << 30, ReceiptBytes: 1000})
@@ -254,8 +253,8 @@
 	return s.HeapAlloc
 }
 
-// BenchmarkClaimAndReceipt gives the cost of one call to each voter: two log
-// entries applied, their bytes and the bytes of a snapshot.
+// BenchmarkClaimAndReceipt measures the cost of one call on each voter: applying two log
+// entries, their size, and the size of a snapshot.
 func BenchmarkClaimAndReceipt(b *testing.B) {
 	m := claim.New(claim.Limits{Bytes: 1 << 40, OrganisationBytes: 1 << 40, ReceiptBytes: 1000})
 	logged := 0
--- a/core/claim/machine.go
+++ b/core/claim/machine.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// Limits bound the state. They must be equal on every member: a claim that one
-// member grants and another refuses would split the group's states.
+// Limits bound the state. They must be equal on every member: if one member granted a
+// claim that another refused, their states would diverge.
 type Limits struct {
-	// Bytes bounds the accounted size of all claims.
+	// Bytes limits the accounted size of all claims.
 	Bytes int64
-	// OrganisationBytes bounds those of one organisation, so that one that
-	// floods the ledger leaves room for the others.
+	// OrganisationBytes limits the claims of one organisation, so that an organisation
+	// with very many claims leaves room for the others.
 	OrganisationBytes int64
-	// ReceiptBytes bounds the headers and body of one receipt.
+	// ReceiptBytes limits the headers and body of one receipt.
 	ReceiptBytes int
 }
 
-// DefaultLimits leave half of a voter's 64 MB to the rest of the control state.
+// DefaultLimits leaves half of a voter's 64 MB to the rest of the control state.
 var DefaultLimits = Limits{Bytes: 32 << 20, OrganisationBytes: 8 << 20, ReceiptBytes: 16 << 10}
 
 const (
-	// entryOverhead is the accounted size of a claim beside its strings and its
-	// receipt, in bytes; TestBytesPerClaim compares it with the heap.
+	// entryOverhead is the accounted size, in bytes, of a claim without its strings and
+	// its receipt; TestBytesPerClaim compares it with the heap.
 	entryOverhead = 640
-	// lateMargin is added to a call's timeout before its claim counts as left
-	// by a dead claimer. It covers clocks that differ and a receipt on its way.
-	lateMargin = 2 * time.Second
-	// maxTextLen bounds each of a command's strings.
+	// receiptMargin is added to a call's timeout before the claim counts as abandoned. It
+	// covers clock differences and a receipt in transit.
+	receiptMargin = 2 * time.Second
+	// maxTextLen limits each string of a command.
 	maxTextLen = 256
 	digestLen  = 32
 )
@@ -37,27 +37,28 @@
 	Key    Key    `codec:"k"`
 	Digest []byte `codec:"d"`
 	View   View   `codec:"v"`
-	// Due is when the entry becomes a tombstone, and then when it is forgotten.
-	Due       Instant       `codec:"du"`
+	// ExpiresAt is when the entry becomes a tombstone, and after that when the tombstone
+	// is removed.
+	ExpiresAt Instant       `codec:"du"`
 	Retention time.Duration `codec:"re"`
 	Tombstone bool          `codec:"to"`
 
-	place int // in the queue of due entries
+	heapIndex int // in Machine.expiryQueue
 }
 
-// Machine is the ledger of claims. It is deterministic: time comes with each
-// command, never from a clock. It is not safe for concurrent use.
+// Machine is the state machine of all claims. It is deterministic: the time is part of
+// each command and never read from a clock. It is not safe for concurrent use.
 type Machine struct {
-	limits  Limits
-	entries map[Key]*entry
-	due     dueQueue
-	bytes   int64
-	byOrg   map[string]int64
-	// shortest is the shortest retention that each service ever had.
-	shortest map[string]time.Duration
+	limits      Limits
+	entries     map[Key]*entry
+	expiryQueue expiryHeap
+	bytes       int64
+	byOrg       map[string]int64
+	// minRetentions is the shortest retention that each service has ever had.
+	minRetentions map[string]time.Duration
 }
 
-// New returns an empty ledger.
+// New returns a Machine without claims.
 func New(limits Limits) *Machine {
 	m := &Machine{limits: limits}
 	m.reset()
@@ -66,18 +67,18 @@
 
 func (m *Machine) reset() {
 	m.entries = map[Key]*entry{}
-	m.due = nil
+	m.expiryQueue = nil
 	m.bytes = 0
 	m.byOrg = map[string]int64{}
-	m.shortest = map[string]time.Duration{}
+	m.minRetentions = map[string]time.Duration{}
 }
 
-// Apply carries out one command at the given time of the log and returns the
-// encoded Result. The index is not used.
+// Apply executes one command at the given time of the log and returns the encoded Result.
+// The index is not used.
 func (m *Machine) Apply(_ uint64, at time.Time, data []byte) []byte {
 	var c Command
 	r := Result{Verdict: Malformed}
-	if err := Decode(data, &c); err == nil && valid(&c) {
+	if err := Decode(data, &c); err == nil && validCommand(&c) {
 		r = m.Step(at, &c)
 	}
 	// A Result has only fields that the codec can write.
@@ -85,7 +86,7 @@
 	return out
 }
 
-// Step is Apply on a decoded, valid command.
+// Step is Apply for a command that is already decoded and valid.
 func (m *Machine) Step(now time.Time, c *Command) Result {
 	at := InstantOf(now)
 	m.expire(at)
@@ -98,7 +99,7 @@
 	}
 	switch c.Op {
 	case OpRead:
-		return e.tell(at)
+		return e.lookup(at)
 	case OpReceipt:
 		return m.receipt(c, e)
 	case OpRelease:
@@ -111,8 +112,8 @@
 	return Result{Verdict: Malformed}
 }
 
-func valid(c *Command) bool {
-	return validTexts(c) && validFor(c)
+func validCommand(c *Command) bool {
+	return validTexts(c) && validFields(c)
 }
 
 func validTexts(c *Command) bool {
@@ -124,7 +125,7 @@
 	return c.Key.Organisation != "" && c.Key.Service != "" && c.Key.Idempotency != ""
 }
 
-func validFor(c *Command) bool {
+func validFields(c *Command) bool {
 	settled := c.Outcome == Done || c.Outcome == Rejected
 	switch c.Op {
 	case OpClaim:
@@ -137,8 +138,8 @@
 	return true
 }
 
-// claim grants a key to one attempt. The same attempt is granted again, for a
-// proposal whose answer was lost; any other attempt never is.
+// claim grants a key to one attempt. The same attempt is granted again, as the response
+// to its proposal may have been lost; any other attempt is not.
 func (m *Machine) claim(at Instant, c *Command, e *entry) Result {
 	switch {
 	case e == nil:
@@ -146,67 +147,67 @@
 	case !bytes.Equal(e.Digest, c.Digest):
 		return Result{Verdict: KeyReused}
 	case e.View.Attempt == c.Attempt && e.View.Outcome == Pending && !e.Tombstone:
-		return Result{Verdict: Granted, View: e.view()}
+		return Result{Verdict: Granted, View: e.copyView()}
 	}
-	return e.tell(at)
+	return e.lookup(at)
 }
 
 func (m *Machine) grant(at Instant, c *Command) Result {
-	shortest := m.shorten(c.Key.Service, c.Retention)
-	if outdated(c.Key.Idempotency, at.Time(), shortest) {
+	shortest := m.minRetention(c.Key.Service, c.Retention)
+	if uuidOutdated(c.Key.Idempotency, at.Time(), shortest) {
 		return Result{Verdict: Expired}
 	}
 	e := &entry{
-		Key: c.Key, Digest: c.Digest, Due: at.Add(c.Retention), Retention: c.Retention,
+		Key: c.Key, Digest: c.Digest, ExpiresAt: at.Add(c.Retention), Retention: c.Retention,
 		View: View{Outcome: Pending, Instance: c.Instance, Attempt: c.Attempt, Request: c.Request,
-			Upstream: c.Upstream, At: at, Until: at.Add(c.Timeout + lateMargin)},
+			Upstream: c.Upstream, At: at, Until: at.Add(c.Timeout + receiptMargin)},
 	}
-	// Full refuses the newcomer: forgetting an older claim early to make room
-	// would let its resend run again.
-	if cost := e.cost(); !m.fits(e.Key.Organisation, cost) {
+	// A full state refuses the new claim: removing an older claim early to make room
+	// would let the call of its resend run again.
+	if cost := e.cost(); !m.hasRoom(e.Key.Organisation, cost) {
 		return Result{Verdict: Full}
 	}
 	m.insert(e)
-	return Result{Verdict: Granted, View: e.view()}
+	return Result{Verdict: Granted, View: e.copyView()}
 }
 
-// tell says what a claim means for anybody but its own attempt.
-func (e *entry) tell(at Instant) Result {
+// lookup returns the result for anyone other than the claim's own attempt.
+func (e *entry) lookup(at Instant) Result {
 	switch {
 	case e.Tombstone:
-		return Result{Verdict: Expired, View: e.view()}
+		return Result{Verdict: Expired, View: e.copyView()}
 	case e.View.Outcome == Pending && at < e.View.Until:
-		return Result{Verdict: InProgress, View: e.view()}
+		return Result{Verdict: InProgress, View: e.copyView()}
 	case e.View.Outcome == Pending, e.View.Outcome == Unknown:
-		// Pending after its time: the claimer died between claim and receipt.
-		// Whether the call ran can't be known from here, so it is never sent
-		// again; a receipt that still comes is taken.
-		v := e.view()
+		// Pending after its end time: the claimer failed between claim and receipt.
+		// Whether the call ran cannot be known here, so it is never sent again; a late
+		// receipt is still recorded.
+		v := e.copyView()
 		v.Outcome = Unknown
 		return Result{Verdict: OutcomeUnknown, View: v}
 	}
-	return Result{Verdict: Settled, View: e.view()}
+	return Result{Verdict: Settled, View: e.copyView()}
 }
 
-func (e *entry) view() *View {
+func (e *entry) copyView() *View {
 	v := e.View
 	return &v
 }
 
-// receipt records an answer. One that comes after the outcome was marked unknown
-// settles it, if the call's own attempt brings it.
+// receipt records a response. One that arrives after the outcome was marked unknown still
+// counts if it comes from the claim's own attempt.
 func (m *Machine) receipt(c *Command, e *entry) Result {
 	open := e.View.Outcome == Pending || e.View.Outcome == Unknown && e.View.Receipt == nil
 	if e.View.Attempt != c.Attempt || !open {
-		return Result{Verdict: Stale, View: e.view()}
+		return Result{Verdict: Stale, View: e.copyView()}
 	}
-	m.settle(e, c.Outcome, c.Receipt)
-	return Result{Verdict: Recorded, View: e.view()}
+	m.recordOutcome(e, c.Outcome, c.Receipt)
+	return Result{Verdict: Recorded, View: e.copyView()}
 }
 
 func (m *Machine) release(c *Command, e *entry) Result {
 	if e.View.Attempt != c.Attempt || e.View.Outcome != Pending || e.Tombstone {
-		return Result{Verdict: Stale, View: e.view()}
+		return Result{Verdict: Stale, View: e.copyView()}
 	}
 	m.remove(e)
 	return Result{Verdict: Recorded}
@@ -214,33 +215,33 @@
 
 func (m *Machine) unknown(c *Command, e *entry) Result {
 	if e.View.Attempt != c.Attempt || e.View.Outcome != Pending {
-		return Result{Verdict: Stale, View: e.view()}
+		return Result{Verdict: Stale, View: e.copyView()}
 	}
 	e.View.Outcome = Unknown
-	return Result{Verdict: Recorded, View: e.view()}
+	return Result{Verdict: Recorded, View: e.copyView()}
 }
 
 func (m *Machine) resolve(at Instant, c *Command, e *entry) Result {
-	if e.tell(at).Verdict != OutcomeUnknown || e.View.Attempt != c.Attempt {
-		return Result{Verdict: Stale, View: e.view()}
+	if e.lookup(at).Verdict != OutcomeUnknown || e.View.Attempt != c.Attempt {
+		return Result{Verdict: Stale, View: e.copyView()}
 	}
 	if c.Outcome == NotRun {
 		m.remove(e)
 		return Result{Verdict: Recorded}
 	}
 	e.View.ResolvedBy = c.By
-	m.settle(e, c.Outcome, c.Receipt)
-	return Result{Verdict: Recorded, View: e.view()}
+	m.recordOutcome(e, c.Outcome, c.Receipt)
+	return Result{Verdict: Recorded, View: e.copyView()}
 }
 
-// settle keeps the answer if there is room; else its status alone, because the
-// outcome must be recorded in any case.
-func (m *Machine) settle(e *entry, o Outcome, r *Receipt) {
+// recordOutcome stores the response if there is room, otherwise its status alone, because
+// the outcome must be recorded in any case.
+func (m *Machine) recordOutcome(e *entry, o Outcome, r *Receipt) {
 	m.account(e, -1)
 	e.View.Outcome = o
 	e.View.Receipt = r
 	size := r.size()
-	if e.Tombstone || size > int64(m.limits.ReceiptBytes) || !m.fits(e.Key.Organisation, e.cost()) {
+	if e.Tombstone || size > int64(m.limits.ReceiptBytes) || !m.hasRoom(e.Key.Organisation, e.cost()) {
 		e.View.Receipt = &Receipt{Status: r.Status, Truncated: true}
 	}
 	m.account(e, 1)
--- a/core/claim/store.go
+++ b/core/claim/store.go
@@ -10,7 +10,7 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// size returns the bytes of headers and body.
+// size returns the size of headers and body in bytes.
 func (r *Receipt) size() int64 {
 	if r == nil {
 		return 0
@@ -22,18 +22,18 @@
 	return int64(n)
 }
 
-// cost is the accounted size of an entry, in bytes.
+// cost returns the accounted size of an entry in bytes.
 func (e *entry) cost() int64 {
 	k, v := &e.Key, &e.View
 	text := len(k.Organisation) + len(k.Service) + len(k.Idempotency) + len(v.Instance) + len(v.Attempt) + len(v.Request) + len(v.Upstream)
 	return entryOverhead + int64(text) + v.Receipt.size()
 }
 
-func (m *Machine) fits(organisation string, cost int64) bool {
+func (m *Machine) hasRoom(organisation string, cost int64) bool {
 	return m.bytes+cost <= m.limits.Bytes && m.byOrg[organisation]+cost <= m.limits.OrganisationBytes
 }
 
-// account adds the entry's cost, or takes it off with sign -1.
+// account adds the cost of the entry to the totals, or subtracts it if sign is -1.
 func (m *Machine) account(e *entry, sign int64) {
 	cost := sign * e.cost()
 	m.bytes += cost
@@ -47,21 +47,21 @@
 func (m *Machine) insert(e *entry) {
 	m.entries[e.Key] = e
 	m.account(e, 1)
-	heap.Push(&m.due, e)
+	heap.Push(&m.expiryQueue, e)
 }
 
 func (m *Machine) remove(e *entry) {
 	delete(m.entries, e.Key)
-	heap.Remove(&m.due, e.place)
+	heap.Remove(&m.expiryQueue, e.heapIndex)
 	m.account(e, -1)
 }
 
-// expire ends what is due at the given time of the log. All members see the
-// same times, so they forget the same keys between the same commands; a local
-// clock would let one member grant what another still refuses.
+// expire processes all entries that expire at or before the given time of the log. All
+// members see the same times, so they remove the same keys between the same commands;
+// with a local clock one member could grant a key that another still refuses.
 func (m *Machine) expire(at Instant) {
-	for len(m.due) > 0 && m.due[0].Due <= at {
-		e := m.due[0]
+	for len(m.expiryQueue) > 0 && m.expiryQueue[0].ExpiresAt <= at {
+		e := m.expiryQueue[0]
 		if e.Tombstone {
 			m.remove(e)
 			continue
@@ -69,29 +69,29 @@
 		m.account(e, -1)
 		e.Tombstone = true
 		e.View.Receipt = nil
-		e.Due = e.Due.Add(e.Retention)
+		e.ExpiresAt = e.ExpiresAt.Add(e.Retention)
 		m.account(e, 1)
-		heap.Fix(&m.due, 0)
+		heap.Fix(&m.expiryQueue, 0)
 	}
 }
 
-// shorten returns the shortest retention that the service ever had. Outdated
-// keys are judged by it, because a claim made under a shorter retention was
-// forgotten sooner than the present one says.
-func (m *Machine) shorten(service string, retention time.Duration) time.Duration {
-	s, ok := m.shortest[service]
+// minRetention updates and returns the shortest retention that the service has ever had.
+// It decides which keys are outdated, because a claim made under a shorter retention was
+// removed earlier than the current retention suggests.
+func (m *Machine) minRetention(service string, retention time.Duration) time.Duration {
+	s, ok := m.minRetentions[service]
 	if !ok || retention < s {
-		m.shortest[service] = retention
+		m.minRetentions[service] = retention
 		return retention
 	}
 	return s
 }
 
-// Stats describes the ledger's use for metrics and the capacity page.
+// Stats describes the use of the state, for metrics and the capacity page.
 type Stats struct {
 	Claims     int
 	Tombstones int
-	// Unknown counts outcomes that wait for a query or an operator.
+	// Unknown counts the outcomes that wait for a query or an operator.
 	Unknown int
 	// Bytes is the accounted size.
 	Bytes int64
@@ -103,24 +103,24 @@
 	for _, e := range m.entries {
 		if e.Tombstone {
 			s.Tombstones++
-		} else if e.tell(InstantOf(at)).Verdict == OutcomeUnknown {
+		} else if e.lookup(InstantOf(at)).Verdict == OutcomeUnknown {
 			s.Unknown++
 		}
 	}
 	return s
 }
 
-// KeyedClaim is one claim with its key.
+// KeyedClaim is a claim with its key.
 type KeyedClaim struct {
 	Key  Key
 	View View
 }
 
-// Unknowns lists at most limit claims with an unknown outcome, in order of time.
+// Unknowns lists at most limit claims with an unknown outcome, oldest first.
 func (m *Machine) Unknowns(at time.Time, limit int) []KeyedClaim {
 	var out []KeyedClaim
 	for _, e := range m.entries {
-		if r := e.tell(InstantOf(at)); r.Verdict == OutcomeUnknown {
+		if r := e.lookup(InstantOf(at)); r.Verdict == OutcomeUnknown {
 			out = append(out, KeyedClaim{Key: e.Key, View: *r.View})
 		}
 	}
@@ -144,13 +144,13 @@
 }
 
 type snapshot struct {
-	Entries  []*entry                 `codec:"e"`
-	Shortest map[string]time.Duration `codec:"s"`
+	Entries       []*entry                 `codec:"e"`
+	MinRetentions map[string]time.Duration `codec:"s"`
 }
 
-// Snapshot returns the whole state; equal states give equal bytes.
+// Snapshot encodes the whole state; equal states have equal encodings.
 func (m *Machine) Snapshot() ([]byte, error) {
-	s := snapshot{Shortest: m.shortest, Entries: make([]*entry, 0, len(m.entries))}
+	s := snapshot{MinRetentions: m.minRetentions, Entries: make([]*entry, 0, len(m.entries))}
 	for _, e := range m.entries {
 		s.Entries = append(s.Entries, e)
 	}
@@ -158,8 +158,8 @@
 	return Encode(&s)
 }
 
-// Restore replaces the state by a snapshot. It fails with fault.Corrupt and then
-// leaves the state as it was.
+// Restore replaces the state with a snapshot. If it fails, with fault.Corrupt, the state
+// is unchanged.
 func (m *Machine) Restore(b []byte) error {
 	var s snapshot
 	if err := Decode(b, &s); err != nil {
@@ -167,40 +167,40 @@
 	}
 	for _, e := range s.Entries {
 		if e == nil || len(e.Digest) != digestLen || e.Retention <= 0 {
-			return fault.New(fault.Corrupt, "the snapshot of claims holds a damaged entry")
+			return fault.New(fault.Corrupt, "the snapshot of claims contains an invalid entry")
 		}
 	}
 	m.reset()
 	for _, e := range s.Entries {
 		m.insert(e)
 	}
-	for service, r := range s.Shortest {
-		m.shortest[service] = r
+	for service, r := range s.MinRetentions {
+		m.minRetentions[service] = r
 	}
 	return nil
 }
 
-// dueQueue orders entries by the time at which they are due.
-type dueQueue []*entry
+// expiryHeap is a heap of entries ordered by expiry time.
+type expiryHeap []*entry
 
-func (q dueQueue) Len() int           { return len(q) }
-func (q dueQueue) Less(i, j int) bool { return q[i].Due < q[j].Due }
+func (q expiryHeap) Len() int           { return len(q) }
+func (q expiryHeap) Less(i, j int) bool { return q[i].ExpiresAt < q[j].ExpiresAt }
 
 // Swap implements heap.Interface.
-func (q dueQueue) Swap(i, j int) {
+func (q expiryHeap) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
-	q[i].place, q[j].place = i, j
+	q[i].heapIndex, q[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
-func (q *dueQueue) Push(x any) {
+func (q *expiryHeap) Push(x any) {
 	e := x.(*entry)
-	e.place = len(*q)
+	e.heapIndex = len(*q)
 	*q = append(*q, e)
 }
 
 // Pop implements heap.Interface.
-func (q *dueQueue) Pop() any {
+func (q *expiryHeap) Pop() any {
 	last := len(*q) - 1
 	e := (*q)[last]
 	(*q)[last] = nil
