--- a/core/drain/conn.go
+++ b/core/drain/conn.go
@@ -2,82 +2,86 @@
 
 import "time"
 
-// Conn is the life of one caller's connection. Its reader tells what comes, its
-// answerer what went out; requests may be read while earlier ones are answered.
+// Conn tracks the state of one client connection. Its reader reports requests, its writer
+// reports responses; requests may be read while earlier ones are answered.
 type Conn struct {
 	pending int
-	// used says that a request has come on it.
-	used bool
-	// reading says that a request has begun and is not whole yet, finished that the
-	// last answer is out, and gone that the caller has hung up.
+	// hasRequest says that at least one request has begun on the connection.
+	hasRequest bool
+	// reading says that a request has begun and is not complete, finished that the last
+	// response was sent, and gone that HangUp was called.
 	reading, finished, gone bool
-	// swept says that the end of a drain found it unused, at sweptAt of the run time.
-	swept   bool
-	sweptAt time.Duration
+	// sweepStarted says that a sweep has found the connection unused; sweepStartedAt is
+	// the run time of the first such sweep.
+	sweepStarted   bool
+	sweepStartedAt time.Duration
 }
 
-// Pending counts the requests that were read and are not answered yet.
+// Pending returns the number of requests that were read and not answered yet.
 func (c *Conn) Pending() int { return c.pending }
 
-// Open reports whether an answer may still go out.
+// Open reports whether a response may still be sent.
 func (c *Conn) Open() bool { return !c.finished && !c.gone }
 
-// Reading reports whether a request has begun and is not whole yet.
+// Reading reports whether a request has begun and is not complete.
 func (c *Conn) Reading() bool { return c.reading }
 
-// State returns what the connection does, for logs.
+// State returns a short description of the connection's state for logs.
 func (c *Conn) State() string {
 	switch {
 	case c.reading:
 		return "reading"
 	case c.pending > 0:
 		return "answering"
-	case !c.used:
+	case !c.hasRequest:
 		return "silent"
 	}
 	return "idle"
 }
 
-// idle reports whether nothing is under way: only then may a deadline be set that ends
-// the connection, or a drain close it; else it would cut off a request.
+// idle reports whether no request is being read or answered. Only then may a read
+// deadline be set that ends the connection, or a drain close it; otherwise a request
+// would be cut off.
 func (c *Conn) idle() bool { return c.pending == 0 && !c.reading }
 
-// BeginRequest notes the first byte of a request.
-func (c *Conn) BeginRequest() { c.reading, c.used = true, true }
+// BeginRequest records the first byte of a request.
+func (c *Conn) BeginRequest() { c.reading, c.hasRequest = true, true }
 
-// RequestRead notes that a request was read, or failed to be; both are answered.
+// RequestRead records that reading a request has ended, with success or not. Both are
+// answered.
 func (c *Conn) RequestRead() {
 	c.reading = false
 	c.pending++
 }
 
-// DropRequest notes that a request which was read after the last answer stays unanswered. It
-// crossed the end of the connection and has not run.
+// DropRequest records that a request that was read after the last response is not
+// answered. It arrived while the connection was being closed and has not run.
 func (c *Conn) DropRequest() { c.pending-- }
 
-// HangUp notes that nothing more will come: the caller has closed the connection, or
-// the deadline of an idle connection has passed. What is pending has nobody who waits.
+// HangUp records that no further request can come: the client has closed the connection,
+// or its idle timeout has passed. No client waits for the pending requests any more.
 func (c *Conn) HangUp() { c.gone = true }
 
-// Gone reports whether the caller is gone.
+// Gone reports whether HangUp was called.
 func (c *Conn) Gone() bool { return c.gone }
 
-// Next is what follows an answer.
+// Next says how a connection goes on after a response.
 type Next int
 
-// What may follow.
+// Values of Next.
 const (
-	// Finish ends the connection: nothing more is answered.
+	// Finish ends the connection: no further request is answered.
 	Finish Next = iota
-	// Await gives the caller the time of an idle connection for the next request.
+	// Await starts the idle timeout for the next request.
 	Await
-	// GoOn leaves the connection as it is: another request is there already.
+	// GoOn leaves the connection as it is: another request is already being read or
+	// answered.
 	GoOn
 )
 
-// Answered notes that an answer is out; keep says that it has not ended the connection.
-// At the end of a drain any answer does: its head may have gone out before the drain
-// began, without saying so.
+// Answered records that a response was sent; keep says that the response has not ended
+// the connection. In the Ending phase every response ends its connection, even one whose
+// header does not say so because it was sent before the drain began.
 func (c *Conn) Answered(p Phase, keep bool) Next {
 	c.pending--
 	switch {
@@ -90,37 +94,38 @@
 	return GoOn
 }
 
-// Closing is when a drain closes a connection.
+// Closing says when a drain closes a connection.
 type Closing int
 
-// When a connection is closed.
+// Values of Closing.
 const (
-	// WithAnswer leaves it open: what is under way on it ends it.
+	// WithAnswer leaves the connection open until its pending work ends it.
 	WithAnswer Closing = iota
-	// Now closes it.
+	// Now closes the connection at once.
 	Now
-	// Soon gives its caller a moment more. Whoever has just connected is about to send a
-	// request, which a close that crosses it would leave without an answer.
+	// Soon leaves a new connection open for a moment. Its client is likely to send a
+	// request soon, and closing the connection while the request is in transit would
+	// leave it unanswered.
 	Soon
 )
 
-// firstRequest is for how long a drain that is about to end waits for the first request
-// of a connection, in time that the process has run.
-const firstRequest = 500 * time.Millisecond
+// firstRequestGrace is how long, in run time, a drain in its last phase waits for the
+// first request on a connection.
+const firstRequestGrace = 500 * time.Millisecond
 
-// Sweep returns when a drain that is about to end closes the connection. ran is for how
-// long the process has run since that phase began. What has arrived is read before a
-// connection is closed; the caller of Sweep sees to that.
+// Sweep returns when a drain in its last phase closes the connection. ran is how long the
+// process has run since the phase began. The caller must read all data that has arrived
+// before it closes a connection.
 func (c *Conn) Sweep(ran time.Duration) Closing {
 	switch {
 	case !c.idle() || c.finished:
 		return WithAnswer
-	case c.used:
+	case c.hasRequest:
 		return Now
-	case !c.swept:
-		c.swept, c.sweptAt = true, ran
+	case !c.sweepStarted:
+		c.sweepStarted, c.sweepStartedAt = true, ran
 	}
-	if ran-c.sweptAt < firstRequest {
+	if ran-c.sweepStartedAt < firstRequestGrace {
 		return Soon
 	}
 	return Now
--- a/core/drain/drain.go
+++ b/core/drain/drain.go
@@ -1,34 +1,34 @@
-// Package drain decides how an instance that shuts down treats its callers: what it
-// still takes, and when each connection ends. Both are pure: the clock is passed in,
-// and what is decided is carried out by the one who asks.
+// Package drain decides how an instance that shuts down treats its clients: which
+// requests it still accepts, and when each connection ends. It does no I/O and reads no
+// clock: the time is an argument, and the caller carries out the decisions.
 //
-// These promises hold. A request that was read is answered unless its caller hangs up.
-// One that has begun and is not whole is waited for, and told that it did not run if it
-// does not come whole in time. What has arrived while the process did not run is taken
-// before anything is closed. Nothing is taken that the process may not live to answer.
-// Each connection ends.
+// It guarantees the following. A request that was read is answered unless its client
+// closes the connection. A request that has begun and is not complete is waited for, and
+// if it does not complete in time, the client is told that it did not run. Everything
+// that arrived while the process was not running is accepted before anything is closed.
+// No request is accepted that the process may not live to answer. Every connection ends.
 package drain
 
 import "time"
 
-// Phase is how far a drain is.
+// Phase is the progress of a drain.
 type Phase int
 
 // The phases, in order.
 const (
-	// Serving is the time before a drain.
+	// Serving is the phase before a drain.
 	Serving Phase = iota
-	// Announcing lasts until callers are sent elsewhere: all is served, and each
-	// answer ends its connection.
+	// Announcing lasts until clients are sent to other instances: all requests are
+	// served, and each response ends its connection.
 	Announcing
-	// Ending closes idle connections, and takes only what is over in time.
+	// Ending closes idle connections and accepts only requests that end in time.
 	Ending
 )
 
-// Schedule is the course of a drain; the zero Schedule is none.
+// Schedule holds the times of a drain. The zero Schedule means that there is no drain.
 type Schedule struct {
-	// Begun is when the drain began, EndingAt when its last phase begins, and Over
-	// when the process ends at the latest.
+	// Begun is when the drain began, EndingAt when the Ending phase begins, and Over when
+	// the process ends at the latest.
 	Begun, EndingAt, Over time.Time
 }
 
@@ -37,7 +37,7 @@
 	return Schedule{Begun: now, EndingAt: now.Add(announce), Over: now.Add(timeout)}
 }
 
-// Phase returns the phase at a time.
+// Phase returns the phase at the given time.
 func (s *Schedule) Phase(now time.Time) Phase {
 	switch {
 	case s.Begun.IsZero():
@@ -48,10 +48,10 @@
 	return Ending
 }
 
-// Accepts reports whether a request may begin. In the last phase one is turned away that
-// the process may not live to see the end of: any stream, and a request whose time goes
-// on beyond the drain's. It would be cut off, and a caller that is told so at once is
-// better off at another instance.
+// Accepts reports whether a request may start. The Ending phase refuses requests that may
+// not end before the process does: all streams, and requests whose deadline is after the
+// end of the drain. They would be cut off; a client that is refused at once can retry at
+// another instance.
 func (s *Schedule) Accepts(now time.Time, streaming bool, deadline time.Time) bool {
 	if s.Phase(now) != Ending {
 		return true
--- a/core/drain/drain_test.go
+++ b/core/drain/drain_test.go
@@ -24,49 +24,51 @@
 	Expect(s.Phase(at(9000))).To(Equal(drain.Ending))
 }
 
-// A caller's request is cut off in the middle: it came when the process had a second
-// to live and took two. What can't be answered in time must not be taken.
+// A request that takes two seconds must not be accepted one second before the process
+// ends, or it would be cut off.
 func TestOnlyWhatEndsInTimeIsTaken(t *testing.T) {
 	RegisterTestingT(t)
 	none := drain.Schedule{}
 	Expect(none.Accepts(at(0), true, at(1e6))).To(BeTrue())
 	s := drain.NewSchedule(begun, 2500*time.Millisecond, 7*time.Second)
-	Expect(s.Accepts(at(2000), true, at(1e6))).To(BeTrue(), "the balancer still sends callers here")
-	Expect(s.Accepts(at(2500), true, at(2600))).To(BeFalse(), "nobody knows how long a stream takes")
+	Expect(s.Accepts(at(2000), true, at(1e6))).To(BeTrue(), "the load balancer still sends requests here")
+	Expect(s.Accepts(at(2500), true, at(2600))).To(BeFalse(), "the duration of a stream is unknown")
 	Expect(s.Accepts(at(2500), false, at(7000))).To(BeTrue())
 	Expect(s.Accepts(at(2500), false, at(7001))).To(BeFalse())
 }
 
-// world runs a connection's state beside what its two ends do, for every order of
+// connModel tracks a connection beside the actions of its two ends, for every order of
 // events up to a length.
-type world struct {
+type connModel struct {
 	conn  drain.Conn
 	phase drain.Phase
-	// unread requests may still come; got were read whole and answered went out.
-	unread, got, answered, dropped int
-	reading                        bool
-	// readerDone and finished say that the goroutines have ended; armed that a deadline
-	// for an idle connection runs, and long that it is the usual one.
-	readerDone, finished, armed, long, hungUp bool
+	// unread requests may still come; read ones were read completely, answered and
+	// dropped ones ended.
+	unread, read, answered, dropped int
+	reading                         bool
+	// readerDone and finished say that the reader and the writer have ended; deadlineSet
+	// that a read deadline is set on an idle connection, and idleDeadline that it is the
+	// idle timeout.
+	readerDone, finished, deadlineSet, idleDeadline, hungUp bool
 }
 
-// step does one thing that may happen next, or reports that it can't.
-type step struct {
+// action is one event; do applies it, or reports that it is impossible now.
+type action struct {
 	name string
-	do   func(w *world) bool
+	do   func(w *connModel) bool
 }
 
-var steps = []step{
-	{"a request begins", func(w *world) bool {
+var steps = []action{
+	{"a request begins", func(w *connModel) bool {
 		if w.readerDone || w.reading || w.hungUp || w.unread == 0 {
 			return false
 		}
 		w.unread--
-		w.reading, w.armed = true, false
+		w.reading, w.deadlineSet = true, false
 		w.conn.BeginRequest()
 		return true
 	}},
-	{"a request is whole", func(w *world) bool {
+	{"a request is complete", func(w *connModel) bool {
 		if !w.reading {
 			return false
 		}
@@ -78,20 +80,20 @@
 			w.readerDone = true
 			return true
 		}
-		w.got++
+		w.read++
 		return true
 	}},
-	{"an answer keeps the connection", func(w *world) bool { return w.answer(true) }},
-	{"an answer ends the connection", func(w *world) bool { return w.answer(false) }},
-	{"the idle deadline passes", func(w *world) bool {
-		if w.readerDone || !w.armed || w.reading {
+	{"a response keeps the connection open", func(w *connModel) bool { return w.answer(true) }},
+	{"a response ends the connection", func(w *connModel) bool { return w.answer(false) }},
+	{"the idle deadline passes", func(w *connModel) bool {
+		if w.readerDone || !w.deadlineSet || w.reading {
 			return false
 		}
-		w.armed, w.readerDone = false, true
+		w.deadlineSet, w.readerDone = false, true
 		w.conn.HangUp()
 		return true
 	}},
-	{"the caller hangs up", func(w *world) bool {
+	{"the client hangs up", func(w *connModel) bool {
 		if w.readerDone || w.hungUp || w.reading {
 			return false
 		}
@@ -99,62 +101,63 @@
 		w.conn.HangUp()
 		return true
 	}},
-	{"the drain announces", func(w *world) bool {
+	{"the drain announces", func(w *connModel) bool {
 		if w.phase != drain.Serving {
 			return false
 		}
 		w.phase = drain.Announcing
 		return true
 	}},
-	{"the drain ends", func(w *world) bool {
+	{"the drain ends", func(w *connModel) bool {
 		if w.phase != drain.Announcing {
 			return false
 		}
 		w.phase = drain.Ending
 		if w.conn.Sweep(0) != drain.WithAnswer {
-			w.armed, w.long = true, false
+			w.deadlineSet, w.idleDeadline = true, false
 		}
 		return true
 	}},
 }
 
-func (w *world) answer(keep bool) bool {
-	if w.finished || w.got == w.answered {
+func (w *connModel) answer(keep bool) bool {
+	if w.finished || w.read == w.answered {
 		return false
 	}
 	w.answered++
 	switch w.conn.Answered(w.phase, keep) {
 	case drain.Finish:
-		w.finished, w.armed = true, true
+		w.finished, w.deadlineSet = true, true
 	case drain.Await:
-		w.armed, w.long = true, true
+		w.deadlineSet, w.idleDeadline = true, true
 	}
 	return true
 }
 
-// waiting is how many requests were read and are not answered.
-func (w *world) waiting() int { return w.got - w.answered }
+// waiting returns the number of requests that were read and not answered.
+func (w *connModel) waiting() int { return w.read - w.answered }
 
-// idle reports whether the connection is open and nothing is under way.
-func (w *world) idle() bool {
+// idle reports whether the connection is open and no request is being read or answered.
+func (w *connModel) idle() bool {
 	return !w.readerDone && !w.finished && !w.reading && w.waiting() == 0
 }
 
-// cutsOff reports whether a request loses its connection though its caller waits.
-func (w *world) cutsOff() bool {
+// losesRequest reports whether the connection has ended with an unanswered request
+// although the client waits.
+func (w *connModel) losesRequest() bool {
 	return w.readerDone && !w.hungUp && !w.finished && w.waiting() > 0
 }
 
-// broken names the promise of the package that does not hold.
-func (w *world) broken() string {
+// violation returns the guarantee of the package that does not hold, or an empty string.
+func (w *connModel) violation() string {
 	switch {
-	case w.cutsOff():
+	case w.losesRequest():
 		return "a request that was read is cut off"
 	case w.reading && w.conn.Sweep(0) != drain.WithAnswer:
 		return "a request that is being read would be cut off by the drain"
-	case w.idle() && !w.armed:
+	case w.idle() && !w.deadlineSet:
 		return "an idle connection is never closed"
-	case w.idle() && w.long && w.phase == drain.Ending:
+	case w.idle() && w.idleDeadline && w.phase == drain.Ending:
 		return "an idle connection outlives the drain"
 	case w.conn.Pending() != w.waiting():
 		return "requests are miscounted"
@@ -162,8 +165,8 @@
 	return ""
 }
 
-// A caller has connected and not sent anything yet, another one waits to send its next
-// request: the first is given a moment, for its request may be on its way.
+// A new connection without a request is kept for a moment, since its first request may be
+// in transit; a connection that waits for its next request is closed at once.
 func TestNewConnectionsAreClosedLater(t *testing.T) {
 	RegisterTestingT(t)
 	var c drain.Conn
@@ -175,15 +178,15 @@
 	Expect(c.Sweep(0)).To(Equal(drain.Now))
 }
 
-// A caller's request vanishes with its connection at the end of a drain, or the
-// connection stays open for ever. Three faults of this kind were found one by one, each
-// in another order of the same few events: here all orders are played.
+// At the end of a drain, a request may be lost with its connection, or a connection stay
+// open for ever. Three such bugs came from different orders of the same few events, so
+// this test tries all orders.
 func TestEveryOrderOfEventsKeepsThePromises(t *testing.T) {
 	const longest, requests = 14, 4
 	played := 0
-	var play func(w world, path []string)
-	play = func(w world, path []string) {
-		if why := w.broken(); why != "" {
+	var play func(w connModel, path []string)
+	play = func(w connModel, path []string) {
+		if why := w.violation(); why != "" {
 			t.Fatalf("%s after %q", why, path)
 		}
 		if len(path) == longest {
@@ -197,9 +200,9 @@
 			}
 		}
 	}
-	play(world{unread: requests, armed: true, long: true}, nil)
+	play(connModel{unread: requests, deadlineSet: true, idleDeadline: true}, nil)
 	if played < 10_000 {
-		t.Fatalf("only %d steps were played", played)
+		t.Fatalf("only %d actions were explored", played)
 	}
-	t.Logf("%d steps played", played)
+	t.Logf("%d actions explored", played)
 }
--- a/core/drain/lastphase.go
+++ b/core/drain/lastphase.go
@@ -2,85 +2,86 @@
 
 import "time"
 
-// lastCall is how long before its end a drain takes nothing new any more and requests
-// that are not whole are refused: so long the answers have to go out.
-const lastCall = 300 * time.Millisecond
+// finalAnswerTime is the end of a drain in which nothing new is accepted and incomplete
+// requests are refused, so that the remaining responses can be sent.
+const finalAnswerTime = 300 * time.Millisecond
 
-// settle is for how long connections may stay open after their last answer, and new ones
-// come while nothing is in flight, in time that the process has run.
-const settle = time.Second
+// lingerTime is how long, in run time, connections may stay open after their last
+// response, and new connections are accepted while no request is in flight.
+const lingerTime = time.Second
 
-// LastCall reports whether requests that are not whole yet must be refused.
-func (s *Schedule) LastCall(now time.Time) bool { return !now.Before(s.Over.Add(-lastCall)) }
+// LastCall reports whether incomplete requests must be refused.
+func (s *Schedule) LastCall(now time.Time) bool { return !now.Before(s.Over.Add(-finalAnswerTime)) }
 
-// Work is what is under way on the connections of an instance.
+// Work is the work in progress on the connections of an instance.
 type Work struct {
 	// Listening says that connections may still be accepted.
 	Listening bool
 	// InFlight counts requests that were read and not answered, Open the connections on
-	// which an answer may still go out, and All these and those that only wait for their
-	// callers to close them.
+	// which a response may still be sent, and All these and the connections that only
+	// wait for their clients to close them.
 	InFlight, Open, All int
 }
 
-// Step is what a drain does next in its last phase.
+// Step is the next action of a drain in its last phase.
 type Step int
 
-// The steps.
+// Values of Step.
 const (
-	// Wait goes on as before.
+	// Wait changes nothing.
 	Wait Step = iota
-	// CloseListener takes the connections that wait to be accepted and no more.
+	// CloseListener accepts the connections that are already queued and no others.
 	CloseListener
-	// End ends the drain; all is done.
+	// End ends the drain with all work done.
 	End
-	// GiveUp ends the drain with requests under way.
+	// GiveUp ends the drain with requests still in progress.
 	GiveUp
 )
 
-// LastPhase decides the steps of the last phase of a drain. It is looked at at a steady pace.
+// LastPhase decides the steps of the last phase of a drain. Tick must be called at a
+// steady interval.
 type LastPhase struct {
-	course *Schedule
-	time   *RunTime
-	closed bool
-	// closedAt and overAt are the run time when the listener was closed and when the
-	// schedule was found to be over; overAt is below zero before.
-	closedAt, overAt time.Duration
+	schedule       *Schedule
+	runTime        *RunTime
+	listenerClosed bool
+	// listenerClosedAt is the run time at which the listener was closed, deadlineAt that
+	// at which the schedule was found to be over; deadlineAt is negative before.
+	listenerClosedAt, deadlineAt time.Duration
 }
 
-// NewLastPhase returns the last phase of a drain that is looked at every pause.
+// NewLastPhase returns the last phase of a drain; Tick is to be called once per interval.
 func NewLastPhase(course *Schedule, pause time.Duration) *LastPhase {
-	return &LastPhase{course: course, time: NewRunTime(pause), overAt: -1}
+	return &LastPhase{schedule: course, runTime: NewRunTime(pause), deadlineAt: -1}
 }
 
-// Tick returns for how long the process has run in this phase.
+// Tick returns how long the process has run in this phase.
 func (f *LastPhase) Tick(now time.Time) time.Duration {
-	ran := f.time.Tick(now)
-	if f.overAt < 0 && !now.Before(f.course.Over) {
-		f.overAt = ran
+	ran := f.runTime.Tick(now)
+	if f.deadlineAt < 0 && !now.Before(f.schedule.Over) {
+		f.deadlineAt = ran
 	}
 	return ran
 }
 
-// Next returns the next step, with what the last look has found. A process that wakes
-// after the end of its schedule still answers what has come meanwhile.
+// Next returns the next step as of the last Tick. A process that resumes after the end of
+// its schedule still answers the requests that have arrived meanwhile.
 func (f *LastPhase) Next(now time.Time, w Work) Step {
 	switch {
-	case !f.closed && f.stopsAccepting(now, w):
-		f.closed, f.closedAt = true, f.time.ran
+	case !f.listenerClosed && f.stopsAccepting(now, w):
+		f.listenerClosed, f.listenerClosedAt = true, f.runTime.total
 		return CloseListener
-	case f.closed && f.done(w):
+	case f.listenerClosed && f.done(w):
 		return End
-	case f.overAt >= 0 && f.time.ran-f.overAt >= lastCall:
+	case f.deadlineAt >= 0 && f.runTime.total-f.deadlineAt >= finalAnswerTime:
 		return GiveUp
 	}
 	return Wait
 }
 
 func (f *LastPhase) stopsAccepting(now time.Time, w Work) bool {
-	return f.course.LastCall(now) || w.InFlight == 0 && (w.Open == 0 || f.time.ran >= settle)
+	return f.schedule.LastCall(now) || w.InFlight == 0 && (w.Open == 0 || f.runTime.total >= lingerTime)
 }
 
 func (f *LastPhase) done(w Work) bool {
-	return !w.Listening && w.InFlight == 0 && w.Open == 0 && (w.All == 0 || f.time.ran-f.closedAt >= settle)
+	return !w.Listening && w.InFlight == 0 && w.Open == 0 && (w.All == 0 || f.runTime.total-f.listenerClosedAt >= lingerTime)
 }
--- a/core/drain/lastphase_test.go
+++ b/core/drain/lastphase_test.go
@@ -9,29 +9,29 @@
 	"github.com/comfreyladder/comfreyladder/core/drain"
 )
 
-const look = 50 * time.Millisecond
+const interval = 50 * time.Millisecond
 
-func finishing() (*drain.Schedule, *drain.LastPhase) {
+func newLastPhase() (*drain.Schedule, *drain.LastPhase) {
 	s := drain.NewSchedule(begun, 2500*time.Millisecond, 7*time.Second)
-	return &s, drain.NewLastPhase(&s, look)
+	return &s, drain.NewLastPhase(&s, interval)
 }
 
-// next looks once and returns what follows.
+// next ticks once and returns the next step.
 func next(f *drain.LastPhase, now time.Time, w drain.Work) drain.Step {
 	f.Tick(now)
 	return f.Next(now, w)
 }
 
-// Guards against counting the time of a freeze as time in which callers could be served.
+// Guards against counting the time of a freeze as time in which clients could be served.
 func TestTimeInWhichTheProcessDidNotRunIsNotCounted(t *testing.T) {
 	RegisterTestingT(t)
-	r := drain.NewRunTime(look)
+	r := drain.NewRunTime(interval)
 	Expect(r.Tick(at(0))).To(BeZero())
 	Expect(r.Tick(at(40))).To(Equal(40 * time.Millisecond))
 	Expect(r.Tick(at(5000))).To(Equal(90 * time.Millisecond))
 }
 
-// Guards against an end that is decided at the first look after a freeze.
+// Guards against ending a drain at the first tick after a freeze.
 func TestQuietBeginsAnewAfterAFreeze(t *testing.T) {
 	RegisterTestingT(t)
 	q := drain.NewQuiet(300*time.Millisecond, 10*time.Millisecond)
@@ -46,10 +46,10 @@
 	Expect(q.Tick(at(2310), false)).To(BeTrue())
 }
 
-// Guards against an end before the connections that waited for the accept are served.
+// Guards against ending a drain before the connections queued at the listener are served.
 func TestADrainEndsAfterItsListener(t *testing.T) {
 	RegisterTestingT(t)
-	_, f := finishing()
+	_, f := newLastPhase()
 	Expect(next(f, at(3000), drain.Work{Listening: true})).To(Equal(drain.CloseListener))
 	Expect(next(f, at(3050), drain.Work{Listening: true})).To(Equal(drain.Wait))
 	Expect(next(f, at(3100), drain.Work{Open: 1, All: 1})).To(Equal(drain.Wait))
@@ -57,18 +57,18 @@
 	Expect(next(f, at(3200), drain.Work{})).To(Equal(drain.End))
 }
 
-// Guards against a listener that is closed while callers have nowhere else to go, and
-// against one that never is.
+// Guards against closing the listener while clients have no other instance to go to, and
+// against never closing it.
 func TestAListenerClosesWhenNothingIsUnderWay(t *testing.T) {
 	RegisterTestingT(t)
-	_, f := finishing()
+	_, f := newLastPhase()
 	busy := drain.Work{Listening: true, InFlight: 1, Open: 1, All: 1}
 	for ms := 2500; ms < 6700; ms += 50 {
 		Expect(next(f, at(ms), busy)).To(Equal(drain.Wait), "%d ms", ms)
 	}
 	Expect(next(f, at(6700), busy)).To(Equal(drain.CloseListener))
 
-	_, f = finishing()
+	_, f = newLastPhase()
 	idle := drain.Work{Listening: true, Open: 1, All: 1}
 	for ms := 2500; ms < 3500; ms += 50 {
 		Expect(next(f, at(ms), idle)).To(Equal(drain.Wait), "%d ms", ms)
@@ -76,10 +76,11 @@
 	Expect(next(f, at(3500), idle)).To(Equal(drain.CloseListener))
 }
 
-// Guards against a process that wakes after its time and resets what has come meanwhile.
+// Guards against a process that resumes after its deadline and resets the connections
+// that were opened meanwhile.
 func TestADrainThatWakesTooLateStillAnswers(t *testing.T) {
 	RegisterTestingT(t)
-	_, f := finishing()
+	_, f := newLastPhase()
 	Expect(next(f, at(2500), drain.Work{Listening: true, Open: 1, All: 1})).To(Equal(drain.Wait))
 	Expect(next(f, at(9000), drain.Work{Listening: true, Open: 1, All: 1})).To(Equal(drain.CloseListener))
 	busy := drain.Work{InFlight: 10, Open: 10, All: 10}
@@ -89,8 +90,8 @@
 	Expect(next(f, at(9300), busy)).To(Equal(drain.GiveUp))
 }
 
-// Guards against a silent connection that a drain closes by the time that has passed
-// instead of the time in which its request could have been read.
+// Guards against closing an unused connection by elapsed time instead of the run time in
+// which its request could have been read.
 func TestASilentConnectionIsGivenTimeThatTheProcessRuns(t *testing.T) {
 	RegisterTestingT(t)
 	var c drain.Conn
--- a/core/drain/runtime.go
+++ b/core/drain/runtime.go
@@ -2,46 +2,48 @@
 
 import "time"
 
-// RunTime measures for how long a process has run, which is less than the time that has
-// passed if it was frozen meanwhile. It is looked at at a steady pace: of a longer pause
-// between two looks only the usual one counts. The zero RunTime is not usable.
+// RunTime measures how long a process has run, which is less than the elapsed time if the
+// process was frozen in between. Tick must be called at a steady interval: of a longer
+// gap between two ticks only one interval counts. The zero RunTime is not usable.
 type RunTime struct {
-	pause time.Duration
-	last  time.Time
-	ran   time.Duration
+	interval time.Duration
+	lastTick time.Time
+	total    time.Duration
 }
 
-// NewRunTime returns a RunTime that is looked at every pause.
-func NewRunTime(pause time.Duration) *RunTime { return &RunTime{pause: pause} }
+// NewRunTime returns a RunTime whose Tick is called once per interval.
+func NewRunTime(pause time.Duration) *RunTime { return &RunTime{interval: pause} }
 
-// Tick returns for how long the process has run since the first look.
+// Tick returns how long the process has run since the first tick.
 func (r *RunTime) Tick(now time.Time) time.Duration {
-	if !r.last.IsZero() {
-		r.ran += min(now.Sub(r.last), r.pause)
+	if !r.lastTick.IsZero() {
+		r.total += min(now.Sub(r.lastTick), r.interval)
 	}
-	r.last = now
-	return r.ran
+	r.lastTick = now
+	return r.total
 }
 
-// Quiet decides when a drain is over that can't tell which requests are still to come:
-// after a span without work in which the process ran. After a freeze the span begins
-// anew, as what has come meanwhile is not seen at the first look.
+// Quiet decides when a drain is over if the requests still to come are unknown: after a
+// period without work in which the process ran. After a freeze the period starts again,
+// because requests that arrived meanwhile are not seen at the first tick.
 type Quiet struct {
-	span, frozen time.Duration
-	last, since  time.Time
+	quietPeriod, freezeThreshold time.Duration
+	lastTick, quietSince         time.Time
 }
 
-// lateLooks is how many usual pauses between two looks show a freeze.
-const lateLooks = 10
+// freezeFactor is the number of intervals between two ticks that indicates a freeze.
+const freezeFactor = 10
 
-// NewQuiet returns a Quiet for a span; it is looked at every pause.
-func NewQuiet(span, pause time.Duration) *Quiet { return &Quiet{span: span, frozen: lateLooks * pause} }
+// NewQuiet returns a Quiet for a period; Tick is to be called once per interval.
+func NewQuiet(span, pause time.Duration) *Quiet {
+	return &Quiet{quietPeriod: span, freezeThreshold: freezeFactor * pause}
+}
 
-// Tick notes whether there is work, and reports whether the span is over.
+// Tick records whether there is work and reports whether the period without work is over.
 func (q *Quiet) Tick(now time.Time, busy bool) bool {
-	if busy || q.last.IsZero() || now.Sub(q.last) > q.frozen {
-		q.since = now
+	if busy || q.lastTick.IsZero() || now.Sub(q.lastTick) > q.freezeThreshold {
+		q.quietSince = now
 	}
-	q.last = now
-	return now.Sub(q.since) >= q.span
+	q.lastTick = now
+	return now.Sub(q.quietSince) >= q.quietPeriod
 }
