--- a/core/drain/lastphase.go
+++ b/core/drain/lastphase.go
@@ -10,8 +10,10 @@
 // response, and new connections are accepted while no request is in flight.
 const lingerTime = time.Second
 
-// LastCall reports whether incomplete requests must be refused.
-func (s *Schedule) LastCall(now time.Time) bool { return !now.Before(s.Over.Add(-finalAnswerTime)) }
+// RefusesIncomplete reports whether incomplete requests must be refused.
+func (s *Schedule) RefusesIncomplete(now time.Time) bool {
+	return !now.Before(s.Over.Add(-finalAnswerTime))
+}
 
 // Work is the work in progress on the connections of an instance.
 type Work struct {
@@ -79,7 +81,7 @@
 }
 
 func (f *LastPhase) stopsAccepting(now time.Time, w Work) bool {
-	return f.schedule.LastCall(now) || w.InFlight == 0 && (w.Open == 0 || f.runTime.total >= lingerTime)
+	return f.schedule.RefusesIncomplete(now) || w.InFlight == 0 && (w.Open == 0 || f.runTime.total >= lingerTime)
 }
 
 func (f *LastPhase) done(w Work) bool {
--- a/instance/relay/drain.go
+++ b/instance/relay/drain.go
@@ -66,5 +66,5 @@
 // lastCall reports whether a drain takes nothing new any more.
 func (s *Service) lastCall() bool {
 	course := s.drain.Load()
-	return course != nil && course.LastCall(clock.Now())
+	return course != nil && course.RefusesIncomplete(clock.Now())
 }
--- a/instance/shutdown/shutdown.go
+++ b/instance/shutdown/shutdown.go
@@ -31,7 +31,7 @@
 	last := drain.NewLastPhase(course, poll)
 	for {
 		now := clock.Now()
-		s.Sweep(last.Tick(now), course.LastCall(now))
+		s.Sweep(last.Tick(now), course.RefusesIncomplete(now))
 		w := s.Work()
 		switch last.Next(now, w) {
 		case drain.CloseListener:
