--- a/core/drain/conn.go
+++ b/core/drain/conn.go
@@ -101,8 +101,8 @@
 const (
 	// WithAnswer leaves the connection open until its pending work ends it.
 	WithAnswer Closing = iota
-	// Now closes the connection at once.
-	Now
+	// CloseNow closes the connection at once.
+	CloseNow
 	// Soon leaves a new connection open for a moment. Its client is likely to send a
 	// request soon, and closing the connection while the request is in transit would
 	// leave it unanswered.
@@ -121,12 +121,12 @@
 	case !c.idle() || c.finished:
 		return WithAnswer
 	case c.hasRequest:
-		return Now
+		return CloseNow
 	case !c.sweepStarted:
 		c.sweepStarted, c.sweepStartedAt = true, ran
 	}
 	if ran-c.sweepStartedAt < firstRequestGrace {
 		return Soon
 	}
-	return Now
+	return CloseNow
 }
--- a/core/drain/drain_test.go
+++ b/core/drain/drain_test.go
@@ -175,7 +175,7 @@
 	Expect(c.Sweep(0)).To(Equal(drain.WithAnswer))
 	c.RequestRead()
 	Expect(c.Answered(drain.Announcing, true)).To(Equal(drain.Await))
-	Expect(c.Sweep(0)).To(Equal(drain.Now))
+	Expect(c.Sweep(0)).To(Equal(drain.CloseNow))
 }
 
 // At the end of a drain, a request may be lost with its connection, or a connection stay
--- a/core/drain/lastphase_test.go
+++ b/core/drain/lastphase_test.go
@@ -97,7 +97,7 @@
 	var c drain.Conn
 	Expect(c.Sweep(100 * time.Millisecond)).To(Equal(drain.Soon))
 	Expect(c.Sweep(590 * time.Millisecond)).To(Equal(drain.Soon))
-	Expect(c.Sweep(600 * time.Millisecond)).To(Equal(drain.Now))
+	Expect(c.Sweep(600 * time.Millisecond)).To(Equal(drain.CloseNow))
 	c.BeginRequest()
 	Expect(c.Sweep(700 * time.Millisecond)).To(Equal(drain.WithAnswer))
 }
--- a/instance/relay/conn.go
+++ b/instance/relay/conn.go
@@ -197,7 +197,7 @@
 func (c *conn) sweep(ran time.Duration, lastCall bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.life.Sweep(ran) == drain.Now || lastCall && c.life.Reading() {
+	if c.life.Sweep(ran) == drain.CloseNow || lastCall && c.life.Reading() {
 		_ = c.nc.SetReadDeadline(time.Now())
 	}
 }
--- a/instance/roles/listener.go
+++ b/instance/roles/listener.go
@@ -148,7 +148,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c, life := range l.conns {
-		if life.Sweep(ran) == drain.Now || lastCall && life.Reading() {
+		if life.Sweep(ran) == drain.CloseNow || lastCall && life.Reading() {
 			_ = c.SetReadDeadline(time.Now())
 		}
 	}
