--- a/core/drain/lastphase_test.go
+++ b/core/drain/lastphase_test.go
@@ -34,7 +34,7 @@
 // Guards against ending a drain at the first tick after a freeze.
 func TestQuietBeginsAnewAfterAFreeze(t *testing.T) {
 	RegisterTestingT(t)
-	q := drain.NewQuiet(300*time.Millisecond, 10*time.Millisecond)
+	q := drain.NewQuietPeriod(300*time.Millisecond, 10*time.Millisecond)
 	for ms := 0; ms < 290; ms += 10 {
 		Expect(q.Tick(at(ms), false)).To(BeFalse(), "%d ms", ms)
 	}
--- a/core/drain/runtime.go
+++ b/core/drain/runtime.go
@@ -34,8 +34,8 @@
 // freezeFactor is the number of intervals between two ticks that indicates a freeze.
 const freezeFactor = 10
 
-// NewQuiet returns a Quiet for a period; Tick is to be called once per interval.
-func NewQuiet(span, pause time.Duration) *Quiet {
+// NewQuietPeriod returns a Quiet for a period; Tick is to be called once per interval.
+func NewQuietPeriod(span, pause time.Duration) *Quiet {
 	return &Quiet{quietPeriod: span, freezeThreshold: freezeFactor * pause}
 }
 
--- a/instance/shutdown/shutdown.go
+++ b/instance/shutdown/shutdown.go
@@ -57,7 +57,7 @@
 // AwaitQuiet waits until the process has run for a span without work. It fails with
 // fault.DeadlineExceeded when ctx ends before.
 func AwaitQuiet(ctx context.Context, span time.Duration, busy func() bool) error {
-	quiet := drain.NewQuiet(span, quietPoll)
+	quiet := drain.NewQuietPeriod(span, quietPoll)
 	for !quiet.Tick(clock.Now(), busy()) {
 		if !clock.Sleep(ctx, quietPoll) {
 			return fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "requests are still in flight")
