--- a/core/drain/runtime.go
+++ b/core/drain/runtime.go
@@ -23,10 +23,10 @@
 	return r.total
 }
 
-// Quiet decides when a drain is over if the requests still to come are unknown: after a
+// QuietPeriod decides when a drain is over if the requests still to come are unknown: after a
 // period without work in which the process ran. After a freeze the period starts again,
 // because requests that arrived meanwhile are not seen at the first tick.
-type Quiet struct {
+type QuietPeriod struct {
 	quietPeriod, freezeThreshold time.Duration
 	lastTick, quietSince         time.Time
 }
@@ -35,12 +35,12 @@
 const freezeFactor = 10
 
 // NewQuietPeriod returns a Quiet for a period; Tick is to be called once per interval.
-func NewQuietPeriod(span, pause time.Duration) *Quiet {
-	return &Quiet{quietPeriod: span, freezeThreshold: freezeFactor * pause}
+func NewQuietPeriod(span, pause time.Duration) *QuietPeriod {
+	return &QuietPeriod{quietPeriod: span, freezeThreshold: freezeFactor * pause}
 }
 
 // Tick records whether there is work and reports whether the period without work is over.
-func (q *Quiet) Tick(now time.Time, busy bool) bool {
+func (q *QuietPeriod) Tick(now time.Time, busy bool) bool {
 	if busy || q.lastTick.IsZero() || now.Sub(q.lastTick) > q.freezeThreshold {
 		q.quietSince = now
 	}
