--- a/core/order/plan.go
+++ b/core/order/plan.go
@@ -42,11 +42,11 @@
 // in demand also keeps its last serving engine until another one serves it.
 func (w *modelTarget) minServing() int {
 	wanted := min(w.model.Replicas, w.anyVersion)
-	floor := wanted - max(wanted/4, 1)
+	minimum := wanted - max(wanted/4, 1)
 	if w.inDemand {
-		return max(floor, 1)
+		return max(minimum, 1)
 	}
-	return max(floor, 0)
+	return max(minimum, 0)
 }
 
 // planner computes one step.
@@ -214,8 +214,8 @@
 // canStartLoad reports whether a load may start now. After the first refusal no other
 // load may start in this step either, so that small loads cannot starve a large one.
 func (p *planner) canStartLoad(w *modelTarget, megabytes int) bool {
-	most := cmp.Or(p.domain.doc.Weights.Loads, intent.DefaultLoads)
-	if p.budgetExhausted || p.activeLoads >= most || p.domain.budget.available < float64(megabytes) {
+	maxLoads := cmp.Or(p.domain.doc.Weights.Loads, intent.DefaultLoads)
+	if p.budgetExhausted || p.activeLoads >= maxLoads || p.domain.budget.available < float64(megabytes) {
 		p.budgetExhausted = true
 		w.note = noteBudget
 	}
--- a/core/order/seat.go
+++ b/core/order/seat.go
@@ -59,14 +59,14 @@
 // detectStuckLoad marks an engine whose load does not end. Otherwise the load would
 // permanently take one of the domain's concurrent loads, and its model would never be
 // loaded elsewhere.
-func (s *enginePlan) detectStuckLoad(now time.Time, patience time.Duration) {
+func (s *enginePlan) detectStuckLoad(now time.Time, timeout time.Duration) {
 	switch {
 	case len(s.State.Loading) == 0:
 		s.history.loadingSince = time.Time{}
 	case s.history.loadingSince.IsZero():
 		s.history.loadingSince = now
 	}
-	s.stuck = !s.history.loadingSince.IsZero() && now.Sub(s.history.loadingSince) > patience
+	s.stuck = !s.history.loadingSince.IsZero() && now.Sub(s.history.loadingSince) > timeout
 }
 
 // checkLastOrder compares the reported state with the last order that was answered and
--- a/core/order/sim_test.go
+++ b/core/order/sim_test.go
@@ -67,24 +67,24 @@
 	return intent.Model{Name: name, Version: version, Replicas: replicas, SizeMB: 1000}
 }
 
-func (e *fakeEngine) loaded(now time.Time) (done, coming []string) {
+func (e *fakeEngine) loaded(now time.Time) (loaded, loading []string) {
 	for m, at := range e.models {
 		if at.After(now) {
-			coming = append(coming, m)
+			loading = append(loading, m)
 		} else {
-			done = append(done, m)
+			loaded = append(loaded, m)
 		}
 	}
-	slices.Sort(done)
-	slices.Sort(coming)
-	return done, coming
+	slices.Sort(loaded)
+	slices.Sort(loading)
+	return loaded, loading
 }
 
 func (e *fakeEngine) view(now time.Time) order.Engine {
-	done, coming := e.loaded(now)
+	done, loading := e.loaded(now)
 	v := order.Engine{
 		Name: e.name, Incarnation: e.incarnation, HeardAt: now, Slots: 8, Running: e.running,
-		State: &order.State{Models: done, Loading: coming, Role: e.role},
+		State: &order.State{Models: done, Loading: loading, Role: e.role},
 	}
 	for _, m := range done {
 		v.Serves = append(v.Serves, order.Served(m))
@@ -159,11 +159,11 @@
 		before[m.Name] = w.serving(m.Name) > 0 && w.busy(m.Name)
 	}
 	maps.DeleteFunc(e.models, func(m string, _ time.Time) bool { return !slices.Contains(o.Models, m) })
-	free := w.now
+	loadedAt := w.now
 	for _, m := range o.Models {
 		if _, held := e.models[m]; !held {
-			free = free.Add(w.loadTime)
-			e.models[m] = free
+			loadedAt = loadedAt.Add(w.loadTime)
+			e.models[m] = loadedAt
 			e.loads++
 			w.loadedMB += w.size(m)
 		}
