--- a/core/intent/validate.go
+++ b/core/intent/validate.go
@@ -107,9 +107,9 @@
 	return ""
 }
 
-func checkNames[T any](c *validator, kind string, most int, list []T, name func(T) string) {
-	if len(list) > most {
-		c.add(kind, "%d entries, at most %d are allowed", len(list), most)
+func checkNames[T any](c *validator, kind string, limit int, list []T, name func(T) string) {
+	if len(list) > limit {
+		c.add(kind, "%d entries, at most %d are allowed", len(list), limit)
 	}
 	seen := make(map[string]bool, len(list))
 	for _, v := range list {
@@ -260,9 +260,9 @@
 	c.checkRange("weights.loads", c.doc.Weights.Loads, MaxLoads)
 }
 
-func (c *validator) checkRange(path string, v, most int) {
-	if v < 0 || v > most {
-		c.add(path, "%d is not within 0 to %d", v, most)
+func (c *validator) checkRange(path string, v, limit int) {
+	if v < 0 || v > limit {
+		c.add(path, "%d is not within 0 to %d", v, limit)
 	}
 }
 
