--- a/core/drain/conn.go
+++ b/core/drain/conn.go
@@ -74,9 +74,9 @@
 	Finish Next = iota
 	// Await starts the idle timeout for the next request.
 	Await
-	// GoOn leaves the connection as it is: another request is already being read or
+	// Continue leaves the connection as it is: another request is already being read or
 	// answered.
-	GoOn
+	Continue
 )
 
 // Answered records that a response was sent; keep says that the response has not ended
@@ -91,22 +91,22 @@
 	case c.idle():
 		return Await
 	}
-	return GoOn
+	return Continue
 }
 
-// Closing says when a drain closes a connection.
-type Closing int
+// CloseDecision says when a drain closes a connection.
+type CloseDecision int
 
 // Values of Closing.
 const (
-	// WithAnswer leaves the connection open until its pending work ends it.
-	WithAnswer Closing = iota
+	// KeepOpen leaves the connection open until its pending work ends it.
+	KeepOpen CloseDecision = iota
 	// CloseNow closes the connection at once.
 	CloseNow
-	// Soon leaves a new connection open for a moment. Its client is likely to send a
-	// request soon, and closing the connection while the request is in transit would
+	// CloseLater leaves a new connection open for a moment. Its client is likely to send
+	// a request soon, and closing the connection while the request is in transit would
 	// leave it unanswered.
-	Soon
+	CloseLater
 )
 
 // firstRequestGrace is how long, in run time, a drain in its last phase waits for the
@@ -116,17 +116,17 @@
 // Sweep returns when a drain in its last phase closes the connection. ran is how long the
 // process has run since the phase began. The caller must read all data that has arrived
 // before it closes a connection.
-func (c *Conn) Sweep(ran time.Duration) Closing {
+func (c *Conn) Sweep(ran time.Duration) CloseDecision {
 	switch {
 	case !c.idle() || c.finished:
-		return WithAnswer
+		return KeepOpen
 	case c.hasRequest:
 		return CloseNow
 	case !c.sweepStarted:
 		c.sweepStarted, c.sweepStartedAt = true, ran
 	}
 	if ran-c.sweepStartedAt < firstRequestGrace {
-		return Soon
+		return CloseLater
 	}
 	return CloseNow
 }
--- a/core/drain/drain.go
+++ b/core/drain/drain.go
@@ -27,20 +27,20 @@
 
 // Schedule holds the times of a drain. The zero Schedule means that there is no drain.
 type Schedule struct {
-	// Begun is when the drain began, EndingAt when the Ending phase begins, and Over when
-	// the process ends at the latest.
-	Begun, EndingAt, Over time.Time
+	// StartedAt is when the drain began, EndingAt when the Ending phase begins, and
+	// Deadline when the process ends at the latest.
+	StartedAt, EndingAt, Deadline time.Time
 }
 
 // NewSchedule returns the schedule of a drain that begins now.
 func NewSchedule(now time.Time, announce, timeout time.Duration) Schedule {
-	return Schedule{Begun: now, EndingAt: now.Add(announce), Over: now.Add(timeout)}
+	return Schedule{StartedAt: now, EndingAt: now.Add(announce), Deadline: now.Add(timeout)}
 }
 
 // Phase returns the phase at the given time.
 func (s *Schedule) Phase(now time.Time) Phase {
 	switch {
-	case s.Begun.IsZero():
+	case s.StartedAt.IsZero():
 		return Serving
 	case now.Before(s.EndingAt):
 		return Announcing
@@ -56,5 +56,5 @@
 	if s.Phase(now) != Ending {
 		return true
 	}
-	return !streaming && !deadline.After(s.Over)
+	return !streaming && !deadline.After(s.Deadline)
 }
--- a/core/drain/drain_test.go
+++ b/core/drain/drain_test.go
@@ -26,7 +26,7 @@
 
 // A request that takes two seconds must not be accepted one second before the process
 // ends, or it would be cut off.
-func TestOnlyWhatEndsInTimeIsTaken(t *testing.T) {
+func TestOnlyRequestsThatEndInTimeAreAccepted(t *testing.T) {
 	RegisterTestingT(t)
 	none := drain.Schedule{}
 	Expect(none.Accepts(at(0), true, at(1e6))).To(BeTrue())
@@ -58,7 +58,7 @@
 	do   func(w *connModel) bool
 }
 
-var steps = []action{
+var actions = []action{
 	{"a request begins", func(w *connModel) bool {
 		if w.readerDone || w.reading || w.hungUp || w.unread == 0 {
 			return false
@@ -113,7 +113,7 @@
 			return false
 		}
 		w.phase = drain.Ending
-		if w.conn.Sweep(0) != drain.WithAnswer {
+		if w.conn.Sweep(0) != drain.KeepOpen {
 			w.deadlineSet, w.idleDeadline = true, false
 		}
 		return true
@@ -153,7 +153,7 @@
 	switch {
 	case w.losesRequest():
 		return "a request that was read is cut off"
-	case w.reading && w.conn.Sweep(0) != drain.WithAnswer:
+	case w.reading && w.conn.Sweep(0) != drain.KeepOpen:
 		return "a request that is being read would be cut off by the drain"
 	case w.idle() && !w.deadlineSet:
 		return "an idle connection is never closed"
@@ -170,9 +170,9 @@
 func TestNewConnectionsAreClosedLater(t *testing.T) {
 	RegisterTestingT(t)
 	var c drain.Conn
-	Expect(c.Sweep(0)).To(Equal(drain.Soon))
+	Expect(c.Sweep(0)).To(Equal(drain.CloseLater))
 	c.BeginRequest()
-	Expect(c.Sweep(0)).To(Equal(drain.WithAnswer))
+	Expect(c.Sweep(0)).To(Equal(drain.KeepOpen))
 	c.RequestRead()
 	Expect(c.Answered(drain.Announcing, true)).To(Equal(drain.Await))
 	Expect(c.Sweep(0)).To(Equal(drain.CloseNow))
@@ -182,27 +182,27 @@
 // open for ever. Three such bugs came from different orders of the same few events, so
 // this test tries all orders.
 func TestEveryOrderOfEventsKeepsThePromises(t *testing.T) {
-	const longest, requests = 14, 4
-	played := 0
-	var play func(w connModel, path []string)
-	play = func(w connModel, path []string) {
-		if why := w.violation(); why != "" {
-			t.Fatalf("%s after %q", why, path)
+	const maxActions, requests = 14, 4
+	explored := 0
+	var explore func(w connModel, path []string)
+	explore = func(w connModel, path []string) {
+		if violation := w.violation(); violation != "" {
+			t.Fatalf("%s after %q", violation, path)
 		}
-		if len(path) == longest {
+		if len(path) == maxActions {
 			return
 		}
-		for _, s := range steps {
+		for _, s := range actions {
 			next := w
 			if s.do(&next) {
-				played++
-				play(next, append(path[:len(path):len(path)], s.name))
+				explored++
+				explore(next, append(path[:len(path):len(path)], s.name))
 			}
 		}
 	}
-	play(connModel{unread: requests, deadlineSet: true, idleDeadline: true}, nil)
-	if played < 10_000 {
-		t.Fatalf("only %d actions were explored", played)
+	explore(connModel{unread: requests, deadlineSet: true, idleDeadline: true}, nil)
+	if explored < 10_000 {
+		t.Fatalf("only %d actions were explored", explored)
 	}
-	t.Logf("%d actions explored", played)
+	t.Logf("%d actions explored", explored)
 }
--- a/core/drain/lastphase.go
+++ b/core/drain/lastphase.go
@@ -12,7 +12,7 @@
 
 // RefusesIncomplete reports whether incomplete requests must be refused.
 func (s *Schedule) RefusesIncomplete(now time.Time) bool {
-	return !now.Before(s.Over.Add(-finalAnswerTime))
+	return !now.Before(s.Deadline.Add(-finalAnswerTime))
 }
 
 // Work is the work in progress on the connections of an instance.
@@ -52,14 +52,14 @@
 }
 
 // NewLastPhase returns the last phase of a drain; Tick is to be called once per interval.
-func NewLastPhase(course *Schedule, pause time.Duration) *LastPhase {
-	return &LastPhase{schedule: course, runTime: NewRunTime(pause), deadlineAt: -1}
+func NewLastPhase(schedule *Schedule, interval time.Duration) *LastPhase {
+	return &LastPhase{schedule: schedule, runTime: NewRunTime(interval), deadlineAt: -1}
 }
 
 // Tick returns how long the process has run in this phase.
 func (f *LastPhase) Tick(now time.Time) time.Duration {
 	ran := f.runTime.Tick(now)
-	if f.deadlineAt < 0 && !now.Before(f.schedule.Over) {
+	if f.deadlineAt < 0 && !now.Before(f.schedule.Deadline) {
 		f.deadlineAt = ran
 	}
 	return ran
--- a/core/drain/lastphase_test.go
+++ b/core/drain/lastphase_test.go
@@ -78,7 +78,7 @@
 
 // Guards against a process that resumes after its deadline and resets the connections
 // that were opened meanwhile.
-func TestADrainThatWakesTooLateStillAnswers(t *testing.T) {
+func TestDrainThatResumesAfterItsDeadlineStillAnswers(t *testing.T) {
 	RegisterTestingT(t)
 	_, f := newLastPhase()
 	Expect(next(f, at(2500), drain.Work{Listening: true, Open: 1, All: 1})).To(Equal(drain.Wait))
@@ -92,12 +92,12 @@
 
 // Guards against closing an unused connection by elapsed time instead of the run time in
 // which its request could have been read.
-func TestASilentConnectionIsGivenTimeThatTheProcessRuns(t *testing.T) {
+func TestUnusedConnectionIsClosedByRunTime(t *testing.T) {
 	RegisterTestingT(t)
 	var c drain.Conn
-	Expect(c.Sweep(100 * time.Millisecond)).To(Equal(drain.Soon))
-	Expect(c.Sweep(590 * time.Millisecond)).To(Equal(drain.Soon))
+	Expect(c.Sweep(100 * time.Millisecond)).To(Equal(drain.CloseLater))
+	Expect(c.Sweep(590 * time.Millisecond)).To(Equal(drain.CloseLater))
 	Expect(c.Sweep(600 * time.Millisecond)).To(Equal(drain.CloseNow))
 	c.BeginRequest()
-	Expect(c.Sweep(700 * time.Millisecond)).To(Equal(drain.WithAnswer))
+	Expect(c.Sweep(700 * time.Millisecond)).To(Equal(drain.KeepOpen))
 }
--- a/core/drain/runtime.go
+++ b/core/drain/runtime.go
@@ -12,7 +12,7 @@
 }
 
 // NewRunTime returns a RunTime whose Tick is called once per interval.
-func NewRunTime(pause time.Duration) *RunTime { return &RunTime{interval: pause} }
+func NewRunTime(interval time.Duration) *RunTime { return &RunTime{interval: interval} }
 
 // Tick returns how long the process has run since the first tick.
 func (r *RunTime) Tick(now time.Time) time.Duration {
@@ -27,16 +27,16 @@
 // period without work in which the process ran. After a freeze the period starts again,
 // because requests that arrived meanwhile are not seen at the first tick.
 type QuietPeriod struct {
-	quietPeriod, freezeThreshold time.Duration
-	lastTick, quietSince         time.Time
+	period, freezeThreshold time.Duration
+	lastTick, quietSince    time.Time
 }
 
 // freezeFactor is the number of intervals between two ticks that indicates a freeze.
 const freezeFactor = 10
 
 // NewQuietPeriod returns a Quiet for a period; Tick is to be called once per interval.
-func NewQuietPeriod(span, pause time.Duration) *QuietPeriod {
-	return &QuietPeriod{quietPeriod: span, freezeThreshold: freezeFactor * pause}
+func NewQuietPeriod(period, interval time.Duration) *QuietPeriod {
+	return &QuietPeriod{period: period, freezeThreshold: freezeFactor * interval}
 }
 
 // Tick records whether there is work and reports whether the period without work is over.
@@ -45,5 +45,5 @@
 		q.quietSince = now
 	}
 	q.lastTick = now
-	return now.Sub(q.quietSince) >= q.quietPeriod
+	return now.Sub(q.quietSince) >= q.period
 }
