--- a/core/defaults/defaults.go
+++ b/core/defaults/defaults.go
@@ -1,10 +1,10 @@
-// Package defaults fills in what a configuration leaves out.
+// Package defaults sets default values for settings that a configuration omits.
 package defaults
 
 import "time"
 
-// Set gives a setting its default if it is zero, or below: none that is filled in this
-// way has a meaning there.
+// Set replaces a setting that is zero or negative with its default. It is only for settings
+// for which such values have no meaning.
 func Set[T int | float64 | time.Duration](setting *T, value T) {
 	if *setting <= 0 {
 		*setting = value
