--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -61,17 +61,17 @@
 	NotRun Outcome = "not_run"
 )
 
-// Field is one header field.
-type Field struct {
+// HeaderField is one header field.
+type HeaderField struct {
 	Name  string `codec:"n"`
 	Value string `codec:"v"`
 }
 
 // Receipt is the stored part of the service's response.
 type Receipt struct {
-	Status  int     `codec:"s"`
-	Headers []Field `codec:"h"`
-	Body    []byte  `codec:"b"`
+	Status  int           `codec:"s"`
+	Headers []HeaderField `codec:"h"`
+	Body    []byte        `codec:"b"`
 	// Truncated says that headers and body were too large to store.
 	Truncated bool `codec:"t"`
 }
--- a/instance/plain/claimed.go
+++ b/instance/plain/claimed.go
@@ -135,7 +135,7 @@
 func receiptOf(a *upstream.Answer) *claim.Receipt {
 	out := &claim.Receipt{Status: a.Status, Body: a.Body}
 	for _, f := range a.Headers {
-		out.Headers = append(out.Headers, claim.Field{Name: f.Name, Value: f.Value})
+		out.Headers = append(out.Headers, claim.HeaderField{Name: f.Name, Value: f.Value})
 	}
 	return out
 }
