--- a/core/control/revision/patch_test.go
+++ b/core/control/revision/patch_test.go
@@ -25,7 +25,7 @@
 	for _, n := range rapid.SliceOfNDistinct(rapid.IntRange(0, 3), 0, 3, rapid.ID).Draw(t, "models") {
 		d.Models = append(d.Models, intent.Model{Name: fmt.Sprint("m", n), Replicas: 1})
 	}
-	d.Weights.Loads = rapid.IntRange(0, 2).Draw(t, "loads")
+	d.Weights.MaxConcurrentLoads = rapid.IntRange(0, 2).Draw(t, "loads")
 	d.Normalize()
 	return d
 }
--- a/core/intent/intent.go
+++ b/core/intent/intent.go
@@ -114,8 +114,8 @@
 type Weights struct {
 	// RateMB is in megabytes per second; 0 means DefaultRateMB.
 	RateMB int `json:"rate_mb" codec:"rate_mb"`
-	// Loads is the maximum number of concurrent loads; 0 means DefaultLoads.
-	Loads int `json:"loads" codec:"loads"`
+	// MaxConcurrentLoads is the maximum number of concurrent loads; 0 means DefaultLoads.
+	MaxConcurrentLoads int `json:"loads" codec:"loads"`
 }
 
 // Defaults of Model.SizeMB and Weights: a model of 8 billion parameters of 16 bits, and a
--- a/core/intent/intent_test.go
+++ b/core/intent/intent_test.go
@@ -71,7 +71,7 @@
 		d := valid()
 		d.Models = []intent.Model{{Name: "m", Version: "1@2", Adapters: []string{"a:b"}, SizeMB: -1}}
 		d.Upstreams = []intent.Upstream{{Name: "e-*", Kind: intent.KindEngine, KeyHash: strings.Repeat("ab", 32), MaxModels: -1, Role: "a b"}}
-		d.Weights = intent.Weights{RateMB: -1, Loads: intent.MaxLoads + 1}
+		d.Weights = intent.Weights{RateMB: -1, MaxConcurrentLoads: intent.MaxLoads + 1}
 		Expect(problems(d)).To(ConsistOf("model.m.size_mb", "model.m.version", "model.m.adapters",
 			"upstream.e-*.max_models", "upstream.e-*.role", "weights.rate_mb", "weights.loads"))
 	})
--- a/core/intent/validate.go
+++ b/core/intent/validate.go
@@ -257,7 +257,7 @@
 
 func (c *validator) checkWeights() {
 	c.checkRange("weights.rate_mb", c.doc.Weights.RateMB, MaxRateMB)
-	c.checkRange("weights.loads", c.doc.Weights.Loads, MaxLoads)
+	c.checkRange("weights.loads", c.doc.Weights.MaxConcurrentLoads, MaxLoads)
 }
 
 func (c *validator) checkRange(path string, v, limit int) {
--- a/core/order/bench_test.go
+++ b/core/order/bench_test.go
@@ -28,7 +28,7 @@
 				}
 				view = append(view, e.view(w.now))
 			}
-			w.doc.Weights.Loads = engines
+			w.doc.Weights.MaxConcurrentLoads = engines
 			w.domain.SetIntent(w.doc)
 			orders := 0
 			b.ReportAllocs()
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -223,7 +223,7 @@
 func TestLoadsUnderWayAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	doc := document(model("a", "1", 8))
-	doc.Weights.Loads = 2
+	doc.Weights.MaxConcurrentLoads = 2
 	w := newSimulation(doc, 8)
 	for range 100 {
 		w.step()
@@ -282,7 +282,7 @@
 func TestALoadThatNeverEndsIsReplaced(t *testing.T) {
 	g := NewWithT(t)
 	doc := document(model("a", "1", 1))
-	doc.Weights.Loads = 1
+	doc.Weights.MaxConcurrentLoads = 1
 	w := newSimulation(doc, 2)
 	w.loadTime = 24 * time.Hour
 	w.step()
--- a/core/order/sim_test.go
+++ b/core/order/sim_test.go
@@ -59,7 +59,7 @@
 	return &intent.Document{
 		Models:    models,
 		Upstreams: []intent.Upstream{{Name: "e-*", Kind: intent.KindEngine, ChecksFence: true}},
-		Weights:   intent.Weights{RateMB: 1000, Loads: 100},
+		Weights:   intent.Weights{RateMB: 1000, MaxConcurrentLoads: 100},
 	}
 }
 
--- a/instance/order/fakes_test.go
+++ b/instance/order/fakes_test.go
@@ -149,7 +149,7 @@
 func newPlace(t testing.TB, checks ...bool) *place {
 	p := &place{GomegaWithT: NewWithT(t), t: t, group: fence.New(), doc: &intent.Document{
 		Models:  []intent.Model{{Name: "m", Version: "1", Replicas: len(checks), SizeMB: 1}},
-		Weights: intent.Weights{RateMB: 1000, Loads: 100},
+		Weights: intent.Weights{RateMB: 1000, MaxConcurrentLoads: 100},
 	}}
 	p.SetDefaultEventuallyTimeout(20 * time.Second)
 	p.SetDefaultEventuallyPollingInterval(2 * time.Millisecond)
--- a/proof/system/order_test.go
+++ b/proof/system/order_test.go
@@ -288,7 +288,7 @@
 		s.startAll()
 		s.list("north")[0].change(1, func(d *intent.Document) {
 			d.Models[0].Version, d.Models[0].Replicas, d.Models[0].SizeMB = "1", engines, 1000
-			d.Weights = intent.Weights{RateMB: 1000, Loads: engines}
+			d.Weights = intent.Weights{RateMB: 1000, MaxConcurrentLoads: engines}
 		})
 		var runners []*standIn
 		begin := time.Now()
