--- a/core/intent/intent.go
+++ b/core/intent/intent.go
@@ -121,9 +121,9 @@
 // Defaults of Model.SizeMB and Weights: a model of 8 billion parameters of 16 bits, and a
 // weight store on a 10 Gbit/s network that leaves bandwidth for other traffic.
 const (
-	DefaultSizeMB = 16_000
-	DefaultRateMB = 1_000
-	DefaultLoads  = 4
+	DefaultSizeMB             = 16_000
+	DefaultRateMB             = 1_000
+	DefaultMaxConcurrentLoads = 4
 )
 
 // Service is a plain service to which calls under its prefix are routed.
--- a/core/order/plan.go
+++ b/core/order/plan.go
@@ -214,7 +214,7 @@
 // canStartLoad reports whether a load may start now. After the first refusal no other
 // load may start in this step either, so that small loads cannot starve a large one.
 func (p *planner) canStartLoad(w *modelTarget, megabytes int) bool {
-	maxLoads := cmp.Or(p.domain.doc.Weights.MaxConcurrentLoads, intent.DefaultLoads)
+	maxLoads := cmp.Or(p.domain.doc.Weights.MaxConcurrentLoads, intent.DefaultMaxConcurrentLoads)
 	if p.budgetExhausted || p.activeLoads >= maxLoads || p.domain.budget.available < float64(megabytes) {
 		p.budgetExhausted = true
 		w.note = noteBudget
