--- a/core/intent/intent.go
+++ b/core/intent/intent.go
@@ -114,7 +114,8 @@
 type Weights struct {
 	// RateMB is in megabytes per second; 0 means DefaultRateMB.
 	RateMB int `json:"rate_mb" codec:"rate_mb"`
-	// MaxConcurrentLoads is the maximum number of concurrent loads; 0 means DefaultLoads.
+	// MaxConcurrentLoads is the maximum number of concurrent loads; 0 means
+	// DefaultMaxConcurrentLoads.
 	MaxConcurrentLoads int `json:"loads" codec:"loads"`
 }
 
