--- a/core/order/property_test.go
+++ b/core/order/property_test.go
@@ -11,9 +11,9 @@
 	"github.com/comfreyladder/comfreyladder/core/order"
 )
 
-// drawDocument returns an intent that the engines can hold at once.
-func drawDocument(t *rapid.T, engines, side int) *intent.Document {
-	room := engines * side
+// drawDocument returns an intent that the engines can satisfy.
+func drawDocument(t *rapid.T, engines, maxModels int) *intent.Document {
+	room := engines * maxModels
 	var models []intent.Model
 	for i := range rapid.IntRange(1, 5).Draw(t, "models") {
 		n := rapid.IntRange(0, min(engines, room)).Draw(t, "replicas")
@@ -26,22 +26,24 @@
 		models = append(models, m)
 	}
 	doc := document(models...)
-	doc.Upstreams[0].MaxModels = side
+	doc.Upstreams[0].MaxModels = maxModels
 	return doc
 }
 
-// restrict lets some engines hold only some of the models; then not all may fit.
-func (w *world) restrict(t *rapid.T) bool {
+// restrict lets some engines hold a single model each, and reports whether it did so:
+// then the intent may no longer be satisfiable.
+func (w *simulation) restrict(t *rapid.T) bool {
 	for i := range rapid.IntRange(0, 2).Draw(t, "rules") {
 		m := rapid.SampledFrom(w.doc.Models).Draw(t, "permitted")
 		w.doc.Upstreams = append(w.doc.Upstreams, intent.Upstream{Name: w.engines[i].name, Kind: intent.KindEngine, Models: []string{m.Name}})
 	}
-	w.d.SetIntent(w.doc)
+	w.domain.SetIntent(w.doc)
 	return len(w.doc.Upstreams) > 1
 }
 
-// disturb restarts, silences or loads engines, or changes the intent.
-func (w *world) disturb(t *rapid.T, side int) {
+// injectEvent restarts engines, makes one silent or busy, changes the intent, or replaces
+// the issuer.
+func (w *simulation) injectEvent(t *rapid.T, maxModels int) {
 	e := w.engines[rapid.IntRange(0, len(w.engines)-1).Draw(t, "engine")]
 	switch rapid.SampledFrom([]string{"restart", "down", "work", "none", "none", "all", "intent", "successor"}).Draw(t, "event") {
 	case "restart":
@@ -55,25 +57,25 @@
 			e.restart()
 		}
 	case "intent":
-		w.doc = drawDocument(t, len(w.engines), side)
-		w.d.SetIntent(w.doc)
+		w.doc = drawDocument(t, len(w.engines), maxModels)
+		w.domain.SetIntent(w.doc)
 	case "successor":
-		w.d = order.New(order.Config{})
-		w.d.SetIntent(w.doc)
-		w.d.Begin(w.now, false)
+		w.domain = order.New(order.Config{})
+		w.domain.SetIntent(w.doc)
+		w.domain.Begin(w.now, false)
 	}
 }
 
-// Whatever happens to engines, intents and issuers, no order takes the last
-// serving engine from a model in demand, and when things calm down every model is
-// held as often as wanted, in one version, and no further order is given.
+// Under any sequence of engine failures, intent changes and changes of the issuer, no
+// order takes the last serving engine from a model in demand. Afterwards every model has
+// the wanted replicas in one version, and no further order is given.
 func TestOrdersConvergeAndKeepTheLastHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		engines, side := rapid.IntRange(2, 8).Draw(t, "engines"), rapid.IntRange(1, 3).Draw(t, "side")
-		w := newWorld(drawDocument(t, engines, side), engines)
+		engines, maxModels := rapid.IntRange(2, 8).Draw(t, "engines"), rapid.IntRange(1, 3).Draw(t, "side")
+		w := newSimulation(drawDocument(t, engines, maxModels), engines)
 		w.loadTime = time.Duration(rapid.IntRange(1, 20).Draw(t, "load")) * time.Second
 		for range rapid.IntRange(1, 25).Draw(t, "events") {
-			w.disturb(t, side)
+			w.injectEvent(t, maxModels)
 			w.run(rapid.IntRange(1, 20).Draw(t, "pause"))
 		}
 		restricted := w.restrict(t)
@@ -84,7 +86,7 @@
 		for _, e := range w.engines {
 			e.running, e.down = 0, false
 		}
-		if !w.quiet(10_000) {
+		if !w.converges(10_000) {
 			t.Fatalf("orders do not end: %+v", w.last)
 		}
 		for _, m := range w.doc.Models {
@@ -101,14 +103,14 @@
 	})
 }
 
-// Engines restart in any pattern, all at once among them, and issuers change, but
-// what the domain was ordered to load stays under the store's rate and one load.
+// Engines restart in any pattern, including all at once, and issuers change. The loads
+// ordered in the domain must stay within the rate of the weight store plus one load.
 func TestLoadsStayUnderTheBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		engines, side := rapid.IntRange(1, 12).Draw(t, "engines"), rapid.IntRange(1, 2).Draw(t, "side")
-		w := newWorld(drawDocument(t, engines, side), engines)
+		engines, maxModels := rapid.IntRange(1, 12).Draw(t, "engines"), rapid.IntRange(1, 2).Draw(t, "side")
+		w := newSimulation(drawDocument(t, engines, maxModels), engines)
 		w.doc.Weights.RateMB = 50 * rapid.IntRange(1, 40).Draw(t, "rate")
-		w.d.SetIntent(w.doc)
+		w.domain.SetIntent(w.doc)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
@@ -118,9 +120,9 @@
 			case 1:
 				w.engines[rapid.IntRange(0, engines-1).Draw(t, "engine")].restart()
 			case 2:
-				w.d = order.New(order.Config{})
-				w.d.SetIntent(w.doc)
-				w.d.Begin(w.now, false)
+				w.domain = order.New(order.Config{})
+				w.domain.SetIntent(w.doc)
+				w.domain.Begin(w.now, false)
 			}
 			w.run(rapid.IntRange(1, 10).Draw(t, "pause"))
 			if w.loadedMB > w.budget() {
--- a/core/order/sim_test.go
+++ b/core/order/sim_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1_700_000_000, 0)
 
-// fakeEngine does what an engine does with orders.
+// fakeEngine is an engine that carries out orders.
 type fakeEngine struct {
 	name        string
 	incarnation uint64
@@ -21,37 +21,37 @@
 	role        string
 	running     int
 	down        bool
-	// deaf engines take orders and do nothing.
-	deaf bool
-	// since is when it began to announce; a model shows in the next beat.
+	// ignoresOrders makes the engine accept orders without acting on them.
+	ignoresOrders bool
+	// loads counts the loads that the engine has started.
 	loads int
 }
 
-// world is a failure domain in virtual time.
-type world struct {
-	d        *order.Domain
-	doc      *intent.Document
-	now      time.Time
-	began    time.Time
-	engines  []*fakeEngine
-	loadTime time.Duration
-	may      order.Authority
-	loadedMB int
-	orders   int
-	last     order.Decision
-	// outages lists models in demand that an order took the last serving engine of.
+// simulation is a failure domain in virtual time.
+type simulation struct {
+	domain    *order.Domain
+	doc       *intent.Document
+	now       time.Time
+	began     time.Time
+	engines   []*fakeEngine
+	loadTime  time.Duration
+	authority order.Authority
+	loadedMB  int
+	orders    int
+	last      order.Decision
+	// outages lists models in demand whose last serving engine was removed by an order.
 	outages []string
 }
 
-var all = order.Authority{Checking: true, Ignoring: true}
+var all = order.Authority{FenceChecking: true, FenceIgnoring: true}
 
-func newWorld(doc *intent.Document, engines int) *world {
-	w := &world{d: order.New(order.Config{}), doc: doc, now: start, began: start, loadTime: 20 * time.Second, may: all}
+func newSimulation(doc *intent.Document, engines int) *simulation {
+	w := &simulation{domain: order.New(order.Config{}), doc: doc, now: start, began: start, loadTime: 20 * time.Second, authority: all}
 	for i := range engines {
 		w.engines = append(w.engines, &fakeEngine{name: fmt.Sprintf("e-%02d", i), incarnation: 1, models: map[string]time.Time{}})
 	}
-	w.d.SetIntent(doc)
-	w.d.Begin(w.now, true)
+	w.domain.SetIntent(doc)
+	w.domain.Begin(w.now, true)
 	return w
 }
 
@@ -59,7 +59,7 @@
 	return &intent.Document{
 		Models:    models,
 		Upstreams: []intent.Upstream{{Name: "e-*", Kind: intent.KindEngine, ChecksFence: true}},
-		Weights:   intent.Weights{RateMB: 1000, Loads: 100},
+		Weights:   intent.Weights{RateMB: 1000, MaxConcurrentLoads: 100},
 	}
 }
 
@@ -67,24 +67,24 @@
 	return intent.Model{Name: name, Version: version, Replicas: replicas, SizeMB: 1000}
 }
 
-func (e *fakeEngine) loaded(now time.Time) (done, coming []string) {
+func (e *fakeEngine) loaded(now time.Time) (loaded, loading []string) {
 	for m, at := range e.models {
 		if at.After(now) {
-			coming = append(coming, m)
+			loading = append(loading, m)
 		} else {
-			done = append(done, m)
+			loaded = append(loaded, m)
 		}
 	}
-	slices.Sort(done)
-	slices.Sort(coming)
-	return done, coming
+	slices.Sort(loaded)
+	slices.Sort(loading)
+	return loaded, loading
 }
 
 func (e *fakeEngine) view(now time.Time) order.Engine {
-	done, coming := e.loaded(now)
+	done, loading := e.loaded(now)
 	v := order.Engine{
 		Name: e.name, Incarnation: e.incarnation, HeardAt: now, Slots: 8, Running: e.running,
-		State: &order.State{Models: done, Loading: coming, Role: e.role},
+		State: &order.State{Models: done, Loading: loading, Role: e.role},
 	}
 	for _, m := range done {
 		v.Serves = append(v.Serves, order.Served(m))
@@ -103,7 +103,7 @@
 	e.down = false
 }
 
-func (w *world) serving(name string) (n int) {
+func (w *simulation) serving(name string) (n int) {
 	for _, e := range w.engines {
 		if e.serves(w.now, name) {
 			n++
@@ -112,7 +112,7 @@
 	return n
 }
 
-func (w *world) holding(full string) (n int) {
+func (w *simulation) holding(full string) (n int) {
 	for _, e := range w.engines {
 		if done, _ := e.loaded(w.now); !e.down && slices.Contains(done, full) {
 			n++
@@ -122,17 +122,17 @@
 }
 
 // busy reports whether an engine that serves the model has work.
-func (w *world) busy(name string) bool {
+func (w *simulation) busy(name string) bool {
 	return slices.ContainsFunc(w.engines, func(e *fakeEngine) bool { return e.running > 0 && e.serves(w.now, name) })
 }
 
-func (w *world) engine(name string) *fakeEngine {
+func (w *simulation) engine(name string) *fakeEngine {
 	i := slices.IndexFunc(w.engines, func(e *fakeEngine) bool { return e.name == name })
 	return w.engines[i]
 }
 
-// step lets one second pass and carries out the orders.
-func (w *world) step() []order.Order {
+// step advances the time by one second and carries out the orders.
+func (w *simulation) step() []order.Order {
 	w.now = w.now.Add(time.Second)
 	var view []order.Engine
 	for _, e := range w.engines {
@@ -140,18 +140,18 @@
 			view = append(view, e.view(w.now))
 		}
 	}
-	w.last = w.d.Step(w.now, view, w.may)
+	w.last = w.domain.Step(w.now, view, w.authority)
 	for _, o := range w.last.Orders {
 		w.apply(o)
-		w.d.Answered(o.Engine)
+		w.domain.Answered(o.Engine)
 	}
 	w.orders += len(w.last.Orders)
 	return w.last.Orders
 }
 
-func (w *world) apply(o order.Order) {
+func (w *simulation) apply(o order.Order) {
 	e := w.engine(o.Engine)
-	if e.deaf {
+	if e.ignoresOrders {
 		return
 	}
 	before := map[string]bool{}
@@ -159,11 +159,11 @@
 		before[m.Name] = w.serving(m.Name) > 0 && w.busy(m.Name)
 	}
 	maps.DeleteFunc(e.models, func(m string, _ time.Time) bool { return !slices.Contains(o.Models, m) })
-	free := w.now
+	loadedAt := w.now
 	for _, m := range o.Models {
 		if _, held := e.models[m]; !held {
-			free = free.Add(w.loadTime)
-			e.models[m] = free
+			loadedAt = loadedAt.Add(w.loadTime)
+			e.models[m] = loadedAt
 			e.loads++
 			w.loadedMB += w.size(m)
 		}
@@ -176,7 +176,7 @@
 	}
 }
 
-func (w *world) size(full string) int {
+func (w *simulation) size(full string) int {
 	for _, m := range w.doc.Models {
 		if order.Name(&m) == full {
 			return m.SizeMB
@@ -188,14 +188,15 @@
 	return 0
 }
 
-func (w *world) run(seconds int) {
+func (w *simulation) run(seconds int) {
 	for range seconds {
 		w.step()
 	}
 }
 
-// quiet runs until no order is given for a while; it reports whether that came.
-func (w *world) quiet(within int) bool {
+// converges runs until no order has been given for more than 400 seconds, and reports
+// whether that happened within the given number of seconds.
+func (w *simulation) converges(within int) bool {
 	still := 0
 	for range within {
 		if len(w.step()) > 0 {
@@ -207,8 +208,8 @@
 	return false
 }
 
-// budget returns what the store may have given so far.
-func (w *world) budget() int {
+// budget returns how many megabytes may have been ordered so far.
+func (w *simulation) budget() int {
 	largest := 0
 	for _, m := range w.doc.Models {
 		largest = max(largest, m.SizeMB+len(m.Adapters)*max(m.SizeMB/50, 1))
--- a/instance/control/operate.go
+++ b/instance/control/operate.go
@@ -24,7 +24,7 @@
 )
 
 // Unknowns implements admin.Claims.
-func (s *Service) Unknowns(ctx context.Context) (list []claim.Named, err error) {
+func (s *Service) Unknowns(ctx context.Context) (list []claim.KeyedClaim, err error) {
 	g := s.group.Load()
 	if g == nil {
 		err = s.ask(ctx, channelUnknowns, struct{}{}, &list)
@@ -50,7 +50,7 @@
 // operator's word counts for the attempt that was unknown, and for no later one.
 func (s *Service) Resolve(ctx context.Context, operator string, key claim.Key, as claim.Outcome) error {
 	ledger := plain.ProposeFunc(s.Propose)
-	r, err := ledger.Submit(ctx, &claim.Command{Op: claim.OpLook, Key: key})
+	r, err := ledger.Submit(ctx, &claim.Command{Op: claim.OpRead, Key: key})
 	if err != nil {
 		return err
 	}
--- a/instance/order/fakes_test.go
+++ b/instance/order/fakes_test.go
@@ -149,7 +149,7 @@
 func newPlace(t testing.TB, checks ...bool) *place {
 	p := &place{GomegaWithT: NewWithT(t), t: t, group: fence.New(), doc: &intent.Document{
 		Models:  []intent.Model{{Name: "m", Version: "1", Replicas: len(checks), SizeMB: 1}},
-		Weights: intent.Weights{RateMB: 1000, Loads: 100},
+		Weights: intent.Weights{RateMB: 1000, MaxConcurrentLoads: 100},
 	}}
 	p.SetDefaultEventuallyTimeout(20 * time.Second)
 	p.SetDefaultEventuallyPollingInterval(2 * time.Millisecond)
@@ -300,7 +300,7 @@
 			return n.newest
 		},
 		Now:  n.now,
-		Plan: core.Config{Backoff: 50 * time.Millisecond, Idle: 50 * time.Millisecond},
+		Plan: core.Config{Backoff: 50 * time.Millisecond, IdleAfter: 50 * time.Millisecond},
 		Tick: 5 * time.Millisecond, TTL: ttl, Margin: 50 * time.Millisecond, Flight: 100 * time.Millisecond,
 		ReadEvery: 50 * time.Millisecond, ReadLoading: 10 * time.Millisecond, CallTimeout: 2 * time.Second, Keep: 300 * time.Millisecond,
 	}, "1")
--- a/instance/relay/conn.go
+++ b/instance/relay/conn.go
@@ -118,7 +118,7 @@
 func (c *conn) beginRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.Begins()
+	c.life.BeginRequest()
 	_ = c.nc.SetReadDeadline(time.Now().Add(limits(c.s.cfg.State.View()).HeaderTimeout))
 }
 
@@ -128,7 +128,7 @@
 	c.s.inFlight.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.Takes()
+	c.life.RequestRead()
 	_ = c.nc.SetReadDeadline(time.Time{})
 }
 
@@ -136,7 +136,7 @@
 func (c *conn) drop() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.Drops()
+	c.life.DropRequest()
 	c.s.inFlight.Add(-1)
 }
 
@@ -197,7 +197,7 @@
 func (c *conn) sweep(ran time.Duration, lastCall bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.life.Sweep(ran) == drain.Now || lastCall && c.life.Reading() {
+	if c.life.Sweep(ran) == drain.CloseNow || lastCall && c.life.Reading() {
 		_ = c.nc.SetReadDeadline(time.Now())
 	}
 }
--- a/instance/roles/listener.go
+++ b/instance/roles/listener.go
@@ -92,13 +92,13 @@
 	case fasthttp.StateNew:
 		l.conns[c] = &drain.Conn{}
 	case fasthttp.StateActive:
-		l.conns[c].Begins()
+		l.conns[c].BeginRequest()
 		if l.draining.Load() {
 			// A sweep may have ended the reading right before.
 			_ = c.SetReadDeadline(time.Now().Add(drainCalls))
 		}
 	case fasthttp.StateIdle:
-		l.conns[c].Takes()
+		l.conns[c].RequestRead()
 		l.conns[c].Answered(drain.Serving, true)
 	case fasthttp.StateClosed, fasthttp.StateHijacked:
 		delete(l.conns, c)
@@ -109,7 +109,7 @@
 func (l *listener) end(ctx context.Context, limit time.Duration) (err error) {
 	l.ended.Do(func() {
 		l.draining.Store(true)
-		course := drain.Begin(clock.Now(), 0, limit)
+		course := drain.NewSchedule(clock.Now(), 0, limit)
 		err = shutdown.Run(ctx, &course, l)
 	})
 	return err
@@ -148,7 +148,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c, life := range l.conns {
-		if life.Sweep(ran) == drain.Now || lastCall && life.Reading() {
+		if life.Sweep(ran) == drain.CloseNow || lastCall && life.Reading() {
 			_ = c.SetReadDeadline(time.Now())
 		}
 	}
--- a/instance/shutdown/shutdown.go
+++ b/instance/shutdown/shutdown.go
@@ -31,7 +31,7 @@
 	last := drain.NewLastPhase(course, poll)
 	for {
 		now := clock.Now()
-		s.Sweep(last.Look(now), course.LastCall(now))
+		s.Sweep(last.Tick(now), course.RefusesIncomplete(now))
 		w := s.Work()
 		switch last.Next(now, w) {
 		case drain.CloseListener:
@@ -57,8 +57,8 @@
 // AwaitQuiet waits until the process has run for a span without work. It fails with
 // fault.DeadlineExceeded when ctx ends before.
 func AwaitQuiet(ctx context.Context, span time.Duration, busy func() bool) error {
-	quiet := drain.NewQuiet(span, quietPoll)
-	for !quiet.Look(clock.Now(), busy()) {
+	quiet := drain.NewQuietPeriod(span, quietPoll)
+	for !quiet.Tick(clock.Now(), busy()) {
 		if !clock.Sleep(ctx, quietPoll) {
 			return fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "requests are still in flight")
 		}
