--- a/core/raft/doc.go
+++ b/core/raft/doc.go
@@ -1,10 +1,11 @@
-// Package raft is the consensus protocol of the control group as a pure step
-// function: messages and times go in, messages and records to persist come out.
-// It does no I/O, starts no goroutine and draws randomness from a source that is
-// passed in, so that every run can be repeated from its seed.
+// Package raft implements the Raft consensus protocol of the control group as a pure state
+// machine: it takes messages and timestamps as input and returns messages to send and
+// records to persist. It performs no I/O, starts no goroutines and takes its randomness
+// from a source that is passed in, so every run can be reproduced from its seed.
 //
-// It has pre-vote, check-quorum, a leader lease and ReadIndex for reads, learners,
-// changes of one member at a time, leadership transfer, snapshots and flow control.
+// It implements pre-vote, check-quorum, leader leases and ReadIndex reads, learners,
+// membership changes of one member at a time, leadership transfer, snapshots and flow
+// control.
 package raft
 
 import (
@@ -14,75 +15,78 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// MemberID names one initialised disk. It is drawn at random when the disk is
-// initialised, so that a wiped disk is a new member: were it to keep its ID, it
-// could vote twice in a term whose vote it forgot, and elect a leader that lacks
-// committed entries. Zero means nobody.
+// MemberID identifies one initialised disk. It is drawn at random when the disk is
+// initialised, so a wiped disk is a new member. If it kept its ID, it could vote twice in a
+// term whose vote it lost, and elect a leader that lacks committed entries. Zero means no
+// member.
 type MemberID uint64
 
-// ClusterID names one history. It is drawn at random at the founding, and
-// messages of another cluster are dropped.
+// ClusterID identifies one replicated history. It is drawn at random when the group is
+// founded; messages with another cluster ID are dropped.
 type ClusterID string
 
-// Defaults of a Config. They suit one-way times of up to a hundred milliseconds,
-// as between regions: an election starts after five lost heartbeats, so that a
-// pause of a busy instance deposes nobody. At ten a second, heartbeats to ten
-// followers were all of the 18 KB/s that an instance has for control.
+// Defaults of a Config. They suit one-way latencies of up to 100 ms, as between regions. An
+// election starts after five missed heartbeats, so a short pause of a busy instance does
+// not depose the leader. At ten heartbeats a second, heartbeats to ten followers used all
+// of the 18 KB/s that an instance has for control traffic.
 const (
 	DefaultHeartbeat       = 200 * time.Millisecond
 	DefaultElectionTimeout = time.Second
 	DefaultMaxBatch        = 256
 	DefaultMaxWindow       = 2048
 	DefaultMaxUncommitted  = 8192
-	// DefaultMaxBatchBytes keeps an append well below the size of a message
-	// that links between instances accept.
+	// DefaultMaxBatchBytes keeps an append well below the maximum message size of links
+	// between instances.
 	DefaultMaxBatchBytes = 1 << 20
-	// DefaultMaxUncommittedBytes bounds what a leader without a quorum gathers
-	// in memory.
+	// DefaultMaxUncommittedBytes bounds the memory that proposals take while a leader has
+	// no quorum.
 	DefaultMaxUncommittedBytes = 8 << 20
-	// FoundingTerm is the term of a founding's snapshot. It has no leader.
+	// FoundingTerm is the term of the snapshot that founds a group. It has no leader.
 	FoundingTerm = 1
-	// foundingHaste divides the election timeout until the first election, which
-	// disturbs nobody, so that a new group serves soon.
-	foundingHaste = 5
-	// leaseShare is the share of the restart timeout that a lease lasts. The
-	// rest covers clocks that run at different rates, up to a tenth apart.
-	leaseShare = 0.9
+	// foundingElectionDivisor divides the election timeout until the first election, so
+	// that a new group serves soon. There is no leader yet that an early election could
+	// depose.
+	foundingElectionDivisor = 5
+	// leaseFraction is the fraction of the restart timeout for which a lease is valid. The
+	// rest tolerates clocks whose rates differ by up to a tenth.
+	leaseFraction = 0.9
 )
 
-// Config holds what a Node needs to know at its start.
+// Config configures a Node. Zero values of durations and limits mean the defaults.
 type Config struct {
 	ID      MemberID
 	Cluster ClusterID
-	// Heartbeat is the time between two heartbeats of the leader.
+	// Heartbeat is the interval between heartbeats of the leader.
 	Heartbeat time.Duration
-	// ElectionTimeout is the least silence after which a member campaigns; the
-	// actual one is drawn between it and twice it.
+	// ElectionTimeout is the minimum time without contact from a leader before a member
+	// campaigns. The actual timeout is drawn between one and two times this value.
 	ElectionTimeout time.Duration
-	// RestartTimeout is for how long a member ignores votes, and does not campaign, that
-	// was restarted and so has forgotten when it last heard a leader. Leases of leaders are
-	// shorter: while a leader may count on one, nobody who granted it may elect another.
-	// Zero means the election timeout. A shorter one lets a group elect sooner after all
-	// members were killed; below two heartbeats, leases lapse and reads ask a quorum.
+	// RestartTimeout is how long a restarted member ignores vote requests and does not
+	// campaign, because it no longer knows when it last heard from a leader. Leases of
+	// leaders are shorter: while a lease may be valid, no member that granted it can elect
+	// another leader. Zero means the election timeout. A shorter value lets a group elect a
+	// leader sooner after all members were killed; below two heartbeats, leases expire and
+	// reads need a quorum.
 	RestartTimeout time.Duration
-	// MaxBatch bounds the entries of one append.
+	// MaxBatch limits the entries of one append.
 	MaxBatch int
-	// MaxWindow bounds the entries that are sent to a member but unacknowledged.
+	// MaxWindow limits the unacknowledged entries in flight to one member.
 	MaxWindow uint64
-	// MaxUncommitted bounds the leader's uncommitted entries; proposals above
-	// it are refused.
+	// MaxUncommitted limits the leader's uncommitted entries; proposals beyond it are
+	// rejected.
 	MaxUncommitted uint64
-	// MaxBatchBytes bounds the data of one append, but for a single entry that
-	// is larger; MaxUncommittedBytes is as MaxUncommitted.
+	// MaxBatchBytes limits the data of one append, except that a single larger entry is
+	// sent on its own. MaxUncommittedBytes limits the data of uncommitted entries in the
+	// same way.
 	MaxBatchBytes       int
 	MaxUncommittedBytes int
-	// Rand spreads the election timeouts.
+	// Rand randomises the election timeouts.
 	Rand *rand.Rand
 }
 
 func (c *Config) validate() error {
 	if c.ID == 0 || c.Cluster == "" || c.Rand == nil {
-		return fault.New(fault.Invalid, "a member needs an ID, a cluster and a source of randomness")
+		return fault.New(fault.Invalid, "a raft member needs an ID, a cluster ID and a source of randomness")
 	}
 	setDefault(&c.Heartbeat, DefaultHeartbeat)
 	setDefault(&c.ElectionTimeout, DefaultElectionTimeout)
@@ -93,10 +97,10 @@
 	setDefault(&c.MaxBatchBytes, DefaultMaxBatchBytes)
 	setDefault(&c.MaxUncommittedBytes, DefaultMaxUncommittedBytes)
 	if c.ElectionTimeout < 2*c.Heartbeat {
-		return fault.New(fault.Invalid, "election timeout %v is below two heartbeats of %v", c.ElectionTimeout, c.Heartbeat)
+		return fault.New(fault.Invalid, "election timeout %v is less than two heartbeat intervals of %v", c.ElectionTimeout, c.Heartbeat)
 	}
 	if c.RestartTimeout > c.ElectionTimeout || c.RestartTimeout < 0 {
-		return fault.New(fault.Invalid, "restart timeout %v is above the election timeout of %v, or below zero", c.RestartTimeout, c.ElectionTimeout)
+		return fault.New(fault.Invalid, "restart timeout %v must be between zero and the election timeout of %v", c.RestartTimeout, c.ElectionTimeout)
 	}
 	return nil
 }
--- a/core/raft/election.go
+++ b/core/raft/election.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// sticky reports whether the member still holds to a leader that it heard within
-// the election timeout. Such a member ignores votes: a member that was cut off
-// and comes back cannot depose a healthy leader, and a leader's lease stays good
-// until a quorum has been silent for the timeout.
-func (n *Node) sticky(now time.Time) bool {
-	return n.role == Leader || now.Sub(n.heard) < n.cfg.ElectionTimeout
+// hasRecentLeader reports whether this member leads or has heard from a leader within the
+// election timeout. Such a member ignores vote requests: a member that rejoins after a
+// partition cannot depose a healthy leader, and a lease stays valid until a quorum has not
+// heard from the leader for the timeout.
+func (n *Node) hasRecentLeader(now time.Time) bool {
+	return n.role == Leader || now.Sub(n.lastLeaderContact) < n.cfg.ElectionTimeout
 }
 
-// campaign starts an election: at first a pre-vote, which changes nobody's term,
-// so that a member that cannot win does not disturb the group. A transfer skips
-// it, since the leader itself asked for the election.
+// campaign starts an election with a pre-vote, which changes no terms, so a member that
+// cannot win does not disrupt the group. A leadership transfer skips the pre-vote, since
+// the leader itself asked for the election.
 func (n *Node) campaign(now time.Time, transfer bool) {
 	kind, term := MsgPreVote, n.term+1
 	n.role, n.leader = PreCandidate, 0
@@ -21,8 +21,8 @@
 		n.becomeCandidate()
 	}
 	n.votes = map[MemberID]bool{n.cfg.ID: true}
-	n.resetCampaign(now)
-	n.askVotes(kind, term, transfer)
+	n.resetElectionTimeout(now)
+	n.requestVotes(kind, term, transfer)
 	n.countVotes(now)
 }
 
@@ -33,7 +33,7 @@
 	n.votes = map[MemberID]bool{n.cfg.ID: true}
 }
 
-func (n *Node) askVotes(kind MessageKind, term uint64, transfer bool) {
+func (n *Node) requestVotes(kind MessageKind, term uint64, transfer bool) {
 	for _, id := range n.members().Voters() {
 		if id != n.cfg.ID {
 			n.send(Message{Kind: kind, To: id, Term: term, Index: n.log.last(), LogTerm: n.log.lastTerm(), Transfer: transfer})
@@ -43,7 +43,7 @@
 
 func (n *Node) handleVote(now time.Time, m Message) {
 	if m.Kind == MsgPreVote {
-		grant := m.Term > n.term && !n.sticky(now) && n.log.covered(m.Index, m.LogTerm)
+		grant := m.Term > n.term && !n.hasRecentLeader(now) && n.log.isUpToDate(m.Index, m.LogTerm)
 		reply := Message{Kind: MsgPreVoteReply, To: m.From, Reject: !grant}
 		if grant {
 			reply.Term = m.Term
@@ -51,11 +51,11 @@
 		n.send(reply)
 		return
 	}
-	free := n.vote == m.From || (n.vote == 0 && n.leader == 0)
-	grant := free && n.log.covered(m.Index, m.LogTerm)
+	canVote := n.vote == m.From || (n.vote == 0 && n.leader == 0)
+	grant := canVote && n.log.isUpToDate(m.Index, m.LogTerm)
 	if grant {
 		n.vote = m.From
-		n.resetCampaign(now)
+		n.resetElectionTimeout(now)
 	}
 	n.send(Message{Kind: MsgVoteReply, To: m.From, Reject: !grant})
 }
@@ -79,21 +79,21 @@
 		return
 	}
 	if n.role == Candidate {
-		n.lead(now)
+		n.becomeLeader(now)
 		return
 	}
 	n.becomeCandidate()
-	n.askVotes(MsgVote, n.term, false)
+	n.requestVotes(MsgVote, n.term, false)
 	n.countVotes(now)
 }
 
-// lead makes the member the leader of its term. The entry that it appends lets
-// it commit: entries of earlier terms commit only along with one of its own.
-func (n *Node) lead(now time.Time) {
+// becomeLeader makes the member the leader of its term. It appends a no-op entry because
+// entries of earlier terms can be committed only together with one of its own term.
+func (n *Node) becomeLeader(now time.Time) {
 	n.role, n.leader = Leader, n.cfg.ID
 	n.votes = nil
-	n.leaseLost = false
-	n.uncommitted = n.log.bytes(n.commit+1, n.log.last())
+	n.leaseRevoked = false
+	n.uncommitted = n.log.dataSize(n.commit+1, n.log.last())
 	n.rounds = map[uint64]time.Time{}
 	clear(n.progress)
 	n.syncProgress(now, n.log.last()+1)
@@ -102,17 +102,17 @@
 	n.startRound(now)
 }
 
-// Transfer hands the leadership to another voter. Proposals are refused until it
-// is done or an election timeout has passed.
+// Transfer transfers the leadership to another voter. Proposals are rejected until the
+// transfer is complete or an election timeout has passed.
 func (n *Node) Transfer(now time.Time, to MemberID) error {
 	if n.role != Leader || !n.members().voter(to) || to == n.cfg.ID {
 		return n.notLeader()
 	}
 	n.transferee = to
-	n.transferUntil = now.Add(n.cfg.ElectionTimeout)
-	// The order to campaign may arrive late, even after the transfer was given
-	// up, and its election overrides stickiness, on which the lease rests.
-	n.leaseLost = true
+	n.transferDeadline = now.Add(n.cfg.ElectionTimeout)
+	// MsgTimeoutNow may arrive late, even after the transfer has timed out. The election
+	// that it starts overrides hasRecentLeader, on which the lease rests.
+	n.leaseRevoked = true
 	n.sendTimeoutNow()
 	return nil
 }
--- a/core/raft/explore_test.go
+++ b/core/raft/explore_test.go
@@ -14,11 +14,11 @@
 
 const seeds = 150
 
-// What a user would see: a confirmed change is gone, or two instances act on
-// different configurations. What happens: messages are lost, late, doubled and
-// crossed, members crash between any two steps, freeze, are cut off in one
-// direction, lose their disks and are replaced, while members are added, promoted
-// and removed. Cause, if it fails: one of the protocol's rules does not hold.
+// Guards against the loss of a committed change and against instances that apply different
+// configurations. Messages are lost, delayed, duplicated and reordered; members crash
+// between any two steps, are suspended, partitioned in one direction, lose their disks and
+// are replaced, while members are added, promoted and removed. A failure means that a rule
+// of the protocol is violated.
 func TestNothingCommittedIsLostUnderFaults(t *testing.T) {
 	var commits, reads, leaders int
 	for seed := range int64(seeds) {
@@ -39,17 +39,17 @@
 			t.Fatalf("seed %d: %s", seed, strings.Join(s.bad, "\n"))
 		}
 		if !recovered || !s.level() {
-			t.Fatalf("seed %d: the group does not recover: %s", seed, s.describe())
+			t.Fatalf("seed %d: the group did not recover: %s", seed, s.describe())
 		}
 		commits += len(s.commits)
 		reads += s.served
 		leaders += len(s.leaders)
 	}
 	t.Logf("%d seeds: %d entries, %d reads, %d leaders", seeds, commits, reads, leaders)
-	NewWithT(t).Expect(min(commits/100, reads/100, leaders/10)).To(BeNumerically(">", seeds/100), "the faults must leave room for work")
+	NewWithT(t).Expect(min(commits/100, reads/100, leaders/10)).To(BeNumerically(">", seeds/100), "the group must make progress in spite of the faults")
 }
 
-// disturb makes at most one thing happen.
+// injectFault causes at most one event: load, a fault or a step of a repair.
 func (s *sim) disturb() {
 	h := s.hosts[s.order[s.rnd.Intn(len(s.order))]]
 	other := s.order[s.rnd.Intn(len(s.order))]
@@ -90,8 +90,8 @@
 	s.read(h)
 }
 
-// loseDisk replaces one disk at a time: the old member is gone for good and the
-// newcomer under its name has another ID and an empty disk.
+// loseDisk replaces the disk of one member at a time: the old member never returns, and its
+// replacement has another ID and an empty disk.
 func (s *sim) loseDisk(h *host) {
 	if h.gone {
 		return
@@ -107,7 +107,7 @@
 	s.nextID++
 }
 
-// repair does the next step of replacing a lost member.
+// replaceLostMember performs the next step of replacing a member that lost its disk.
 func (s *sim) repair() {
 	l := s.leader()
 	if l == nil {
@@ -136,8 +136,8 @@
 	s.drain(l)
 }
 
-// forget drops a removed member from the observer's books once its removal is
-// committed, so that the next disk may be lost.
+// forget drops a removed member from the simulation once its removal is committed, so that
+// another disk may be lost.
 func (s *sim) forget(id raft.MemberID) {
 	if _, in := s.committedMembers().Get(id); in {
 		return
@@ -146,7 +146,7 @@
 	s.order = slices.DeleteFunc(s.order, func(x raft.MemberID) bool { return x == id })
 }
 
-// committedMembers returns the newest membership that was seen committed.
+// committedMembers returns the latest membership that was observed as committed.
 func (s *sim) committedMembers() raft.Members {
 	members := s.founders
 	var newest uint64
@@ -158,7 +158,7 @@
 	return members
 }
 
-// level reports whether all members of the group have applied everything.
+// converged reports whether all members of the group have applied every committed entry.
 func (s *sim) level() bool {
 	l := s.leader()
 	if l == nil {
@@ -172,8 +172,8 @@
 	return true
 }
 
-// checkLogs checks log matching: where two logs agree on an entry's term, they
-// agree on all before it.
+// checkLogs checks log matching: logs that agree on the term of an entry agree on all
+// entries before it.
 func (s *sim) checkLogs() {
 	for _, a := range s.hosts {
 		for _, b := range s.hosts {
@@ -209,8 +209,8 @@
 	return b.String()
 }
 
-// BenchmarkRecovery measures the time from a leader's death to the next commit,
-// as a multiple of the election timeout and in ticks of the simulated clock.
+// BenchmarkRecovery measures the time from a leader's failure to the next commit, as a
+// multiple of the election timeout and in ticks of the simulated clock.
 func BenchmarkRecovery(b *testing.B) {
 	ticks := 0
 	for i := range b.N {
--- a/core/raft/follow.go
+++ b/core/raft/follow.go
@@ -6,17 +6,17 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// handleLeader handles what a leader of this term sends.
+// handleLeaderMessage handles an append, a snapshot or a heartbeat of the current term.
 func (n *Node) handleLeader(now time.Time, m Message) {
 	if n.role == Leader {
-		n.failed = fault.New(fault.Internal, "member %x leads term %d as well", m.From, n.term)
+		n.fatalErr = fault.New(fault.Internal, "member %x also claims to lead term %d", m.From, n.term)
 		return
 	}
 	if n.role != Follower || n.leader != m.From {
-		n.follow(now, n.term, m.From)
+		n.becomeFollower(now, n.term, m.From)
 	}
-	n.heard = now
-	n.resetCampaign(now)
+	n.lastLeaderContact = now
+	n.resetElectionTimeout(now)
 	switch m.Kind {
 	case MsgAppend:
 		n.handleAppend(now, m)
@@ -40,7 +40,7 @@
 		return
 	}
 	n.merge(now, m.Entries)
-	if n.failed != nil {
+	if n.fatalErr != nil {
 		return
 	}
 	reply.Index = m.Index + uint64(len(m.Entries))
@@ -48,8 +48,8 @@
 	n.send(reply)
 }
 
-// skipCommitted drops the entries of an append that are committed here: they
-// cannot differ, and their predecessor may have been truncated.
+// skipCommitted drops the entries of an append that are committed here. They cannot differ,
+// and the entry before them may have been compacted.
 func skipCommitted(m Message, commit, term uint64) Message {
 	skip := min(commit-m.Index, uint64(len(m.Entries)))
 	m.Entries = m.Entries[skip:]
@@ -57,7 +57,7 @@
 	return m
 }
 
-// conflictHint returns the last index that may match the leader's log.
+// conflictHint returns the highest index at which this log may match the leader's.
 func (n *Node) conflictHint(index uint64) uint64 {
 	if index > n.log.last() {
 		return n.log.last()
@@ -69,8 +69,8 @@
 	return index
 }
 
-// merge appends entries. Those that are there already are kept, even if more
-// follow: a late append must not cut off entries that were acknowledged since.
+// merge appends entries. Entries that match the log are kept along with all after them: a
+// delayed append must not truncate entries that were acknowledged since.
 func (n *Node) merge(now time.Time, entries []Entry) {
 	for _, e := range entries {
 		if e.Index <= n.log.last() {
@@ -78,15 +78,15 @@
 				continue
 			}
 			if e.Index <= n.commit {
-				n.failed = fault.New(fault.Internal, "entry %d is committed with term %d, the leader has term %d", e.Index, n.log.term(e.Index), e.Term)
+				n.fatalErr = fault.New(fault.Internal, "entry %d is committed with term %d, but the leader sent it with term %d", e.Index, n.log.term(e.Index), e.Term)
 				return
 			}
-			n.log.cut(e.Index)
-			n.forgetMembers(e.Index)
+			n.log.truncateFrom(e.Index)
+			n.rollbackMembers(e.Index)
 		}
 		n.log.entries = append(n.log.entries, e)
 		if e.Kind == EntryMembers {
-			n.noteMembers(now, e.Index, e.Members)
+			n.recordMembers(now, e.Index, e.Members)
 		}
 	}
 }
@@ -95,9 +95,9 @@
 	n.commit = max(n.commit, min(index, n.log.last()))
 }
 
-// handleSnapshot takes over a leader's snapshot. If the log holds the entry that
-// the snapshot ends with, the log is right and goes on beyond it, and only the
-// commit moves: to drop the rest would forget entries that were acknowledged.
+// handleSnapshot installs a leader's snapshot. If the log contains the snapshot's last
+// entry, only the commit index moves: dropping the entries after it would lose acknowledged
+// ones.
 func (n *Node) handleSnapshot(m Message) {
 	s := m.Snapshot
 	if s == nil {
@@ -108,7 +108,7 @@
 	}
 	if s.Index > n.commit {
 		n.log.reset(s)
-		n.changes = []membersAt{{index: s.Index, members: s.Members}}
+		n.memberships = []indexedMembers{{index: s.Index, members: s.Members}}
 		n.commit, n.applied = s.Index, s.Index
 		n.snapshot = s
 	}
--- a/core/raft/log.go
+++ b/core/raft/log.go
@@ -1,12 +1,12 @@
 package raft
 
-// memLog holds the entries after the last snapshot in memory.
+// memLog holds in memory the log entries after the last snapshot.
 type memLog struct {
-	// snapIndex and snapTerm name the last entry that the snapshot covers.
+	// snapIndex and snapTerm identify the last entry covered by the snapshot.
 	snapIndex, snapTerm uint64
 	snapAt              int64
 	entries             []Entry
-	// stable is the highest index that is synced.
+	// stable is the highest synced index.
 	stable uint64
 }
 
@@ -21,7 +21,7 @@
 	return l.entries[len(l.entries)-1].At
 }
 
-// term returns the term of an entry, or 0 when it is not known.
+// term returns the term of an entry, or 0 if it is unknown.
 func (l *memLog) term(index uint64) uint64 {
 	switch {
 	case index == l.snapIndex:
@@ -32,12 +32,12 @@
 	return l.entries[index-l.snapIndex-1].Term
 }
 
-// has reports whether the log holds exactly that entry.
+// has reports whether the log contains the entry with this index and term.
 func (l *memLog) has(index, term uint64) bool {
 	return index >= l.snapIndex && index <= l.last() && l.term(index) == term
 }
 
-// view returns the entries from low to high, both included, as they are.
+// view returns the entries from low to high, both included, without copying.
 func (l *memLog) view(low, high uint64) []Entry {
 	low = max(low, l.snapIndex+1)
 	high = min(high, l.last())
@@ -47,13 +47,13 @@
 	return l.entries[low-l.snapIndex-1 : high-l.snapIndex]
 }
 
-// slice is view with a copy of the entries.
+// slice returns a copy of the entries from low to high, both included.
 func (l *memLog) slice(low, high uint64) []Entry {
 	return append([]Entry(nil), l.view(low, high)...)
 }
 
-// bytes returns the size of the data of the entries from low to high.
-func (l *memLog) bytes(low, high uint64) int {
+// dataSize returns the size of the data of the entries from low to high, in dataSize.
+func (l *memLog) dataSize(low, high uint64) int {
 	size := 0
 	for _, e := range l.view(low, high) {
 		size += len(e.Data)
@@ -61,9 +61,9 @@
 	return size
 }
 
-// within returns the highest index such that the data from low up to it does not
-// exceed limit, but at least low.
-func (l *memLog) within(low, high uint64, limit int) uint64 {
+// limitBytes returns the highest index, at least low, such that the data of the entries
+// from low to it does not exceed limit.
+func (l *memLog) limitBytes(low, high uint64, limit int) uint64 {
 	for i, e := range l.view(low, high) {
 		limit -= len(e.Data)
 		if limit < 0 && i > 0 {
@@ -73,8 +73,8 @@
 	return high
 }
 
-// cut drops the entries from index on.
-func (l *memLog) cut(index uint64) {
+// truncateFrom drops the entries from index on.
+func (l *memLog) truncateFrom(index uint64) {
 	l.entries = l.entries[:index-l.snapIndex-1]
 	l.stable = min(l.stable, index-1)
 }
@@ -86,13 +86,14 @@
 	l.snapIndex, l.snapTerm, l.snapAt = index, term, at
 }
 
-// reset replaces the log by a snapshot.
+// reset replaces the log with a snapshot.
 func (l *memLog) reset(s *Snapshot) {
 	*l = memLog{snapIndex: s.Index, snapTerm: s.Term, snapAt: s.At, stable: s.Index}
 }
 
-// covered reports whether a log that ends with (index, term) is at least as new.
-func (l *memLog) covered(index, term uint64) bool {
+// isUpToDate reports whether a log that ends with (index, term) is at least as up to date
+// as this one.
+func (l *memLog) isUpToDate(index, term uint64) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
 	}
--- a/core/raft/members.go
+++ b/core/raft/members.go
@@ -8,19 +8,19 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// MaxMembers bounds the control group.
+// MaxMembers limits the size of the control group.
 const MaxMembers = 11
 
-// Member is one instance of the control group.
+// Member is one member of the control group.
 type Member struct {
 	ID MemberID `codec:"i"`
 	// Name is the name of the instance that holds the disk.
 	Name string `codec:"n"`
-	// Voter is false for a learner, which only follows.
+	// Voter is false for a learner, which receives the log but does not vote.
 	Voter bool `codec:"v"`
 }
 
-// Members is the membership, sorted by ID.
+// Members is a membership, sorted by ID.
 type Members []Member
 
 // Get returns the member with the given ID.
@@ -86,27 +86,27 @@
 	return len(voters) > 0 && count > len(voters)/2
 }
 
-// AddLearner proposes a new member that follows without a vote. It returns the
-// index of the change, or fault.NotRun, fault.Conflict or fault.Invalid.
+// AddLearner proposes a new non-voting member. It returns the index of the change, or
+// fault.NotRun, fault.Conflict or fault.Invalid.
 func (n *Node) AddLearner(now time.Time, id MemberID, name string) (uint64, error) {
-	if err := n.mayChange(); err != nil {
+	if err := n.checkChangeAllowed(); err != nil {
 		return 0, err
 	}
 	if _, known := n.members().Get(id); known || id == 0 {
-		return 0, fault.New(fault.Conflict, "member %x is in the group already", id)
+		return 0, fault.New(fault.Conflict, "member %x is already in the group", id)
 	}
 	if len(n.members()) >= MaxMembers {
-		return 0, fault.New(fault.Invalid, "the group has %d members, which is the limit", MaxMembers)
+		return 0, fault.New(fault.Invalid, "the group already has the maximum of %d members", MaxMembers)
 	}
-	return n.change(now, n.members().with(Member{ID: id, Name: name}))
+	return n.proposeMembers(now, n.members().with(Member{ID: id, Name: name}))
 }
 
-// Promote proposes that a learner gets a vote. It fails with fault.NotRun while
-// the learner's synced log lacks a committed entry: a newcomer that counts for
-// the quorum before it has the log makes the next loss of an instance block the
-// group, though the repair was reported done.
+// Promote proposes to make a learner a voter. It fails with fault.NotRun while the
+// learner's synced log lacks a committed entry: if the learner counted towards the quorum
+// before it had the log, the loss of one more instance would block the group although the
+// repair was reported as done.
 func (n *Node) Promote(now time.Time, id MemberID) (uint64, error) {
-	if err := n.mayChange(); err != nil {
+	if err := n.checkChangeAllowed(); err != nil {
 		return 0, err
 	}
 	m, known := n.members().Get(id)
@@ -114,19 +114,19 @@
 		return 0, fault.New(fault.NotFound, "no member %x", id)
 	}
 	if m.Voter {
-		return 0, fault.New(fault.Conflict, "member %x votes already", id)
+		return 0, fault.New(fault.Conflict, "member %x is already a voter", id)
 	}
 	p := n.progress[id]
 	if p.match < n.commit || now.Sub(p.lastAck) > n.cfg.ElectionTimeout {
-		return 0, fault.New(fault.NotRun, "learner %x has synced up to %d of %d", id, p.match, n.commit).After(n.cfg.ElectionTimeout)
+		return 0, fault.New(fault.NotRun, "learner %x has synced the log up to %d of %d", id, p.match, n.commit).After(n.cfg.ElectionTimeout)
 	}
 	m.Voter = true
-	return n.change(now, n.members().with(m))
+	return n.proposeMembers(now, n.members().with(m))
 }
 
-// Remove proposes that a member leaves. The last voter cannot be removed.
+// Remove proposes to remove a member. The last voter cannot be removed.
 func (n *Node) Remove(now time.Time, id MemberID) (uint64, error) {
-	if err := n.mayChange(); err != nil {
+	if err := n.checkChangeAllowed(); err != nil {
 		return 0, err
 	}
 	next := n.members().without(id)
@@ -136,67 +136,67 @@
 	if len(next.Voters()) == 0 {
 		return 0, fault.New(fault.Invalid, "member %x is the last voter", id)
 	}
-	return n.change(now, next)
+	return n.proposeMembers(now, next)
 }
 
-// mayChange refuses a change while another is pending: quorums of memberships
-// that are two changes apart need not overlap, and two leaders could be elected
-// in one term. The same holds for a leader that has not committed in its term
-// yet, since an earlier leader's change may still surface.
-func (n *Node) mayChange() error {
+// checkChangeAllowed rejects a change while another one is pending. Quorums of memberships
+// that are two changes apart need not overlap, so two leaders could be elected in one term.
+// It also rejects a change while the leader has not committed an entry in its term, since a
+// change by an earlier leader may still take effect.
+func (n *Node) checkChangeAllowed() error {
 	if n.role != Leader || n.transferee != 0 {
 		return n.notLeader()
 	}
 	if n.log.term(n.commit) != n.term {
-		return fault.New(fault.NotRun, "the new leader has not committed yet").After(n.cfg.Heartbeat)
+		return fault.New(fault.NotRun, "the new leader has not committed an entry in its term yet").After(n.cfg.Heartbeat)
 	}
-	if n.changes[len(n.changes)-1].index > n.commit {
-		return fault.New(fault.NotRun, "another change of members is pending").After(n.cfg.Heartbeat)
+	if n.memberships[len(n.memberships)-1].index > n.commit {
+		return fault.New(fault.NotRun, "another membership change is pending").After(n.cfg.Heartbeat)
 	}
 	return nil
 }
 
-func (n *Node) change(now time.Time, next Members) (uint64, error) {
+func (n *Node) proposeMembers(now time.Time, next Members) (uint64, error) {
 	index := n.appendEntry(now, Entry{Kind: EntryMembers, Members: next})
 	n.broadcastAppend()
 	return index, nil
 }
 
-// membersAt is a membership and the index of the entry that brought it.
-type membersAt struct {
+// indexedMembers is a membership and the index of the entry that introduced it.
+type indexedMembers struct {
 	index   uint64
 	members Members
 }
 
-// members returns the newest membership in the log, committed or not.
-func (n *Node) members() Members { return n.changes[len(n.changes)-1].members }
+// members returns the latest membership in the log, committed or not.
+func (n *Node) members() Members { return n.memberships[len(n.memberships)-1].members }
 
-// noteMembers puts a membership into force as soon as it is in the log.
-func (n *Node) noteMembers(now time.Time, index uint64, m Members) {
-	n.changes = append(n.changes, membersAt{index: index, members: m})
+// recordMembers makes a membership effective as soon as it is in the log.
+func (n *Node) recordMembers(now time.Time, index uint64, m Members) {
+	n.memberships = append(n.memberships, indexedMembers{index: index, members: m})
 	n.syncProgress(now, index)
 }
 
-// forgetMembers undoes memberships of entries from index on.
-func (n *Node) forgetMembers(index uint64) {
-	for len(n.changes) > 1 && n.changes[len(n.changes)-1].index >= index {
-		n.changes = n.changes[:len(n.changes)-1]
+// rollbackMembers undoes the memberships of entries from index on.
+func (n *Node) rollbackMembers(index uint64) {
+	for len(n.memberships) > 1 && n.memberships[len(n.memberships)-1].index >= index {
+		n.memberships = n.memberships[:len(n.memberships)-1]
 	}
 }
 
-// membersFor returns the membership that was in force at index.
-func (n *Node) membersFor(index uint64) Members {
-	for i := len(n.changes) - 1; i > 0; i-- {
-		if n.changes[i].index <= index {
-			return n.changes[i].members
+// membersAtIndex returns the membership in effect at index.
+func (n *Node) membersAtIndex(index uint64) Members {
+	for i := len(n.memberships) - 1; i > 0; i-- {
+		if n.memberships[i].index <= index {
+			return n.memberships[i].members
 		}
 	}
-	return n.changes[0].members
+	return n.memberships[0].members
 }
 
-// syncProgress makes the leader track exactly the other members. Newcomers are
-// sent the entry next first: one that is in the log already, or a group without
-// proposals would leave them without any entry.
+// syncProgress makes the leader track exactly the other members. Replication to new members
+// starts at the entry next. That entry must already be in the log: otherwise a new member
+// would receive no entry in a group without proposals.
 func (n *Node) syncProgress(now time.Time, next uint64) {
 	if n.role != Leader {
 		return
--- a/core/raft/node.go
+++ b/core/raft/node.go
@@ -6,7 +6,7 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// Role is what a member does in its term.
+// Role is the role of a member in its term.
 type Role uint8
 
 // The roles of a member.
@@ -17,13 +17,12 @@
 	Leader
 )
 
-// String returns the role's name in logs.
 func (r Role) String() string {
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[min(r, Leader)]
 }
 
-// Node is one member. It is not safe for concurrent use. All its times come from
-// its caller and must carry a monotonic clock reading outside tests.
+// Node is one member of the group. It is not safe for concurrent use. All times are passed
+// in by its caller and must carry a monotonic clock reading outside tests.
 type Node struct {
 	cfg    Config
 	role   Role
@@ -31,48 +30,48 @@
 	vote   MemberID
 	leader MemberID
 	commit uint64
-	// applied is the highest index handed out in Ready.Committed.
+	// applied is the highest index returned in Ready.Committed.
 	applied uint64
 	log     memLog
-	// changes lists the membership of the snapshot and those of later entries.
-	changes []membersAt
+	// memberships holds the membership of the snapshot and those of later log entries.
+	memberships []indexedMembers
 
-	// heard is when the current leader was last heard, or the start.
-	heard time.Time
-	// campaignAt is when silence makes this member campaign.
-	campaignAt time.Time
-	votes      map[MemberID]bool
+	// lastLeaderContact is when this member last heard from the current leader, or started.
+	lastLeaderContact time.Time
+	// electionDeadline is when this member campaigns if it hears from no leader.
+	electionDeadline time.Time
+	votes            map[MemberID]bool
 
 	progress    map[MemberID]*progress
 	heartbeatAt time.Time
 	round       uint64
 	rounds      map[uint64]time.Time
 	reads       []pendingRead
-	// uncommitted is the size of the leader's uncommitted data.
+	// uncommitted is the size of the leader's uncommitted data in bytes.
 	uncommitted int
 
-	transferee    MemberID
-	transferUntil time.Time
-	// leaseLost is set for the rest of the term by a transfer.
-	leaseLost bool
+	transferee       MemberID
+	transferDeadline time.Time
+	// leaseRevoked is set by a transfer, for the rest of the term.
+	leaseRevoked bool
 
-	saved    HardState
-	snapshot *Snapshot
-	messages []Message
-	due      []Read
-	failed   error
+	persisted  HardState
+	snapshot   *Snapshot
+	messages   []Message
+	readyReads []Read
+	fatalErr   error
 }
 
-// New returns a member that goes on from what it persisted. A member without a
-// snapshot and entries has no membership: it cannot campaign, and waits for a
-// leader to send it the log.
+// New returns a member that resumes from its persisted state. A member without a snapshot
+// and entries has no membership: it cannot campaign and waits for a leader to send it the
+// log.
 func New(now time.Time, cfg Config, hard HardState, snap Snapshot, entries []Entry) (*Node, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
-	n := &Node{cfg: cfg, term: hard.Term, vote: hard.Vote, saved: hard, progress: map[MemberID]*progress{}}
+	n := &Node{cfg: cfg, term: hard.Term, vote: hard.Vote, persisted: hard, progress: map[MemberID]*progress{}}
 	n.log.reset(&snap)
-	n.changes = []membersAt{{index: snap.Index, members: snap.Members}}
+	n.memberships = []indexedMembers{{index: snap.Index, members: snap.Members}}
 	n.commit, n.applied = snap.Index, snap.Index
 	for _, e := range entries {
 		if e.Index <= snap.Index {
@@ -83,41 +82,41 @@
 		}
 		n.log.entries = append(n.log.entries, e)
 		if e.Kind == EntryMembers {
-			n.noteMembers(now, e.Index, e.Members)
+			n.recordMembers(now, e.Index, e.Members)
 		}
 	}
 	if n.term < n.log.lastTerm() {
-		return nil, fault.New(fault.Corrupt, "the log has term %d, but the member knows only term %d", n.log.lastTerm(), n.term)
+		return nil, fault.New(fault.Corrupt, "the log has term %d, but the persisted term is %d", n.log.lastTerm(), n.term)
 	}
 	n.log.stable = n.log.last()
-	// A restarted member has forgotten whether it acknowledged a heartbeat, on
-	// which a leader's lease rests. Until the restart timeout has passed it
-	// acts as if it had, or it could elect another leader within the lease.
-	n.resetCampaign(now)
-	if !n.unled() {
-		n.heard = now.Add(cfg.RestartTimeout - cfg.ElectionTimeout)
-		n.drawCampaign(now, cfg.RestartTimeout)
+	// A restarted member no longer knows whether it acknowledged a heartbeat, on which a
+	// leader's lease may rest. Until the restart timeout has passed it assumes that it did;
+	// otherwise it could elect another leader while the lease is valid.
+	n.resetElectionTimeout(now)
+	if !n.beforeFirstElection() {
+		n.lastLeaderContact = now.Add(cfg.RestartTimeout - cfg.ElectionTimeout)
+		n.setElectionDeadline(now, cfg.RestartTimeout)
 	}
 	return n, nil
 }
 
-// Tick lets time pass. Call it several times per heartbeat.
+// Tick advances the time of the member. Call it several times per heartbeat.
 func (n *Node) Tick(now time.Time) {
 	if n.role == Leader {
 		n.tickLeader(now)
 		return
 	}
-	if !now.Before(n.campaignAt) && n.members().voter(n.cfg.ID) {
+	if !now.Before(n.electionDeadline) && n.members().voter(n.cfg.ID) {
 		n.campaign(now, false)
 	}
 }
 
 func (n *Node) tickLeader(now time.Time) {
-	if !n.hearsQuorum(now) {
-		n.follow(now, n.term, 0)
+	if !n.quorumActive(now) {
+		n.becomeFollower(now, n.term, 0)
 		return
 	}
-	if n.transferee != 0 && !now.Before(n.transferUntil) {
+	if n.transferee != 0 && !now.Before(n.transferDeadline) {
 		n.transferee = 0
 	}
 	if !now.Before(n.heartbeatAt) {
@@ -125,9 +124,9 @@
 	}
 }
 
-// hearsQuorum is check-quorum: a leader that is cut off in silence, in one
-// direction or both, steps down, so that its clients go elsewhere.
-func (n *Node) hearsQuorum(now time.Time) bool {
+// quorumActive implements check-quorum: a leader that is partitioned, in one direction or
+// both, steps down so that its clients go elsewhere.
+func (n *Node) quorumActive(now time.Time) bool {
 	return n.members().quorum(func(id MemberID) bool {
 		if id == n.cfg.ID {
 			return true
@@ -136,8 +135,8 @@
 	})
 }
 
-// follow makes the member a follower in a term.
-func (n *Node) follow(now time.Time, term uint64, leader MemberID) {
+// becomeFollower makes the member a follower of the leader in the term.
+func (n *Node) becomeFollower(now time.Time, term uint64, leader MemberID) {
 	if term > n.term {
 		n.term, n.vote = term, 0
 	}
@@ -145,55 +144,56 @@
 	n.votes, n.reads, n.rounds = nil, nil, nil
 	n.transferee = 0
 	clear(n.progress)
-	n.resetCampaign(now)
+	n.resetElectionTimeout(now)
 }
 
-func (n *Node) resetCampaign(now time.Time) {
+func (n *Node) resetElectionTimeout(now time.Time) {
 	timeout := n.cfg.ElectionTimeout
-	if n.unled() {
-		timeout /= foundingHaste
+	if n.beforeFirstElection() {
+		timeout /= foundingElectionDivisor
 	}
-	n.drawCampaign(now, timeout)
+	n.setElectionDeadline(now, timeout)
 }
 
-// drawCampaign lets this member campaign after a silence between a timeout and twice it.
-func (n *Node) drawCampaign(now time.Time, timeout time.Duration) {
+// setElectionDeadline makes this member campaign after a time without a leader between the
+// timeout and twice the timeout.
+func (n *Node) setElectionDeadline(now time.Time, timeout time.Duration) {
 	spread := time.Duration(n.cfg.Rand.Int63n(int64(timeout)))
-	n.campaignAt = now.Add(timeout + spread)
+	n.electionDeadline = now.Add(timeout + spread)
 }
 
-// unled reports whether this member knows no term but that of the founding, in
-// which nobody leads. It has acknowledged no leader then, since a newer term is
-// synced before anything of that term is acknowledged: there is no lease to
-// respect and no leader to wait for.
-func (n *Node) unled() bool { return n.term == FoundingTerm }
+// beforeFirstElection reports whether this member knows only the founding term, in which
+// nobody leads. It has not acknowledged any leader then, since a newer term is synced
+// before any message of that term is acknowledged. So there is no lease to respect and no
+// leader to wait for.
+func (n *Node) beforeFirstElection() bool { return n.term == FoundingTerm }
 
-// Step handles one message. Messages for another member or cluster are dropped.
-// An error means that the member must stop: its log contradicts what the group
-// has committed.
+// Step handles one message. Messages for another member or cluster are dropped. An error
+// means that the member must stop: its log contradicts entries that the group has
+// committed.
 func (n *Node) Step(now time.Time, m Message) error {
-	if n.failed != nil {
-		return n.failed
+	if n.fatalErr != nil {
+		return n.fatalErr
 	}
 	if m.To != n.cfg.ID || m.Cluster != n.cfg.Cluster || m.From == n.cfg.ID {
 		return nil
 	}
 	switch {
 	case m.Term > n.term:
-		if !n.stepNewer(now, m) {
+		if !n.handleNewerTerm(now, m) {
 			return nil
 		}
 	case m.Term < n.term:
-		n.stepOlder(m)
+		n.handleOlderTerm(m)
 		return nil
 	}
 	n.dispatch(now, m)
-	return n.failed
+	return n.fatalErr
 }
 
-// stepNewer handles the term of a message from a newer term and reports whether
-// the message itself is to be handled.
-func (n *Node) stepNewer(now time.Time, m Message) bool {
+// handleNewerTerm handles the term of a message with a higher term and reports whether the
+// message itself is to be handled.
+func (n *Node) handleNewerTerm(now time.Time, m Message) bool {
 	switch m.Kind {
 	case MsgPreVote:
 		return true
@@ -201,23 +201,23 @@
 		if !m.Reject {
 			return true
 		}
-		n.follow(now, m.Term, 0)
+		n.becomeFollower(now, m.Term, 0)
 		return false
 	case MsgVote:
-		if n.sticky(now) && !m.Transfer {
+		if n.hasRecentLeader(now) && !m.Transfer {
 			return false
 		}
-		n.follow(now, m.Term, 0)
+		n.becomeFollower(now, m.Term, 0)
 	case MsgAppend, MsgHeartbeat, MsgSnapshot:
-		n.follow(now, m.Term, m.From)
+		n.becomeFollower(now, m.Term, m.From)
 	default:
-		n.follow(now, m.Term, 0)
+		n.becomeFollower(now, m.Term, 0)
 	}
 	return true
 }
 
-// stepOlder tells the sender of an older term about the newer one.
-func (n *Node) stepOlder(m Message) {
+// handleOlderTerm informs the sender of a message with a lower term about the current term.
+func (n *Node) handleOlderTerm(m Message) {
 	switch m.Kind {
 	case MsgAppend, MsgHeartbeat, MsgSnapshot:
 		n.send(Message{Kind: MsgAppendReply, To: m.From, Reject: true})
@@ -245,7 +245,7 @@
 	case MsgReadIndex:
 		n.addRead(now, m.From, m.Context)
 	case MsgReadIndexReply:
-		n.due = append(n.due, Read{Context: m.Context, Index: m.Index})
+		n.readyReads = append(n.readyReads, Read{Context: m.Context, Index: m.Index})
 	}
 }
 
@@ -261,10 +261,10 @@
 	if n.transferee != 0 {
 		return fault.New(fault.NotRun, "leadership is being transferred").After(n.cfg.Heartbeat)
 	}
-	return fault.New(fault.NotRun, "this member does not lead").After(n.cfg.Heartbeat)
+	return fault.New(fault.NotRun, "this member is not the leader").After(n.cfg.Heartbeat)
 }
 
-// Status is what a member knows about itself and its group.
+// Status is the state of a member and its group, as the member knows it.
 type Status struct {
 	ID        MemberID
 	Role      Role
@@ -277,16 +277,15 @@
 	Followers []FollowerStatus
 }
 
-// FollowerStatus is what a leader knows about another member.
+// FollowerStatus is the state of another member, as the leader knows it.
 type FollowerStatus struct {
 	ID MemberID
-	// Match is the highest index that the member has synced.
+	// Match is the highest index that the member is known to have synced.
 	Match uint64
-	// Silent is how long ago the member was last heard.
+	// Silent is the time since the member was last heard from.
 	Silent time.Duration
 }
 
-// Status returns the member's state at the given time.
 func (n *Node) Status(now time.Time) Status {
 	s := Status{ID: n.cfg.ID, Role: n.role, Term: n.term, Leader: n.leader, Commit: n.commit,
 		Last: n.log.last(), Snapshot: n.log.snapIndex, Members: n.members()}
@@ -298,8 +297,7 @@
 	return s
 }
 
-// Leader returns the leader of the current term, or 0 when none is known.
+// Leader returns the leader of the current term, or 0 if it is unknown.
 func (n *Node) Leader() MemberID { return n.leader }
 
-// Term returns the current term.
 func (n *Node) Term() uint64 { return n.term }
--- a/core/raft/node_test.go
+++ b/core/raft/node_test.go
@@ -11,14 +11,14 @@
 	"github.com/comfreyladder/comfreyladder/core/raft"
 )
 
-// single is one member whose peers are played by the test.
+// singleMember is one member whose peers are simulated by the test.
 type single struct {
 	t    *testing.T
 	now  time.Time
 	node *raft.Node
 	disk disk
 	id   raft.MemberID
-	// restartTimeout is raft.Config's; zero means the election timeout.
+	// restartTimeout is that of raft.Config; zero means the election timeout.
 	restartTimeout time.Duration
 }
 
@@ -34,7 +34,8 @@
 	return raft.Entry{Index: index, Term: term, Kind: raft.EntryCommand, Data: []byte("x")}
 }
 
-// newSingle returns member 1 of the given voters, with entries after index 1.
+// newSingleMember returns member 1 of the given voters, with a snapshot at index 1 and the
+// given entries after it.
 func newSingle(t *testing.T, members raft.Members, entries ...raft.Entry) *single {
 	s := &single{t: t, now: time.Unix(1000, 0), id: 1}
 	s.disk = disk{hard: raft.HardState{Term: 1}, snap: raft.Snapshot{Index: 1, Term: 1, Members: members}, entries: entries}
@@ -52,7 +53,7 @@
 	s.node = node
 }
 
-// out carries out what is ready and returns all of it as one.
+// processReady processes everything that is ready and returns it as one Ready.
 func (s *single) out() raft.Ready {
 	var all raft.Ready
 	for {
@@ -85,7 +86,7 @@
 
 func (s *single) status() raft.Status { return s.node.Status(s.now) }
 
-// lead makes the member the leader by the votes of the given others.
+// becomeLeader makes the member the leader with the votes of the given others.
 func (s *single) lead(others ...raft.MemberID) {
 	s.wait(2 * election)
 	for _, kind := range []raft.MessageKind{raft.MsgPreVoteReply, raft.MsgVoteReply} {
@@ -100,7 +101,7 @@
 	NewWithT(s.t).Expect(s.status().Role).To(Equal(raft.Leader))
 }
 
-// ack acknowledges everything up to index, and the newest round.
+// ack acknowledges all entries up to index, without echoing a heartbeat round.
 func (s *single) ack(id raft.MemberID, index uint64) raft.Ready {
 	return s.step(raft.Message{Kind: raft.MsgAppendReply, From: id, Term: s.status().Term, Index: index})
 }
@@ -127,9 +128,9 @@
 	return round
 }
 
-// What a user would see: a confirmed change is gone. What happens: a member votes,
-// crashes, restarts and votes for another in the same term. Cause: the vote was
-// sent before it was synced, and two leaders were elected.
+// Guards against two leaders in one term, and so the loss of a committed change: a member
+// votes, crashes, restarts and votes for another candidate in the same term, because its
+// first vote was sent before it was synced.
 func TestVoteIsRememberedAcrossARestart(t *testing.T) {
 	g := NewWithT(t)
 	s := newSingle(t, voters(1, 2, 3))
@@ -143,9 +144,8 @@
 	g.Expect(r.Messages[0].Reject).To(BeTrue())
 }
 
-// What a user would see: status shows an old revision after a newer one was
-// confirmed. What happens: a member acknowledges a heartbeat, restarts and elects
-// another leader at once, while the first still serves reads under its lease.
+// Guards against stale reads: a member acknowledges a heartbeat, restarts and elects
+// another leader at once, while the first leader still serves reads under its lease.
 func TestRestartedMemberKeepsToTheLeaseItMayHaveGranted(t *testing.T) {
 	g := NewWithT(t)
 	s := newSingle(t, voters(1, 2, 3))
@@ -160,9 +160,9 @@
 	g.Expect(s.step(vote).Messages).To(HaveLen(1))
 }
 
-// What a user would see: after all instances of control were killed nobody is served for
-// an election timeout and more, though nobody leads. With a shorter restart timeout members
-// elect sooner, and leaders count on their leases for less than that.
+// After all instances of the control group were killed, no leader can be elected for the
+// restart timeout, which defaults to the election timeout. A shorter one lets members elect
+// a leader sooner, but leases must then be shorter than it.
 func TestRestartTimeoutBoundsLeasesAndTheWaitAfterARestart(t *testing.T) {
 	g := NewWithT(t)
 	s := newSingle(t, voters(1, 2, 3))
@@ -173,7 +173,7 @@
 	vote := raft.Message{Kind: raft.MsgVote, From: 2, Term: 5, Index: 1, LogTerm: 1}
 	s.now = s.now.Add(election/2 - 1)
 	s.node.Tick(s.now)
-	g.Expect(s.out().Messages).To(BeEmpty(), "it may have granted a lease right before its end")
+	g.Expect(s.out().Messages).To(BeEmpty(), "it may have granted a lease right before it restarted")
 	g.Expect(s.step(vote).Messages).To(BeEmpty())
 	s.now = s.now.Add(1)
 	g.Expect(s.step(vote).Messages).To(HaveLen(1))
@@ -193,12 +193,12 @@
 	g.Expect(s.out().Reads).To(HaveLen(1))
 	s.now = s.now.Add(1)
 	g.Expect(s.node.ReadIndex(s.now, 2)).To(Succeed())
-	g.Expect(s.out().Reads).To(BeEmpty(), "by then a member that was restarted may vote")
+	g.Expect(s.out().Reads).To(BeEmpty(), "a restarted member may vote by then")
 }
 
-// What a user would see: a new site serves nobody for seconds. What happens: its
-// founders wait for a leader that nobody has been yet. Only the founding's term
-// may skip the wait; see the test above.
+// Guards against a new group that serves nobody for seconds because its founders wait for a
+// leader that never existed. Only members in the founding term may skip the wait; see the
+// test above.
 func TestFoundersElectAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	s := newSingle(t, voters(1, 2, 3))
@@ -216,9 +216,8 @@
 	g.Expect(s.out().Messages).To(BeEmpty())
 }
 
-// What a user would see: changes stall each time an instance returns from a cut.
-// What happens: the returning member asks for votes in a higher term. Cause: the
-// others follow it, though their leader is well.
+// Guards against disruption by a member that rejoins after a partition: it requests votes
+// in a higher term, and the others adopt the term although their leader is healthy.
 func TestMemberThatHearsALeaderIgnoresVotes(t *testing.T) {
 	g := NewWithT(t)
 	s := newSingle(t, voters(1, 2, 3))
@@ -229,7 +228,7 @@
 	g.Expect(s.step(vote).Messages).To(BeEmpty())
 	g.Expect(s.status().Term).To(Equal(uint64(2)))
 	vote.Transfer = true
-	g.Expect(s.step(vote).Messages).To(HaveLen(1), "the leader itself asked for this one")
+	g.Expect(s.step(vote).Messages).To(HaveLen(1), "the leader itself asked for this vote")
 }
 
 func TestMemberThatIsCutOffDoesNotRaiseItsTerm(t *testing.T) {
@@ -240,9 +239,8 @@
 	NewWithT(t).Expect(s.status().Term).To(Equal(uint64(1)))
 }
 
-// What a user would see: a confirmed change is gone. What happens: a member has
-// acknowledged entries; then a late append, or a late snapshot, that ends before
-// them arrives. Cause: the member cuts its log at the end of the late message.
+// Guards against the loss of acknowledged entries: a delayed append or snapshot that ends
+// before them arrives, and the member truncates its log at the end of the delayed message.
 func TestLateMessagesDoNotCutAcknowledgedEntries(t *testing.T) {
 	g := NewWithT(t)
 	s := newSingle(t, voters(1, 2, 3))
@@ -257,9 +255,9 @@
 	g.Expect(s.disk.entries).To(HaveLen(4))
 }
 
-// What a user would see: a confirmed change is gone. What happens: a leader finds
-// an entry of an earlier term on a quorum, calls it committed and dies; a leader
-// with a newer entry in its place is elected. This is figure 8 of the Raft paper.
+// Guards against the loss of a committed change: a leader counts an entry of an earlier
+// term as committed because it is on a quorum, and fails; then a leader with a newer entry
+// in its place is elected. This is figure 8 of the Raft paper.
 func TestEntriesOfEarlierTermsDoNotCommitByCount(t *testing.T) {
 	g := NewWithT(t)
 	s := newSingle(t, voters(1, 2, 3), command(2, 2))
@@ -270,15 +268,14 @@
 	g.Expect(s.status().Commit).To(Equal(uint64(3)))
 }
 
-// What a user would see: two instances act on different configurations for good.
-// What happens: two members are changed at once, and the quorums of the first and
-// the last membership do not overlap.
+// Guards against a split group with two configurations: two members are changed at once,
+// and the quorums of the first and the last membership do not overlap.
 func TestOneChangeOfMembersAtATime(t *testing.T) {
 	g := NewWithT(t)
 	s := newSingle(t, voters(1, 2, 3))
 	s.lead(2)
 	_, err := s.node.Remove(s.now, 3)
-	g.Expect(fault.CodeOf(err)).To(Equal(fault.NotRun), "an earlier leader's change may still surface")
+	g.Expect(fault.CodeOf(err)).To(Equal(fault.NotRun), "a change by an earlier leader may still take effect")
 	s.ack(2, 2)
 	_, err = s.node.AddLearner(s.now, 4, "d")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -290,9 +287,8 @@
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
-// What a user would see: right after a repair was reported done, the loss of one
-// more instance stops all changes. What happens: the newcomer votes, but has not
-// synced the log yet.
+// Guards against a group that stops when one more instance fails right after a repair was
+// reported as done, because the new member votes but has not synced the log yet.
 func TestLearnerIsPromotedOnlyWhenSynced(t *testing.T) {
 	g := NewWithT(t)
 	s := newSingle(t, voters(1))
@@ -301,7 +297,7 @@
 	_, err := s.node.AddLearner(s.now, 2, "b")
 	g.Expect(err).NotTo(HaveOccurred())
 	r := s.out()
-	g.Expect(kinds(r, 2)).To(ContainElement(raft.MsgAppend), "a newcomer hears of the log without further proposals")
+	g.Expect(kinds(r, 2)).To(ContainElement(raft.MsgAppend), "a new member receives the log without further proposals")
 	s.ack(2, 2)
 	_, err = s.node.Promote(s.now, 2)
 	g.Expect(fault.CodeOf(err)).To(Equal(fault.NotRun))
@@ -335,8 +331,8 @@
 	g.Expect(s.status().Role).To(Equal(raft.Follower))
 }
 
-// What a user would see: an instance that is cut off goes on telling that it
-// leads, and changes sent to it hang. What happens: it hears no quorum.
+// Guards against a partitioned leader that still reports itself as leader, so that changes
+// sent to it hang: it no longer hears from a quorum.
 func TestLeaderThatHearsNoQuorumStepsDown(t *testing.T) {
 	g := NewWithT(t)
 	s := newSingle(t, voters(1, 2, 3))
@@ -351,10 +347,9 @@
 	g.Expect(fault.CodeOf(err)).To(Equal(fault.NotRun))
 }
 
-// What a user would see: status shows an old revision after a newer one was
-// confirmed. What happens: a leader is frozen or cut off; another one is elected;
-// the first answers a read. Cause: it counts on a lease that has run out, or that
-// a handover of the leadership has ended.
+// Guards against stale reads: a leader is suspended or partitioned, another one is elected,
+// and the first answers a read under a lease that has expired or was revoked by a
+// leadership transfer.
 func TestReadsUnderTheLease(t *testing.T) {
 	g := NewWithT(t)
 	s := newSingle(t, voters(1, 2, 3))
@@ -369,7 +364,7 @@
 	g.Expect(read(1).Reads).To(HaveLen(1), "under the lease")
 	s.now = s.now.Add(95 * election / 100)
 	r := read(2)
-	g.Expect(r.Reads).To(BeEmpty(), "the lease has run out, as far as clocks can be trusted")
+	g.Expect(r.Reads).To(BeEmpty(), "the lease has expired, allowing for clock drift")
 	g.Expect(s.echo(2, roundOf(r)-1).Reads).To(BeEmpty(), "an echo of an earlier round proves nothing")
 	g.Expect(s.echo(2, roundOf(r)).Reads).To(HaveLen(1))
 
@@ -379,12 +374,12 @@
 	s.echo(2, roundOf(s.wait(heartbeat)))
 	s.now = s.now.Add(election / 2)
 	s.echo(2, roundOf(s.wait(heartbeat)))
-	g.Expect(read(4).Reads).To(BeEmpty(), "the order to campaign may still be on its way")
+	g.Expect(read(4).Reads).To(BeEmpty(), "MsgTimeoutNow may still be in flight")
 }
 
-// What a user would see: an instance runs out of memory, or a link between
-// instances breaks again and again. What happens: operators confirm large intents
-// while the group has no quorum, or a member is behind by many of them.
+// Guards against instances that run out of memory and links between instances that break
+// repeatedly: operators confirm large intents while the group has no quorum, or a member
+// lags behind by many of them.
 func TestLargeEntriesAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	s := newSingle(t, voters(1, 2, 3))
@@ -403,7 +398,7 @@
 	g.Expect(accepted).To(BeNumerically(">", 1))
 	r := s.ack(2, 2+uint64(accepted))
 	_, _, err := s.node.Propose(s.now, large)
-	g.Expect(err).NotTo(HaveOccurred(), "the commit made room")
+	g.Expect(err).NotTo(HaveOccurred(), "the commit freed capacity")
 	for _, m := range append(r.Messages, s.ack(3, 2).Messages...) {
 		g.Expect(len(m.Entries)).To(BeNumerically("<=", 1))
 	}
--- a/core/raft/observer_test.go
+++ b/core/raft/observer_test.go
@@ -13,7 +13,7 @@
 	}
 	for _, e := range r.Committed {
 		if e.Index != h.last+1 {
-			s.fail("member %d applies %d after %d", h.id, e.Index, h.last)
+			s.fail("member %d applies entry %d after entry %d", h.id, e.Index, h.last)
 		}
 		h.last = e.Index
 		if e.Kind == raft.EntryCommand {
@@ -27,7 +27,7 @@
 		if want, ok := s.reads[rd.Context]; ok {
 			s.served++
 			if rd.Index < want.index {
-				s.fail("read %d by %d sees %d, but %d was committed before it began", rd.Context, h.id, rd.Index, want.index)
+				s.fail("read %d by member %d sees index %d, but %d was committed before the read began", rd.Context, h.id, rd.Index, want.index)
 			}
 		}
 	}
@@ -43,7 +43,7 @@
 		s.commits[e.Index], s.seenAt[e.Index] = e, term
 		s.top = max(s.top, e.Index)
 		if prev, ok := s.commits[e.Index-1]; ok && prev.At > e.At {
-			s.fail("the time stamp of %d goes back", e.Index)
+			s.fail("the timestamp of entry %d decreases", e.Index)
 		}
 	}
 	s.seenAt[e.Index] = min(s.seenAt[e.Index], term)
@@ -52,12 +52,12 @@
 
 func (s *sim) checkState(h *host, index uint64) {
 	if want, ok := s.states[index]; ok && want != h.state {
-		s.fail("member %d has another state at %d", h.id, index)
+		s.fail("member %d has a different state at index %d", h.id, index)
 	}
 	s.states[index] = h.state
 }
 
-// watchRole checks election safety and leader completeness.
+// checkNewLeader checks election safety and leader completeness.
 func (s *sim) watchRole(h *host) {
 	st := h.node.Status(s.clock(h))
 	if st.Role != raft.Leader || h.role == raft.Leader {
@@ -66,7 +66,7 @@
 	}
 	h.role = st.Role
 	if other, ok := s.leaders[st.Term]; ok && other != h.id {
-		s.fail("%d and %d lead term %d", other, h.id, st.Term)
+		s.fail("members %d and %d both lead term %d", other, h.id, st.Term)
 	}
 	s.leaders[st.Term] = h.id
 	for index, e := range s.commits {
--- a/core/raft/read.go
+++ b/core/raft/read.go
@@ -6,19 +6,19 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// pendingRead waits until the leader has proved that it still leads.
+// pendingRead is a read request that waits until the leader has confirmed its leadership.
 type pendingRead struct {
 	context uint64
 	from    MemberID
 	index   uint64
-	// round is the round that has to be echoed by a quorum; zero before one
-	// was started for it.
+	// round is the heartbeat round that a quorum has to echo; zero until one is started for
+	// this read.
 	round uint64
 }
 
-// ReadIndex asks for a linearizable read. The answer comes as a Read with the
-// same context in some Ready, or never, when the leader is lost: ask again then,
-// under another context. It fails with fault.NotRun when no leader is known.
+// ReadIndex requests a linearizable read. The result is a Read with the same context in a
+// later Ready. It never comes if the leader is lost: retry with another context then. It
+// fails with fault.NotRun if no leader is known.
 func (n *Node) ReadIndex(now time.Time, context uint64) error {
 	if n.role == Leader {
 		n.addRead(now, n.cfg.ID, context)
@@ -44,21 +44,21 @@
 	n.reads = append(n.reads, r)
 }
 
-// committedInTerm reports whether the leader knows all that is committed: it
-// does once an entry of its own term is, not before.
+// committedInTerm reports whether the leader knows of all committed entries, which is so
+// once an entry of its own term is committed.
 func (n *Node) committedInTerm() bool { return n.log.term(n.commit) == n.term }
 
-// hasLease reports whether nobody else can lead now. A quorum has heard this
-// leader since the start of a recent round, and such members ignore votes for
-// an election timeout, or for the restart timeout if they have started anew since
-// (see sticky and New). The lease is counted from the sending, and
-// shortened for clocks that differ in rate. It guards against a leader that was
-// cut off or frozen and still answers reads while another one accepts changes.
+// hasLease reports whether no other member can be leader now. A quorum has heard from this
+// leader since the start of a recent round, and its members ignore vote requests for an
+// election timeout, or for the restart timeout if they have restarted since (see
+// hasRecentLeader and New). The lease counts from the time of sending and is shortened to
+// tolerate clocks whose rates differ. It keeps a leader that was partitioned or suspended
+// from answering reads while another one accepts changes.
 func (n *Node) hasLease(now time.Time) bool {
-	if n.leaseLost {
+	if n.leaseRevoked {
 		return false
 	}
-	lease := time.Duration(leaseShare * float64(n.cfg.RestartTimeout))
+	lease := time.Duration(leaseFraction * float64(n.cfg.RestartTimeout))
 	return n.members().quorum(func(id MemberID) bool {
 		if id == n.cfg.ID {
 			return true
@@ -68,7 +68,7 @@
 	})
 }
 
-// startReads begins one round for all reads that came since the last one.
+// startReadRound starts one heartbeat round for all reads that arrived since the last one.
 func (n *Node) startReads(now time.Time) {
 	if n.role != Leader || !n.committedInTerm() {
 		return
@@ -87,7 +87,7 @@
 	n.confirmReads()
 }
 
-// confirmReads answers the reads whose round a quorum has echoed.
+// confirmReads answers the reads whose round was echoed by a quorum.
 func (n *Node) confirmReads() {
 	acked := quorumValue(n.members(), func(id MemberID) uint64 {
 		if id == n.cfg.ID {
@@ -103,7 +103,7 @@
 
 func (n *Node) answerRead(r pendingRead) {
 	if r.from == n.cfg.ID {
-		n.due = append(n.due, Read{Context: r.context, Index: r.index})
+		n.readyReads = append(n.readyReads, Read{Context: r.context, Index: r.index})
 		return
 	}
 	n.send(Message{Kind: MsgReadIndexReply, To: r.from, Context: r.context, Index: r.index})
--- a/core/raft/ready.go
+++ b/core/raft/ready.go
@@ -6,8 +6,8 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// Ready returns what is to be done now; see the type. The caller carries it out
-// and calls Advance before it steps the node again.
+// Ready returns the work to be done now; see the Ready type. The caller does it and calls
+// Advance before it steps the node again.
 func (n *Node) Ready(now time.Time) Ready {
 	n.startReads(now)
 	n.tellCommits()
@@ -17,16 +17,16 @@
 		Entries:   n.log.slice(n.log.stable+1, n.log.last()),
 		Messages:  n.messages,
 		Committed: n.log.slice(n.applied+1, n.commit),
-		Reads:     n.due,
+		Reads:     n.readyReads,
 	}
-	r.HardChanged = r.HardState != n.saved
-	n.snapshot, n.messages, n.due = nil, nil, nil
+	r.HardChanged = r.HardState != n.persisted
+	n.snapshot, n.messages, n.readyReads = nil, nil, nil
 	return r
 }
 
-// Advance tells the node that a Ready was carried out. It may make more ready.
+// Advance reports that a Ready was processed. More work may be ready afterwards.
 func (n *Node) Advance(now time.Time, r Ready) {
-	n.saved = r.HardState
+	n.persisted = r.HardState
 	if k := len(r.Entries); k > 0 {
 		n.log.stable = r.Entries[k-1].Index
 	}
@@ -39,38 +39,38 @@
 	}
 }
 
-// Compact truncates the log up to a snapshot at index that the caller has
-// synced, keeping up to tail entries of up to tailBytes of data before it for
-// followers that lag a little. It returns the first index that is kept.
+// Compact drops the log up to a snapshot at index that the caller has synced, but keeps up
+// to tail entries and tailBytes bytes of data before it for followers that lag slightly. It
+// returns the first index that is kept.
 func (n *Node) Compact(index, tail uint64, tailBytes int) (uint64, error) {
 	if index > n.applied {
-		return 0, fault.New(fault.Invalid, "snapshot at %d is beyond the applied %d", index, n.applied)
+		return 0, fault.New(fault.Invalid, "snapshot index %d is beyond the applied index %d", index, n.applied)
 	}
 	upTo := max(index-min(tail, index), n.log.snapIndex)
-	for n.log.bytes(upTo+1, index) > tailBytes {
+	for n.log.dataSize(upTo+1, index) > tailBytes {
 		upTo++
 	}
 	if upTo <= n.log.snapIndex {
 		return n.log.snapIndex + 1, nil
 	}
-	members := n.membersFor(upTo)
+	members := n.membersAtIndex(upTo)
 	n.log.compact(upTo)
-	kept := []membersAt{{index: upTo, members: members}}
-	for _, c := range n.changes {
+	kept := []indexedMembers{{index: upTo, members: members}}
+	for _, c := range n.memberships {
 		if c.index > upTo {
 			kept = append(kept, c)
 		}
 	}
-	n.changes = kept
+	n.memberships = kept
 	return upTo + 1, nil
 }
 
-// SnapshotAt describes a snapshot of the state at an applied index.
+// SnapshotAt returns the metadata of a snapshot of the state at an applied index.
 func (n *Node) SnapshotAt(index uint64) (Snapshot, error) {
 	if index > n.applied || index < n.log.snapIndex {
-		return Snapshot{}, fault.New(fault.Invalid, "no snapshot at %d: applied %d, log from %d", index, n.applied, n.log.snapIndex)
+		return Snapshot{}, fault.New(fault.Invalid, "no snapshot at index %d: applied index is %d, log starts after %d", index, n.applied, n.log.snapIndex)
 	}
-	s := Snapshot{Index: index, Term: n.log.term(index), At: n.log.snapAt, Members: n.membersFor(index)}
+	s := Snapshot{Index: index, Term: n.log.term(index), At: n.log.snapAt, Members: n.membersAtIndex(index)}
 	if e := n.log.slice(index, index); len(e) == 1 {
 		s.At = e[0].At
 	}
--- a/core/raft/replicate.go
+++ b/core/raft/replicate.go
@@ -6,35 +6,34 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// progress is what the leader knows about another member's log.
+// progress is the leader's view of another member's log.
 type progress struct {
-	// match is the highest index that the member has synced; next is the first
-	// one that was not sent yet.
+	// match is the highest index that the member has synced; next is the first index that
+	// was not sent yet.
 	match, next uint64
-	// probe limits the leader to one append at a time, until it is known where
-	// the logs agree.
+	// probe limits the leader to one append at a time until it knows where the logs agree.
 	probe bool
-	// waiting is set while a probe or a snapshot is under way.
+	// awaitingReply is set while a probe or a snapshot is in flight.
 	waiting bool
 	// sentRound is the round in which entries or a snapshot were last sent.
 	sentRound uint64
 	// ackRound is the highest round that the member has echoed.
 	ackRound uint64
-	// told is the highest commit that the member was told of in a heartbeat.
+	// sentCommit is the highest commit index sent to the member in a heartbeat.
 	told    uint64
 	lastAck time.Time
 }
 
-// Propose appends a command to the leader's log and returns its index and term;
-// the command is committed if an entry with both comes out of a Ready. It fails
-// with fault.NotRun on a member that does not lead and with fault.Overloaded
-// when too much is uncommitted; nothing was appended then.
+// Propose appends a command to the leader's log and returns its index and term. The command
+// is committed if an entry with both is returned in Ready.Committed. Propose fails with
+// fault.NotRun if this member is not the leader and with fault.Overloaded if too much is
+// uncommitted; nothing is appended then.
 func (n *Node) Propose(now time.Time, data []byte) (index, term uint64, err error) {
 	if n.role != Leader || n.transferee != 0 {
 		return 0, 0, n.notLeader()
 	}
 	if n.log.last()-n.commit >= n.cfg.MaxUncommitted || n.uncommitted+len(data) > n.cfg.MaxUncommittedBytes && n.uncommitted > 0 {
-		return 0, 0, fault.New(fault.Overloaded, "%d entries of %d bytes are uncommitted", n.log.last()-n.commit, n.uncommitted).After(n.cfg.Heartbeat)
+		return 0, 0, fault.New(fault.Overloaded, "too much is uncommitted: %d entries, %d bytes", n.log.last()-n.commit, n.uncommitted).After(n.cfg.Heartbeat)
 	}
 	n.uncommitted += len(data)
 	index = n.appendEntry(now, Entry{Kind: EntryCommand, Data: data})
@@ -47,7 +46,7 @@
 	e.At = max(now.UnixNano(), n.log.lastAt())
 	n.log.entries = append(n.log.entries, e)
 	if e.Kind == EntryMembers {
-		n.noteMembers(now, e.Index, e.Members)
+		n.recordMembers(now, e.Index, e.Members)
 	}
 	return e.Index
 }
@@ -60,7 +59,7 @@
 	}
 }
 
-// sendAppends sends what a member lacks, as far as its window allows.
+// sendAppends sends the entries that a member lacks, within its flow control window.
 func (n *Node) sendAppends(id MemberID) {
 	p := n.progress[id]
 	for p != nil && !p.waiting && p.next <= n.log.last() && (p.probe || p.next-p.match <= n.cfg.MaxWindow) {
@@ -69,7 +68,7 @@
 			return
 		}
 		high := min(p.next+uint64(n.cfg.MaxBatch)-1, n.log.last())
-		high = n.log.within(p.next, high, n.cfg.MaxBatchBytes)
+		high = n.log.limitBytes(p.next, high, n.cfg.MaxBatchBytes)
 		entries := n.log.slice(p.next, high)
 		n.send(Message{Kind: MsgAppend, To: id, Index: p.next - 1, LogTerm: n.log.term(p.next - 1),
 			Entries: entries, Commit: n.commit, Round: n.round})
@@ -82,17 +81,17 @@
 	}
 }
 
-// sendSnapshot brings a member up to date whose next entry was truncated. It is
-// sent again when an election timeout's worth of rounds brought no reply.
+// sendSnapshot sends a snapshot to a member whose next entry was compacted. It is sent
+// again when no reply came within the rounds of an election timeout.
 func (n *Node) sendSnapshot(id MemberID, p *progress) {
 	n.send(Message{Kind: MsgSnapshot, To: id, Round: n.round, Snapshot: &Snapshot{
-		Index: n.log.snapIndex, Term: n.log.snapTerm, At: n.log.snapAt, Members: n.membersFor(n.log.snapIndex)}})
+		Index: n.log.snapIndex, Term: n.log.snapTerm, At: n.log.snapAt, Members: n.membersAtIndex(n.log.snapIndex)}})
 	p.probe, p.waiting = true, true
 	p.sentRound = n.round
 }
 
-// startRound sends heartbeats of a new round. They carry no log position, so
-// they keep the lease going whatever the state of the member's log.
+// startRound sends the heartbeats of a new round. They carry no log position, so they renew
+// the lease regardless of the state of the member's log.
 func (n *Node) startRound(now time.Time) {
 	n.round++
 	n.rounds[n.round] = now
@@ -118,9 +117,9 @@
 	n.send(Message{Kind: MsgHeartbeat, To: id, Round: n.round, Commit: p.told})
 }
 
-// tellCommits tells members at once what is newly committed. One that syncs an
-// entry after the quorum did is told when its own acknowledgement has come, and
-// not a heartbeat later: a proposal that it forwarded waits for it.
+// sendCommitUpdates sends new commit indexes to members at once. A member that syncs an
+// entry after the quorum did is informed when its own acknowledgement arrives, not a
+// heartbeat later, because a proposal that it forwarded waits for it.
 func (n *Node) tellCommits() {
 	if n.role != Leader {
 		return
@@ -141,25 +140,25 @@
 	p.ackRound = max(p.ackRound, m.Round)
 	n.confirmReads()
 	if m.Kind == MsgHeartbeatReply {
-		n.resendLost(p, m.Round)
+		n.retransmitLost(p, m.Round)
 	} else {
 		n.handleAppendReply(p, m)
 	}
 	n.sendAppends(m.From)
 }
 
-// resendLost notices appends without a reply: a heartbeat that was sent after
-// them has been answered, yet they were not. Without it a lost last append would
-// stay lost until the next proposal.
-func (n *Node) resendLost(p *progress, round uint64) {
+// retransmitLost detects lost appends: the member answered a heartbeat that was sent after
+// them, but not the appends. Without this, a lost last append would stay lost until the
+// next proposal.
+func (n *Node) retransmitLost(p *progress, round uint64) {
 	if round <= p.sentRound || p.match+1 >= p.next && !p.waiting {
 		return
 	}
-	patience := uint64(1)
+	allowedRounds := uint64(1)
 	if p.waiting && p.next <= n.log.snapIndex {
-		patience = uint64(n.cfg.ElectionTimeout / n.cfg.Heartbeat)
+		allowedRounds = uint64(n.cfg.ElectionTimeout / n.cfg.Heartbeat)
 	}
-	if round <= p.sentRound+patience {
+	if round <= p.sentRound+allowedRounds {
 		return
 	}
 	p.waiting = false
@@ -189,9 +188,9 @@
 	}
 }
 
-// advanceCommit commits what a quorum has synced. Only entries of the leader's
-// own term are counted: an older one on a quorum can still be overwritten by a
-// leader that never saw it. The leader counts its own log up to what it synced.
+// advanceCommit commits the entries that a quorum has synced. Only entries of the leader's
+// own term count: an older entry on a quorum can still be overwritten by a leader that
+// never received it. The leader counts its own log up to the last synced entry.
 func (n *Node) advanceCommit() {
 	index := quorumValue(n.members(), func(id MemberID) uint64 {
 		if id == n.cfg.ID {
@@ -202,16 +201,16 @@
 	if index <= n.commit || n.log.term(index) != n.term {
 		return
 	}
-	n.uncommitted = max(0, n.uncommitted-n.log.bytes(n.commit+1, index))
+	n.uncommitted = max(0, n.uncommitted-n.log.dataSize(n.commit+1, index))
 	n.commit = index
 }
 
-// retireIfRemoved makes a leader that the group has removed step down once its
+// stepDownIfRemoved makes a leader that was removed from the group step down once the
 // removal is committed.
 func (n *Node) retireIfRemoved(now time.Time) {
-	last := n.changes[len(n.changes)-1]
+	last := n.memberships[len(n.memberships)-1]
 	if n.role == Leader && last.index <= n.commit && !last.members.voter(n.cfg.ID) {
 		n.sendHeartbeats()
-		n.follow(now, n.term, 0)
+		n.becomeFollower(now, n.term, 0)
 	}
 }
--- a/core/raft/sim_test.go
+++ b/core/raft/sim_test.go
@@ -15,14 +15,14 @@
 	tick      = 3 * time.Millisecond
 )
 
-// disk is what a member has synced.
+// disk is the synced state of a member.
 type disk struct {
 	hard    raft.HardState
 	snap    raft.Snapshot
 	entries []raft.Entry
 }
 
-// host runs one member, which may be down, frozen or cut off.
+// host runs one member, which may be stopped, suspended or partitioned.
 type host struct {
 	id     raft.MemberID
 	node   *raft.Node
@@ -44,29 +44,28 @@
 
 type readKey struct{ index uint64 }
 
-// sim is a group of members under faults, with the checks of an omniscient
-// observer. A violated check is kept in bad.
+// sim simulates a group of members under faults and checks it with full knowledge of all
+// members. Violated checks are recorded in violations.
 type sim struct {
-	rnd     *rand.Rand
-	now     time.Time
-	hosts   map[raft.MemberID]*host
-	order   []raft.MemberID
-	net     []packet
-	cuts    map[[2]raft.MemberID]bool
-	drop    float64
-	nextID  raft.MemberID
-	leaders map[uint64]raft.MemberID
-	commits map[uint64]raft.Entry
-	seenAt  map[uint64]uint64 // index -> lowest term in which its commit was seen
-	states  map[uint64]uint64 // index -> digest after it
-	top     uint64
-	reads   map[uint64]readKey
-	served  int
-	context uint64
-	bad     []string
-	// founders is the membership at the start.
+	rnd      *rand.Rand
+	now      time.Time
+	hosts    map[raft.MemberID]*host
+	order    []raft.MemberID
+	net      []packet
+	cuts     map[[2]raft.MemberID]bool
+	drop     float64
+	nextID   raft.MemberID
+	leaders  map[uint64]raft.MemberID
+	commits  map[uint64]raft.Entry
+	seenAt   map[uint64]uint64 // index -> lowest term in which its commit was seen
+	states   map[uint64]uint64 // index -> digest after it
+	top      uint64
+	reads    map[uint64]readKey
+	served   int
+	context  uint64
+	bad      []string
 	founders raft.Members
-	crash    float64 // chance of a crash inside the handling of a Ready
+	crash    float64 // probability of a crash at each step of processing a Ready
 	compact  float64
 }
 
@@ -96,7 +95,7 @@
 
 func (s *sim) fail(format string, args ...any) { s.bad = append(s.bad, fmt.Sprintf(format, args...)) }
 
-// clock returns a host's own clock, which runs up to 3% fast or slow.
+// clock returns a host's own clock, whose rate is up to 3% fast or slow.
 func (s *sim) clock(h *host) time.Time {
 	base := time.Unix(1_000_000, 0)
 	return base.Add(time.Duration(float64(s.now.Sub(base)) * h.rate))
@@ -124,7 +123,7 @@
 
 func (s *sim) running(h *host) bool { return h.node != nil && !h.gone && !s.now.Before(h.thaw) }
 
-// persist mirrors what a write-ahead log would hold after a sync.
+// persist updates the disk as a write-ahead log would after a sync.
 func (h *host) persist(r raft.Ready) {
 	h.disk.hard = r.HardState
 	if r.Snapshot != nil {
@@ -147,7 +146,7 @@
 			return
 		}
 		if s.rnd.Float64() < s.crash {
-			s.stop(h) // before the sync: all of it is lost
+			s.stop(h) // before the sync: the whole Ready is lost
 			return
 		}
 		h.persist(r)
@@ -167,7 +166,7 @@
 		s.watchRole(h)
 		s.maybeCompact(h)
 	}
-	s.fail("member %d is never done", h.id)
+	s.fail("member %d has work ready without end", h.id)
 }
 
 func (s *sim) transmit(h *host, m raft.Message) {
@@ -208,7 +207,7 @@
 	h.disk.entries = slices.DeleteFunc(h.disk.entries, func(e raft.Entry) bool { return e.Index < first })
 }
 
-// step lets one tick of time pass everywhere.
+// step advances the time of the whole group by one tick.
 func (s *sim) step() {
 	s.now = s.now.Add(tick)
 	due := s.net
@@ -276,7 +275,8 @@
 	return ok()
 }
 
-// propose proposes at the leader and waits until the entry is applied there.
+// propose proposes a command to the leader, retrying until it is committed. It reports
+// success.
 func (s *sim) propose(data string) bool {
 	done := false
 	return s.until(5000, func() bool {
--- a/core/raft/types.go
+++ b/core/raft/types.go
@@ -1,32 +1,33 @@
 package raft
 
-// EntryKind says what an Entry is for.
+// EntryKind is the type of an Entry.
 type EntryKind uint8
 
 // The kinds of entries.
 const (
-	// EntryNoop is what a new leader appends so that it can commit.
+	// EntryNoop is appended by a new leader so that it can commit.
 	EntryNoop EntryKind = iota
-	// EntryCommand carries a proposal.
+	// EntryCommand carries a proposed command.
 	EntryCommand
-	// EntryMembers carries a change of members.
+	// EntryMembers carries a membership change.
 	EntryMembers
 )
 
-// Entry is one record of the log.
+// Entry is one entry of the replicated log.
 type Entry struct {
 	Index uint64 `codec:"i"`
 	Term  uint64 `codec:"t"`
-	// At is the leader's wall clock in nanoseconds since the Unix epoch, made
-	// to never decrease along the log.
+	// At is the leader's wall clock in nanoseconds since the Unix epoch, adjusted so that
+	// it never decreases along the log.
 	At   int64     `codec:"a"`
 	Kind EntryKind `codec:"k"`
 	Data []byte    `codec:"d"`
-	// Members is the whole new membership (EntryMembers).
+	// Members is the complete new membership (EntryMembers only).
 	Members Members `codec:"m"`
 }
 
-// HardState must be synced before any message that depends on it is sent.
+// HardState is the persistent state of a member. It must be synced before any message that
+// depends on it is sent.
 type HardState struct {
 	Term uint64   `codec:"t"`
 	Vote MemberID `codec:"v"`
@@ -38,16 +39,16 @@
 	Term    uint64  `codec:"t"`
 	At      int64   `codec:"a"`
 	Members Members `codec:"m"`
-	// Data is the state of the control machine. A Node neither reads nor keeps
-	// it: whoever sends a MsgSnapshot of a Ready fills it in first.
+	// Data is the serialised state of the control state machine. A Node neither reads nor
+	// keeps it: the caller fills it in before it sends a MsgSnapshot of a Ready.
 	Data []byte `codec:"d"`
 }
 
-// MessageKind says what a Message is.
+// MessageKind is the type of a Message.
 type MessageKind uint8
 
-// The kinds of messages. MsgPropose, MsgProposeReply and MsgSnapshotPart are
-// carried for the service around a Node, which handles them itself.
+// The kinds of messages. MsgPropose, MsgProposeReply and MsgSnapshotPart are handled by the
+// service that runs a Node, not by the Node itself.
 const (
 	MsgPreVote MessageKind = iota + 1
 	MsgPreVoteReply
@@ -63,51 +64,52 @@
 	MsgReadIndexReply
 	MsgPropose
 	MsgProposeReply
-	// MsgSnapshotPart carries Data of a MsgSnapshot from offset Index on, of
-	// Hint bytes in all.
+	// MsgSnapshotPart carries the part of a MsgSnapshot's Data that starts at offset Index.
+	// Hint is the total size in bytes.
 	MsgSnapshotPart
 )
 
-// Message goes from one member to another. Which fields count depends on Kind.
+// Message is sent from one member to another. Which fields are used depends on Kind.
 type Message struct {
 	Kind    MessageKind `codec:"k"`
 	Cluster ClusterID   `codec:"c"`
 	From    MemberID    `codec:"f"`
 	To      MemberID    `codec:"o"`
 	Term    uint64      `codec:"t"`
-	// Index and LogTerm name an entry: the one before Entries in an append, the
-	// last one in a vote, the highest matching one in a reply.
+	// Index and LogTerm identify an entry: the one before Entries in an append, the last
+	// one of the log in a vote request, the highest matching one in a reply.
 	Index   uint64  `codec:"i,omitempty"`
 	LogTerm uint64  `codec:"l,omitempty"`
 	Commit  uint64  `codec:"m,omitempty"`
 	Entries []Entry `codec:"e,omitempty"`
-	// Reject refuses a vote or an append; Hint is where to go on instead.
+	// Reject denies a vote or rejects an append; Hint is the index to continue from
+	// instead.
 	Reject bool   `codec:"r,omitempty"`
 	Hint   uint64 `codec:"h,omitempty"`
-	// Round numbers the leader's rounds of heartbeats; replies echo it.
+	// Round is the number of the leader's heartbeat round; replies echo it.
 	Round uint64 `codec:"n,omitempty"`
-	// Transfer marks a vote that the leader itself asked for.
+	// Transfer marks a vote request of an election that the leader itself asked for.
 	Transfer bool      `codec:"x,omitempty"`
 	Snapshot *Snapshot `codec:"s,omitempty"`
-	// Context ties a reply to its request (reads and proposals).
+	// Context matches a reply to its request (reads and proposals).
 	Context uint64 `codec:"q,omitempty"`
 	Data    []byte `codec:"d,omitempty"`
 }
 
-// Read tells that a read may be served once the entry Index is applied.
+// Read is a confirmed read request: it may be served once the entry at Index is applied.
 type Read struct {
 	Context uint64
 	Index   uint64
 }
 
-// Ready is what a Node wants done, in this order:
+// Ready is the work that a Node hands to its caller, to be done in this order:
 //
-//  1. Persist HardState (if HardChanged), Snapshot (if not nil) and Entries, and
-//     sync them. An entry whose index exists already replaces it and all after it.
-//  2. Only then send Messages. A vote or an acknowledgement promises that what it
-//     speaks of survives a crash; sent before the sync, it could be forgotten,
-//     and the member would vote twice or a committed entry would be lost.
-//  3. Restore Snapshot, apply Committed in order, serve Reads that are due.
+//  1. Persist and sync HardState (if HardChanged), Snapshot (if not nil) and
+//     Entries. An entry replaces an existing one of the same index and all after it.
+//  2. Only then send Messages. A vote or an acknowledgement promises that its
+//     content survives a crash. If it were sent before the sync, a crash could make
+//     the member vote twice or lose a committed entry.
+//  3. Restore Snapshot, apply Committed in order, serve Reads that are confirmed.
 //  4. Call Advance.
 type Ready struct {
 	HardState   HardState
