--- a/core/raft/ready.go
+++ b/core/raft/ready.go
@@ -10,7 +10,7 @@
 // Advance before it steps the node again.
 func (n *Node) Ready(now time.Time) Ready {
 	n.startReads(now)
-	n.tellCommits()
+	n.sendCommitUpdates()
 	r := Ready{
 		HardState: HardState{Term: n.term, Vote: n.vote},
 		Snapshot:  n.snapshot,
@@ -19,7 +19,7 @@
 		Committed: n.log.slice(n.applied+1, n.commit),
 		Reads:     n.readyReads,
 	}
-	r.HardChanged = r.HardState != n.persisted
+	r.HardStateChanged = r.HardState != n.persisted
 	n.snapshot, n.messages, n.readyReads = nil, nil, nil
 	return r
 }
--- a/core/raft/replicate.go
+++ b/core/raft/replicate.go
@@ -14,14 +14,14 @@
 	// probe limits the leader to one append at a time until it knows where the logs agree.
 	probe bool
 	// awaitingReply is set while a probe or a snapshot is in flight.
-	waiting bool
+	awaitingReply bool
 	// sentRound is the round in which entries or a snapshot were last sent.
 	sentRound uint64
 	// ackRound is the highest round that the member has echoed.
 	ackRound uint64
 	// sentCommit is the highest commit index sent to the member in a heartbeat.
-	told    uint64
-	lastAck time.Time
+	sentCommit uint64
+	lastAck    time.Time
 }
 
 // Propose appends a command to the leader's log and returns its index and term. The command
@@ -62,7 +62,7 @@
 // sendAppends sends the entries that a member lacks, within its flow control window.
 func (n *Node) sendAppends(id MemberID) {
 	p := n.progress[id]
-	for p != nil && !p.waiting && p.next <= n.log.last() && (p.probe || p.next-p.match <= n.cfg.MaxWindow) {
+	for p != nil && !p.awaitingReply && p.next <= n.log.last() && (p.probe || p.next-p.match <= n.cfg.MaxWindow) {
 		if p.next <= n.log.snapIndex {
 			n.sendSnapshot(id, p)
 			return
@@ -74,7 +74,7 @@
 			Entries: entries, Commit: n.commit, Round: n.round})
 		p.sentRound = n.round
 		if p.probe {
-			p.waiting = true
+			p.awaitingReply = true
 			return
 		}
 		p.next += uint64(len(entries))
@@ -86,7 +86,7 @@
 func (n *Node) sendSnapshot(id MemberID, p *progress) {
 	n.send(Message{Kind: MsgSnapshot, To: id, Round: n.round, Snapshot: &Snapshot{
 		Index: n.log.snapIndex, Term: n.log.snapTerm, At: n.log.snapAt, Members: n.membersAtIndex(n.log.snapIndex)}})
-	p.probe, p.waiting = true, true
+	p.probe, p.awaitingReply = true, true
 	p.sentRound = n.round
 }
 
@@ -113,19 +113,19 @@
 }
 
 func (n *Node) sendHeartbeat(id MemberID, p *progress) {
-	p.told = min(n.commit, p.match)
-	n.send(Message{Kind: MsgHeartbeat, To: id, Round: n.round, Commit: p.told})
+	p.sentCommit = min(n.commit, p.match)
+	n.send(Message{Kind: MsgHeartbeat, To: id, Round: n.round, Commit: p.sentCommit})
 }
 
 // sendCommitUpdates sends new commit indexes to members at once. A member that syncs an
 // entry after the quorum did is informed when its own acknowledgement arrives, not a
 // heartbeat later, because a proposal that it forwarded waits for it.
-func (n *Node) tellCommits() {
+func (n *Node) sendCommitUpdates() {
 	if n.role != Leader {
 		return
 	}
 	for _, m := range n.members() {
-		if p := n.progress[m.ID]; p != nil && min(n.commit, p.match) > p.told {
+		if p := n.progress[m.ID]; p != nil && min(n.commit, p.match) > p.sentCommit {
 			n.sendHeartbeat(m.ID, p)
 		}
 	}
@@ -151,17 +151,17 @@
 // them, but not the appends. Without this, a lost last append would stay lost until the
 // next proposal.
 func (n *Node) retransmitLost(p *progress, round uint64) {
-	if round <= p.sentRound || p.match+1 >= p.next && !p.waiting {
+	if round <= p.sentRound || p.match+1 >= p.next && !p.awaitingReply {
 		return
 	}
 	allowedRounds := uint64(1)
-	if p.waiting && p.next <= n.log.snapIndex {
+	if p.awaitingReply && p.next <= n.log.snapIndex {
 		allowedRounds = uint64(n.cfg.ElectionTimeout / n.cfg.Heartbeat)
 	}
 	if round <= p.sentRound+allowedRounds {
 		return
 	}
-	p.waiting = false
+	p.awaitingReply = false
 	if !p.probe {
 		p.next = p.match + 1
 	}
@@ -173,7 +173,7 @@
 			return
 		}
 		p.next = max(min(m.Index, m.Hint+1), p.match+1)
-		p.probe, p.waiting = true, false
+		p.probe, p.awaitingReply = true, false
 		return
 	}
 	if m.Index < p.match {
@@ -181,7 +181,7 @@
 	}
 	p.match = m.Index
 	p.next = max(p.next, p.match+1)
-	p.probe, p.waiting = false, false
+	p.probe, p.awaitingReply = false, false
 	n.advanceCommit()
 	if n.transferee == m.From {
 		n.sendTimeoutNow()
--- a/core/raft/types.go
+++ b/core/raft/types.go
@@ -112,17 +112,17 @@
 //  3. Restore Snapshot, apply Committed in order, serve Reads that are confirmed.
 //  4. Call Advance.
 type Ready struct {
-	HardState   HardState
-	HardChanged bool
-	Snapshot    *Snapshot
-	Entries     []Entry
-	Messages    []Message
-	Committed   []Entry
-	Reads       []Read
+	HardState        HardState
+	HardStateChanged bool
+	Snapshot         *Snapshot
+	Entries          []Entry
+	Messages         []Message
+	Committed        []Entry
+	Reads            []Read
 }
 
 // Empty reports whether there is nothing to do.
 func (r *Ready) Empty() bool {
-	return !r.HardChanged && r.Snapshot == nil && len(r.Entries) == 0 && len(r.Messages) == 0 &&
+	return !r.HardStateChanged && r.Snapshot == nil && len(r.Entries) == 0 && len(r.Messages) == 0 &&
 		len(r.Committed) == 0 && len(r.Reads) == 0
 }
--- a/instance/consensus/storage.go
+++ b/instance/consensus/storage.go
@@ -112,7 +112,7 @@
 // does not know would pass for damage after a crash between the two.
 func (s *storage) persist(r *raft.Ready) error {
 	var records []record
-	if r.HardChanged {
+	if r.HardStateChanged {
 		records = append(records, record{Hard: &r.HardState})
 	}
 	if r.Snapshot != nil {
--- a/instance/consensus/storage_test.go
+++ b/instance/consensus/storage_test.go
@@ -36,7 +36,7 @@
 }
 
 func write(s *storage, term uint64, vote raft.MemberID, list ...raft.Entry) error {
-	return s.persist(&raft.Ready{HardState: raft.HardState{Term: term, Vote: vote}, HardChanged: true, Entries: list})
+	return s.persist(&raft.Ready{HardState: raft.HardState{Term: term, Vote: vote}, HardStateChanged: true, Entries: list})
 }
 
 // What a user would see: a confirmed change is gone. What happens: a member takes
@@ -75,7 +75,7 @@
 			}
 			return nil
 		})
-		err := s.persist(&raft.Ready{HardState: raft.HardState{Term: 3}, HardChanged: true,
+		err := s.persist(&raft.Ready{HardState: raft.HardState{Term: 3}, HardStateChanged: true,
 			Snapshot: &raft.Snapshot{Index: 5, Term: 3, Members: founder.Founding.Charter.Members}, Entries: entries(3, 6, 7, 1)})
 		fs.SetSyncFails(nil)
 		fs.Crash(0)
