--- a/core/raft/log.go
+++ b/core/raft/log.go
@@ -18,7 +18,7 @@
 	if len(l.entries) == 0 {
 		return l.snapAt
 	}
-	return l.entries[len(l.entries)-1].At
+	return l.entries[len(l.entries)-1].Timestamp
 }
 
 // term returns the term of an entry, or 0 if it is unknown.
@@ -81,7 +81,7 @@
 
 // compact drops the entries up to index, which a snapshot now covers.
 func (l *memLog) compact(index uint64) {
-	term, at := l.term(index), l.entries[index-l.snapIndex-1].At
+	term, at := l.term(index), l.entries[index-l.snapIndex-1].Timestamp
 	l.entries = append([]Entry(nil), l.entries[index-l.snapIndex:]...)
 	l.snapIndex, l.snapTerm, l.snapAt = index, term, at
 }
--- a/core/raft/observer_test.go
+++ b/core/raft/observer_test.go
@@ -42,7 +42,7 @@
 	if !seen {
 		s.commits[e.Index], s.seenAt[e.Index] = e, term
 		s.top = max(s.top, e.Index)
-		if prev, ok := s.commits[e.Index-1]; ok && prev.At > e.At {
+		if prev, ok := s.commits[e.Index-1]; ok && prev.Timestamp > e.Timestamp {
 			s.fail("the timestamp of entry %d decreases", e.Index)
 		}
 	}
--- a/core/raft/ready.go
+++ b/core/raft/ready.go
@@ -35,7 +35,7 @@
 	}
 	if n.role == Leader {
 		n.advanceCommit()
-		n.retireIfRemoved(now)
+		n.stepDownIfRemoved(now)
 	}
 }
 
@@ -72,7 +72,7 @@
 	}
 	s := Snapshot{Index: index, Term: n.log.term(index), At: n.log.snapAt, Members: n.membersAtIndex(index)}
 	if e := n.log.slice(index, index); len(e) == 1 {
-		s.At = e[0].At
+		s.At = e[0].Timestamp
 	}
 	return s, nil
 }
--- a/core/raft/replicate.go
+++ b/core/raft/replicate.go
@@ -43,7 +43,7 @@
 
 func (n *Node) appendEntry(now time.Time, e Entry) uint64 {
 	e.Index, e.Term = n.log.last()+1, n.term
-	e.At = max(now.UnixNano(), n.log.lastAt())
+	e.Timestamp = max(now.UnixNano(), n.log.lastAt())
 	n.log.entries = append(n.log.entries, e)
 	if e.Kind == EntryMembers {
 		n.recordMembers(now, e.Index, e.Members)
@@ -207,7 +207,7 @@
 
 // stepDownIfRemoved makes a leader that was removed from the group step down once the
 // removal is committed.
-func (n *Node) retireIfRemoved(now time.Time) {
+func (n *Node) stepDownIfRemoved(now time.Time) {
 	last := n.memberships[len(n.memberships)-1]
 	if n.role == Leader && last.index <= n.commit && !last.members.voter(n.cfg.ID) {
 		n.sendHeartbeats()
--- a/core/raft/types.go
+++ b/core/raft/types.go
@@ -17,11 +17,11 @@
 type Entry struct {
 	Index uint64 `codec:"i"`
 	Term  uint64 `codec:"t"`
-	// At is the leader's wall clock in nanoseconds since the Unix epoch, adjusted so that
+	// Timestamp is the leader's wall clock in nanoseconds since the Unix epoch, adjusted so that
 	// it never decreases along the log.
-	At   int64     `codec:"a"`
-	Kind EntryKind `codec:"k"`
-	Data []byte    `codec:"d"`
+	Timestamp int64     `codec:"a"`
+	Kind      EntryKind `codec:"k"`
+	Data      []byte    `codec:"d"`
 	// Members is the complete new membership (EntryMembers only).
 	Members Members `codec:"m"`
 }
--- a/instance/consensus/apply.go
+++ b/instance/consensus/apply.go
@@ -54,7 +54,7 @@
 	var result []byte
 	var err error
 	if e.Kind == raft.EntryCommand {
-		command, result, err = s.cfg.Mux.Apply(e.Index, e.At, e.Data)
+		command, result, err = s.cfg.Mux.Apply(e.Index, e.Timestamp, e.Data)
 	} else {
 		s.cfg.Mux.Skip(e.Index)
 	}
--- a/instance/consensus/parts_test.go
+++ b/instance/consensus/parts_test.go
@@ -60,6 +60,6 @@
 
 func TestMessagesSurviveTheWire(t *testing.T) {
 	overTheWire(t, raft.Message{Kind: raft.MsgAppend, Cluster: "c", From: 1 << 63, To: 2, Term: 3, Index: 4, LogTerm: 5, Commit: 6, Round: 7, Transfer: true,
-		Entries: []raft.Entry{{Index: 5, Term: 3, At: -1, Kind: raft.EntryMembers, Data: []byte{1}, Members: raft.Members{{ID: 9, Name: "a", Voter: true}}}}})
+		Entries: []raft.Entry{{Index: 5, Term: 3, Timestamp: -1, Kind: raft.EntryMembers, Data: []byte{1}, Members: raft.Members{{ID: 9, Name: "a", Voter: true}}}}})
 	overTheWire(t, raft.Message{Kind: raft.MsgVoteReply, Cluster: "c", From: 1, To: 2, Term: 3, Reject: true, Hint: 8, Context: 1 << 62})
 }
