--- a/core/raft/log.go
+++ b/core/raft/log.go
@@ -88,7 +88,7 @@
 
 // reset replaces the log with a snapshot.
 func (l *memLog) reset(s *Snapshot) {
-	*l = memLog{snapIndex: s.Index, snapTerm: s.Term, snapAt: s.At, stable: s.Index}
+	*l = memLog{snapIndex: s.Index, snapTerm: s.Term, snapAt: s.Timestamp, stable: s.Index}
 }
 
 // isUpToDate reports whether a log that ends with (index, term) is at least as up to date
--- a/core/raft/replicate.go
+++ b/core/raft/replicate.go
@@ -85,7 +85,7 @@
 // again when no reply came within the rounds of an election timeout.
 func (n *Node) sendSnapshot(id MemberID, p *progress) {
 	n.send(Message{Kind: MsgSnapshot, To: id, Round: n.round, Snapshot: &Snapshot{
-		Index: n.log.snapIndex, Term: n.log.snapTerm, At: n.log.snapAt, Members: n.membersAtIndex(n.log.snapIndex)}})
+		Index: n.log.snapIndex, Term: n.log.snapTerm, Timestamp: n.log.snapAt, Members: n.membersAtIndex(n.log.snapIndex)}})
 	p.probe, p.awaitingReply = true, true
 	p.sentRound = n.round
 }
--- a/core/raft/types.go
+++ b/core/raft/types.go
@@ -35,10 +35,10 @@
 
 // Snapshot replaces the log up to and including Index.
 type Snapshot struct {
-	Index   uint64  `codec:"i"`
-	Term    uint64  `codec:"t"`
-	At      int64   `codec:"a"`
-	Members Members `codec:"m"`
+	Index     uint64  `codec:"i"`
+	Term      uint64  `codec:"t"`
+	Timestamp int64   `codec:"a"`
+	Members   Members `codec:"m"`
 	// Data is the serialised state of the control state machine. A Node neither reads nor
 	// keeps it: the caller fills it in before it sends a MsgSnapshot of a Ready.
 	Data []byte `codec:"d"`
--- a/instance/consensus/apply.go
+++ b/instance/consensus/apply.go
@@ -44,7 +44,7 @@
 			s.finish(c, reply{err: unknown("a snapshot has replaced the log, which may hold the command")})
 		}
 	}
-	s.notify(snapshot.Index, control.Entry{Index: snapshot.Index, At: time.Unix(0, snapshot.At).UTC()})
+	s.notify(snapshot.Index, control.Entry{Index: snapshot.Index, At: time.Unix(0, snapshot.Timestamp).UTC()})
 	return nil
 }
 
