--- a/core/raft/read.go
+++ b/core/raft/read.go
@@ -69,7 +69,7 @@
 }
 
 // startReadRound starts one heartbeat round for all reads that arrived since the last one.
-func (n *Node) startReads(now time.Time) {
+func (n *Node) startReadRound(now time.Time) {
 	if n.role != Leader || !n.committedInTerm() {
 		return
 	}
--- a/core/raft/ready.go
+++ b/core/raft/ready.go
@@ -9,7 +9,7 @@
 // Ready returns the work to be done now; see the Ready type. The caller does it and calls
 // Advance before it steps the node again.
 func (n *Node) Ready(now time.Time) Ready {
-	n.startReads(now)
+	n.startReadRound(now)
 	n.sendCommitUpdates()
 	r := Ready{
 		HardState: HardState{Term: n.term, Vote: n.vote},
--- a/core/tree/layout.go
+++ b/core/tree/layout.go
@@ -13,8 +13,8 @@
 // 21 instances are then reached from the delegate in two steps.
 const DefaultFanOut = 4
 
-// Node is one instance in the tree.
-type Node struct {
+// Instance is one instance in the tree.
+type Instance struct {
 	Name   string
 	Domain string
 	// Data says that the instance has a data folder and may hold the control
@@ -29,8 +29,8 @@
 // delegate's parent is the root. Instances with the same view agree on the tree;
 // where views differ, an instance may ask a descendant, which does no harm, as
 // neither revisions nor leases grow on the way.
-func Candidates(self Node, root string, live []Node, fanOut int) []string {
-	domain := namesOf(live, func(n Node) bool { return n.Domain == self.Domain || n.Name == self.Name })
+func Candidates(self Instance, root string, live []Instance, fanOut int) []string {
+	domain := namesOf(live, func(n Instance) bool { return n.Domain == self.Domain || n.Name == self.Name })
 	position := sort.SearchStrings(domain, self.Name)
 	var order []string
 	if position < len(domain) {
@@ -42,12 +42,12 @@
 	if root != "" {
 		order = append(order, root)
 	}
-	order = append(order, namesOf(live, func(n Node) bool { return n.Data })...)
+	order = append(order, namesOf(live, func(n Instance) bool { return n.Data })...)
 	order = append(order, domain...)
 	return unique(order, self.Name)
 }
 
-func namesOf(nodes []Node, keep func(Node) bool) []string {
+func namesOf(nodes []Instance, keep func(Instance) bool) []string {
 	var names []string
 	for _, n := range nodes {
 		if keep(n) {
--- a/core/tree/tree_test.go
+++ b/core/tree/tree_test.go
@@ -225,9 +225,9 @@
 func TestCandidates(t *testing.T) {
 	g := NewWithT(t)
 	const size = 21
-	nodes := []tree.Node{{Name: "leader", Domain: "far", Data: true}, {Name: "voter", Domain: "far", Data: true}}
+	nodes := []tree.Instance{{Name: "leader", Domain: "far", Data: true}, {Name: "voter", Domain: "far", Data: true}}
 	for i := range size {
-		nodes = append(nodes, tree.Node{Name: fmt.Sprintf("i%02d", i), Domain: "hall"})
+		nodes = append(nodes, tree.Instance{Name: fmt.Sprintf("i%02d", i), Domain: "hall"})
 	}
 	children := map[string]int{}
 	for _, n := range nodes[2:] {
@@ -241,6 +241,6 @@
 		g.Expect(count).To(BeNumerically("<=", tree.DefaultFanOut), name)
 	}
 	g.Expect(tree.Candidates(nodes[2+20], "leader", nodes, tree.DefaultFanOut)[:4]).To(Equal([]string{"i04", "i00", "leader", "voter"}))
-	without := append(append([]tree.Node{}, nodes[:6]...), nodes[7:]...) // i04 is gone
+	without := append(append([]tree.Instance{}, nodes[:6]...), nodes[7:]...) // i04 is gone
 	g.Expect(tree.Candidates(nodes[2+20], "leader", without, tree.DefaultFanOut)[0]).NotTo(Equal("i04"))
 }
--- a/instance/daemon/cluster.go
+++ b/instance/daemon/cluster.go
@@ -136,13 +136,13 @@
 }
 
 func (d *Daemon) layout(k *kernel.Kernel, members *member.Service) spread.Layout {
-	l := spread.Layout{Self: tree.Node{Name: d.cfg.Instance.Name, Domain: d.cfg.Instance.FailureDomain, Data: d.cfg.Instance.DataFolder != ""}}
+	l := spread.Layout{Self: tree.Instance{Name: d.cfg.Instance.Name, Domain: d.cfg.Instance.FailureDomain, Data: d.cfg.Instance.DataFolder != ""}}
 	if c, err := kernel.Lookup[*control.Service](k, nameControl); err == nil {
 		l.Root = c.Leader()
 	}
 	for _, m := range members.Members() {
 		if m.Status < coremember.Dead {
-			l.Live = append(l.Live, tree.Node{Name: m.Name, Domain: m.Domain, Data: m.Data})
+			l.Live = append(l.Live, tree.Instance{Name: m.Name, Domain: m.Domain, Data: m.Data})
 		}
 	}
 	return l
--- a/instance/spread/spread.go
+++ b/instance/spread/spread.go
@@ -68,12 +68,12 @@
 
 // Layout is what the tree is made from.
 type Layout struct {
-	Self tree.Node
+	Self tree.Instance
 	// Root is the control leader, or empty while it is not known.
 	Root string
 	// Live are the instances of the failure domain and those of the control
 	// group that are not known to be gone.
-	Live []tree.Node
+	Live []tree.Instance
 }
 
 // Config of a Service.
--- a/instance/spread/spread_test.go
+++ b/instance/spread/spread_test.go
@@ -41,19 +41,19 @@
 type world struct {
 	book  book
 	mu    sync.Mutex
-	nodes []tree.Node
+	nodes []tree.Instance
 	floor atomic.Uint64
 }
 
-func (w *world) layout(self tree.Node) func() spread.Layout {
+func (w *world) layout(self tree.Instance) func() spread.Layout {
 	return func() spread.Layout {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		return spread.Layout{Self: self, Root: "leader", Live: append([]tree.Node(nil), w.nodes...)}
+		return spread.Layout{Self: self, Root: "leader", Live: append([]tree.Instance(nil), w.nodes...)}
 	}
 }
 
-func (w *world) start(t *testing.T, self tree.Node) *node {
+func (w *world) start(t *testing.T, self tree.Instance) *node {
 	g := NewWithT(t)
 	links, err := link.New(link.Config{
 		Self: self.Name, Listen: "127.0.0.1:0", Credential: "secret", Book: &w.book, Log: zerolog.Nop(),
@@ -91,10 +91,10 @@
 // they do not know that any more.
 func TestSpreadWithLostParents(t *testing.T) {
 	g := NewWithT(t)
-	w := &world{nodes: []tree.Node{{Name: "leader", Domain: "far", Data: true}}}
+	w := &world{nodes: []tree.Instance{{Name: "leader", Domain: "far", Data: true}}}
 	const size = 9
 	for i := range size {
-		w.nodes = append(w.nodes, tree.Node{Name: fmt.Sprintf("i%d", i), Domain: "hall"})
+		w.nodes = append(w.nodes, tree.Instance{Name: fmt.Sprintf("i%d", i), Domain: "hall"})
 	}
 	leader := w.start(t, w.nodes[0])
 	var nodes []*node
@@ -124,7 +124,7 @@
 // each other; their leases must end all the same.
 func TestLeaseEndsWithoutLeader(t *testing.T) {
 	g := NewWithT(t)
-	w := &world{nodes: []tree.Node{{Name: "leader", Domain: "far", Data: true}, {Name: "i0", Domain: "hall"}, {Name: "i1", Domain: "hall"}}}
+	w := &world{nodes: []tree.Instance{{Name: "leader", Domain: "far", Data: true}, {Name: "i0", Domain: "hall"}, {Name: "i1", Domain: "hall"}}}
 	leader, one, two := w.start(t, w.nodes[0]), w.start(t, w.nodes[1]), w.start(t, w.nodes[2])
 	leader.spread.Renew(time.Now(), 3*time.Second)
 	g.Expect(leader.spread.Publish(1, []byte("one"))).To(Succeed())
@@ -141,9 +141,9 @@
 	// known that a newer revision was acted on.
 	w.floor.Store(2)
 	w.mu.Lock()
-	w.nodes = append(w.nodes, tree.Node{Name: "i2", Domain: "hall"})
+	w.nodes = append(w.nodes, tree.Instance{Name: "i2", Domain: "hall"})
 	w.mu.Unlock()
-	late := w.start(t, tree.Node{Name: "i2", Domain: "hall"})
+	late := w.start(t, tree.Instance{Name: "i2", Domain: "hall"})
 	g.Consistently(late.spread.Ready, time.Second).Should(BeFalse())
 	g.Expect(late.got.Load()).To(BeZero())
 	g.Expect(two.spread.Publish(2, []byte("two"))).To(Succeed())
