--- a/core/raft/follow.go
+++ b/core/raft/follow.go
@@ -7,7 +7,7 @@
 )
 
 // handleLeaderMessage handles an append, a snapshot or a heartbeat of the current term.
-func (n *Node) handleLeader(now time.Time, m Message) {
+func (n *Node) handleLeaderMessage(now time.Time, m Message) {
 	if n.role == Leader {
 		n.fatalErr = fault.New(fault.Internal, "member %x also claims to lead term %d", m.From, n.term)
 		return
--- a/core/raft/node.go
+++ b/core/raft/node.go
@@ -235,7 +235,7 @@
 	case MsgPreVoteReply, MsgVoteReply:
 		n.handleVoteReply(now, m)
 	case MsgAppend, MsgHeartbeat, MsgSnapshot:
-		n.handleLeader(now, m)
+		n.handleLeaderMessage(now, m)
 	case MsgAppendReply, MsgHeartbeatReply:
 		n.handleAck(now, m)
 	case MsgTimeoutNow:
--- a/core/tree/follower.go
+++ b/core/tree/follower.go
@@ -18,8 +18,8 @@
 	Until time.Time
 }
 
-// Question is what an instance asks its parent.
-type Question struct {
+// Request is what an instance asks its parent.
+type Request struct {
 	// Revision and Sum are what it has; zero when it has nothing.
 	Revision uint64 `codec:"r"`
 	Sum      uint64 `codec:"s"`
@@ -68,9 +68,9 @@
 func (f *Follower) Content() []byte { return f.latest().content }
 
 // Question returns what to ask the named parent.
-func (f *Follower) Question(now time.Time, parent string) Question {
+func (f *Follower) Question(now time.Time, parent string) Request {
 	v := f.latest()
-	return Question{Revision: v.revision, Sum: v.sum, Acted: f.ActedBut(now, parent)}
+	return Request{Revision: v.revision, Sum: v.sum, Acted: f.ActedBut(now, parent)}
 }
 
 // Require states that a revision was acted on already, by this instance before
@@ -132,7 +132,7 @@
 }
 
 // Answer returns what a child is told that asks q, with a lease if there is one.
-func (f *Follower) Answer(now time.Time, from Child, q Question) Update {
+func (f *Follower) Answer(now time.Time, from Child, q Request) Update {
 	u := f.Inform(q)
 	if l := f.Lease(now); l.Valid {
 		u.LeaseMillis = l.Until.Sub(now).Milliseconds()
@@ -142,7 +142,7 @@
 }
 
 // Inform is Answer without a lease.
-func (f *Follower) Inform(q Question) Update {
+func (f *Follower) Inform(q Request) Update {
 	v := f.latest()
 	u := Update{Revision: v.revision, Sum: v.sum}
 	switch {
--- a/instance/spread/spread.go
+++ b/instance/spread/spread.go
@@ -57,7 +57,7 @@
 // question and report are what an instance sends its parents. Start tells the
 // processes of one name apart.
 type question struct {
-	tree.Question
+	tree.Request
 	Start uint64 `codec:"st"`
 }
 
@@ -330,7 +330,7 @@
 	if from == s.parent {
 		// A lease from this instance would be the asking one's own, and while
 		// both were content with it neither would look for a fresh one.
-		return s.state.Inform(q.Question), nil
+		return s.state.Inform(q.Request), nil
 	}
-	return s.state.Answer(time.Now(), tree.Child{Name: from, Start: q.Start}, q.Question), nil
+	return s.state.Answer(time.Now(), tree.Child{Name: from, Start: q.Start}, q.Request), nil
 }
