--- a/core/raft/node.go
+++ b/core/raft/node.go
@@ -158,8 +158,8 @@
 // setElectionDeadline makes this member campaign after a time without a leader between the
 // timeout and twice the timeout.
 func (n *Node) setElectionDeadline(now time.Time, timeout time.Duration) {
-	spread := time.Duration(n.cfg.Rand.Int63n(int64(timeout)))
-	n.electionDeadline = now.Add(timeout + spread)
+	jitter := time.Duration(n.cfg.Rand.Int63n(int64(timeout)))
+	n.electionDeadline = now.Add(timeout + jitter)
 }
 
 // beforeFirstElection reports whether this member knows only the founding term, in which
--- a/core/tree/follower.go
+++ b/core/tree/follower.go
@@ -67,8 +67,8 @@
 // Content returns the content in force, which must not be changed.
 func (f *Follower) Content() []byte { return f.latest().content }
 
-// Question returns what to ask the named parent.
-func (f *Follower) Question(now time.Time, parent string) Request {
+// Request returns what to ask the named parent.
+func (f *Follower) Request(now time.Time, parent string) Request {
 	v := f.latest()
 	return Request{Revision: v.revision, Sum: v.sum, Acted: f.ActedBut(now, parent)}
 }
--- a/instance/spread/ask.go
+++ b/instance/spread/ask.go
@@ -94,7 +94,7 @@
 func (s *Service) ask(ctx context.Context, name string) (bool, error) {
 	s.mu.Lock()
 	s.require()
-	q := question{Request: s.state.Question(time.Now(), name), Start: s.start}
+	q := question{Request: s.state.Request(time.Now(), name), Start: s.start}
 	s.mu.Unlock()
 	leased, err := s.askOnce(ctx, name, q)
 	if fault.CodeOf(err) == fault.Corrupt {
