--- a/core/raft/explore_test.go
+++ b/core/raft/explore_test.go
@@ -65,7 +65,7 @@
 	case p < 0.25 && h.node == nil && !h.gone:
 		s.start(h)
 	case p < 0.254 && s.running(h):
-		h.thaw = s.now.Add(time.Duration(s.rnd.Int63n(int64(4 * election))))
+		h.frozenUntil = s.now.Add(time.Duration(s.rnd.Int63n(int64(4 * election))))
 	case p < 0.256:
 		s.loseDisk(h)
 	case p < 0.28:
--- a/core/raft/sim_test.go
+++ b/core/raft/sim_test.go
@@ -24,17 +24,17 @@
 
 // host runs one member, which may be stopped, suspended or partitioned.
 type host struct {
-	id     raft.MemberID
-	node   *raft.Node
-	disk   disk
-	thaw   time.Time
-	rate   float64
-	joined bool
-	gone   bool
-	inbox  []raft.Message
-	state  uint64 // digest of all applied commands
-	last   uint64 // index of the last applied entry
-	role   raft.Role
+	id          raft.MemberID
+	node        *raft.Node
+	disk        disk
+	frozenUntil time.Time
+	rate        float64
+	joined      bool
+	gone        bool
+	inbox       []raft.Message
+	state       uint64 // digest of all applied commands
+	last        uint64 // index of the last applied entry
+	role        raft.Role
 }
 
 type packet struct {
@@ -121,7 +121,7 @@
 
 func (s *sim) stop(h *host) { h.node = nil }
 
-func (s *sim) running(h *host) bool { return h.node != nil && !h.gone && !s.now.Before(h.thaw) }
+func (s *sim) running(h *host) bool { return h.node != nil && !h.gone && !s.now.Before(h.frozenUntil) }
 
 // persist updates the disk as a write-ahead log would after a sync.
 func (h *host) persist(r raft.Ready) {
@@ -308,7 +308,7 @@
 	clear(s.cuts)
 	for _, id := range s.order {
 		h := s.hosts[id]
-		h.thaw = time.Time{}
+		h.frozenUntil = time.Time{}
 		if h.node == nil && !h.gone {
 			s.start(h)
 		}
--- a/core/tree/follower.go
+++ b/core/tree/follower.go
@@ -23,8 +23,8 @@
 	// Revision and Sum are what it has; zero when it has nothing.
 	Revision uint64 `codec:"r"`
 	Sum      uint64 `codec:"s"`
-	// Acted is what it reports; see Follower.ActedBut.
-	Acted uint64 `codec:"a"`
+	// Applied is what it reports; see Follower.ActedBut.
+	Applied uint64 `codec:"a"`
 }
 
 type version struct {
@@ -70,7 +70,7 @@
 // Request returns what to ask the named parent.
 func (f *Follower) Request(now time.Time, parent string) Request {
 	v := f.latest()
-	return Request{Revision: v.revision, Sum: v.sum, Acted: f.ActedBut(now, parent)}
+	return Request{Revision: v.revision, Sum: v.sum, Applied: f.ActedBut(now, parent)}
 }
 
 // Require states that a revision was acted on already, by this instance before
@@ -136,7 +136,7 @@
 	u := f.Inform(q)
 	if l := f.Lease(now); l.Valid {
 		u.LeaseMillis = l.Until.Sub(now).Milliseconds()
-		f.grant(from, q.Acted)
+		f.grant(from, q.Applied)
 	}
 	return u
 }
--- a/instance/spread/ask.go
+++ b/instance/spread/ask.go
@@ -98,7 +98,7 @@
 	s.mu.Unlock()
 	leased, err := s.askOnce(ctx, name, q)
 	if fault.CodeOf(err) == fault.Corrupt {
-		q.Request = tree.Request{Acted: q.Acted}
+		q.Request = tree.Request{Applied: q.Applied}
 		leased, err = s.askOnce(ctx, name, q)
 	}
 	if err != nil {
@@ -113,7 +113,7 @@
 	asked := time.Now()
 	var u tree.Update
 	if err := s.cfg.Links.Call(ctx, name, channelAsk, q, &u); err != nil {
-		s.noteLessor(name, asked.Add(maxLease), q.Acted)
+		s.noteLessor(name, asked.Add(maxLease), q.Applied)
 		return false, err
 	}
 	s.mu.Lock()
@@ -123,7 +123,7 @@
 	}
 	s.mu.Unlock()
 	if u.LeaseMillis > 0 {
-		s.noteLessor(name, asked.Add(time.Duration(u.LeaseMillis)*time.Millisecond), q.Acted)
+		s.noteLessor(name, asked.Add(time.Duration(u.LeaseMillis)*time.Millisecond), q.Applied)
 	}
 	if outcome == tree.Applied {
 		s.changed()
