--- a/core/raft/explore_test.go
+++ b/core/raft/explore_test.go
@@ -62,7 +62,7 @@
 		clear(s.cuts)
 	case p < 0.219:
 		s.stop(h)
-	case p < 0.25 && h.node == nil && !h.gone:
+	case p < 0.25 && h.node == nil && !h.diskLost:
 		s.start(h)
 	case p < 0.254 && s.running(h):
 		h.frozenUntil = s.now.Add(time.Duration(s.rnd.Int63n(int64(4 * election))))
@@ -93,16 +93,16 @@
 // loseDisk replaces the disk of one member at a time: the old member never returns, and its
 // replacement has another ID and an empty disk.
 func (s *sim) loseDisk(h *host) {
-	if h.gone {
+	if h.diskLost {
 		return
 	}
 	for _, x := range s.hosts {
-		if x.gone || !x.joined {
+		if x.diskLost || !x.joined {
 			return
 		}
 	}
 	s.stop(h)
-	h.gone = true
+	h.diskLost = true
 	s.add(s.nextID, disk{})
 	s.nextID++
 }
@@ -118,9 +118,9 @@
 		h := s.hosts[id]
 		m, known := l.node.Status(now).Members.Get(id)
 		switch {
-		case h.gone && known:
+		case h.diskLost && known:
 			_, _ = l.node.Remove(now, id)
-		case h.gone:
+		case h.diskLost:
 			s.forget(id)
 			s.drain(l)
 			return
@@ -165,7 +165,7 @@
 		return false
 	}
 	for _, m := range l.node.Status(s.clock(l)).Members {
-		if h := s.hosts[m.ID]; h != nil && !h.gone && h.last != s.top {
+		if h := s.hosts[m.ID]; h != nil && !h.diskLost && h.last != s.top {
 			return false
 		}
 	}
@@ -201,7 +201,7 @@
 	var b strings.Builder
 	for _, id := range s.order {
 		h := s.hosts[id]
-		fmt.Fprintf(&b, "\n%d gone=%v applied=%d of %d", id, h.gone, h.last, s.top)
+		fmt.Fprintf(&b, "\n%d gone=%v applied=%d of %d", id, h.diskLost, h.last, s.top)
 		if h.node != nil {
 			fmt.Fprintf(&b, " %+v", h.node.Status(s.clock(h)))
 		}
--- a/core/raft/sim_test.go
+++ b/core/raft/sim_test.go
@@ -30,7 +30,7 @@
 	frozenUntil time.Time
 	rate        float64
 	joined      bool
-	gone        bool
+	diskLost    bool
 	inbox       []raft.Message
 	state       uint64 // digest of all applied commands
 	last        uint64 // index of the last applied entry
@@ -121,7 +121,9 @@
 
 func (s *sim) stop(h *host) { h.node = nil }
 
-func (s *sim) running(h *host) bool { return h.node != nil && !h.gone && !s.now.Before(h.frozenUntil) }
+func (s *sim) running(h *host) bool {
+	return h.node != nil && !h.diskLost && !s.now.Before(h.frozenUntil)
+}
 
 // persist updates the disk as a write-ahead log would after a sync.
 func (h *host) persist(r raft.Ready) {
@@ -218,7 +220,7 @@
 			continue
 		}
 		h := s.hosts[p.msg.To]
-		if h != nil && h.node != nil && !h.gone && !s.cuts[[2]raft.MemberID{p.msg.From, p.msg.To}] {
+		if h != nil && h.node != nil && !h.diskLost && !s.cuts[[2]raft.MemberID{p.msg.From, p.msg.To}] {
 			h.inbox = append(h.inbox, p.msg)
 		}
 	}
@@ -309,7 +311,7 @@
 	for _, id := range s.order {
 		h := s.hosts[id]
 		h.frozenUntil = time.Time{}
-		if h.node == nil && !h.gone {
+		if h.node == nil && !h.diskLost {
 			s.start(h)
 		}
 	}
--- a/core/tree/grants.go
+++ b/core/tree/grants.go
@@ -18,10 +18,10 @@
 	acted uint64
 }
 
-// Act states that this instance acts on a revision now. A lease that came with
+// MarkApplied states that this instance acts on a revision now. A lease that came with
 // it counts from now on: were it to count sooner, an instance that is slow to
 // act would seem to be up to date with the older one.
-func (f *Follower) Act(revision uint64) {
+func (f *Follower) MarkApplied(revision uint64) {
 	f.acted = max(f.acted, revision)
 	if f.acted >= f.Revision() {
 		f.extend(f.given)
@@ -39,7 +39,7 @@
 	if until.After(f.given) {
 		f.given = until
 	}
-	f.Act(f.acted)
+	f.MarkApplied(f.acted)
 }
 
 // TakeOver states that this instance becomes the root. Which leases an earlier
--- a/core/tree/tree_test.go
+++ b/core/tree/tree_test.go
@@ -71,11 +71,11 @@
 		m.starts[i]++
 		m.acts[i] = 0
 	case 4:
-		m.root.Act(m.root.Revision())
+		m.root.MarkApplied(m.root.Revision())
 	case 5, 6:
 		i := rapid.IntRange(0, followers-1).Draw(t, "acts")
 		m.acts[i] = m.all[i].Revision()
-		m.all[i].Act(m.acts[i])
+		m.all[i].MarkApplied(m.acts[i])
 	case 7:
 		i := rapid.IntRange(0, followers-1).Draw(t, "reports")
 		name, parent := m.parent(t)
@@ -106,7 +106,7 @@
 	if err := m.root.Publish(m.revision, content(m.revision)); err != nil {
 		t.Fatal(err)
 	}
-	m.root.Act(m.revision)
+	m.root.MarkApplied(m.revision)
 	m.root.TakeOver(m.now, leaseTTL)
 }
 
--- a/instance/spread/spread.go
+++ b/instance/spread/spread.go
@@ -290,7 +290,7 @@
 		}
 		told = revision
 		s.mu.Lock()
-		s.state.Act(revision)
+		s.state.MarkApplied(revision)
 		s.mu.Unlock()
 		s.report()
 	}
