--- a/core/raft/sim_test.go
+++ b/core/raft/sim_test.go
@@ -42,7 +42,7 @@
 	msg raft.Message
 }
 
-type readKey struct{ index uint64 }
+type expectedRead struct{ index uint64 }
 
 // sim simulates a group of members under faults and checks it with full knowledge of all
 // members. Violated checks are recorded in violations.
@@ -60,7 +60,7 @@
 	seenAt   map[uint64]uint64 // index -> lowest term in which its commit was seen
 	states   map[uint64]uint64 // index -> digest after it
 	top      uint64
-	reads    map[uint64]readKey
+	reads    map[uint64]expectedRead
 	served   int
 	context  uint64
 	bad      []string
@@ -72,7 +72,7 @@
 func newSim(seed int64, voters int) *sim {
 	s := &sim{rnd: rand.New(rand.NewSource(seed)), now: time.Unix(1_000_000, 0), hosts: map[raft.MemberID]*host{},
 		cuts: map[[2]raft.MemberID]bool{}, leaders: map[uint64]raft.MemberID{}, commits: map[uint64]raft.Entry{},
-		seenAt: map[uint64]uint64{}, states: map[uint64]uint64{1: 0}, reads: map[uint64]readKey{}}
+		seenAt: map[uint64]uint64{}, states: map[uint64]uint64{1: 0}, reads: map[uint64]expectedRead{}}
 	var members raft.Members
 	for i := range voters {
 		members = append(members, raft.Member{ID: raft.MemberID(i + 1), Name: fmt.Sprint("m", i+1), Voter: true})
@@ -300,7 +300,7 @@
 
 func (s *sim) read(h *host) {
 	s.context++
-	s.reads[s.context] = readKey{index: s.top}
+	s.reads[s.context] = expectedRead{index: s.top}
 	_ = h.node.ReadIndex(s.clock(h), s.context)
 	s.drain(h)
 }
--- a/core/tree/grants.go
+++ b/core/tree/grants.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// ActsOn returns what this instance acts on; zero for nothing yet.
-func (f *Follower) ActsOn() uint64 { return f.acted }
+// AppliedRevision returns what this instance acts on; zero for nothing yet.
+func (f *Follower) AppliedRevision() uint64 { return f.acted }
 
 // Proved reports whether a lease ever came with a revision, so that it was the
 // newest when it was asked for.
--- a/instance/spread/spread.go
+++ b/instance/spread/spread.go
@@ -201,7 +201,7 @@
 func (s *Service) Acts(revision uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state.ActsOn() >= revision
+	return s.state.AppliedRevision() >= revision
 }
 
 // InForce reports, at the control leader, whether all instances act on a revision
