--- a/core/raft/explore_test.go
+++ b/core/raft/explore_test.go
@@ -31,7 +31,7 @@
 				break
 			}
 		}
-		s.calm()
+		s.clearFaults()
 		recovered := s.propose("last")
 		s.until(500, func() bool { return s.level() })
 		s.checkLogs()
--- a/core/raft/sim_test.go
+++ b/core/raft/sim_test.go
@@ -305,7 +305,7 @@
 	s.drain(h)
 }
 
-func (s *sim) calm() {
+func (s *sim) clearFaults() {
 	s.drop, s.crash = 0, 0
 	clear(s.cuts)
 	for _, id := range s.order {
--- a/core/tree/grants.go
+++ b/core/tree/grants.go
@@ -50,13 +50,13 @@
 // later one, or know that they are cut off. It does not depend on who is
 // believed to be there: an instance that nobody has heard of has no lease.
 func (f *Follower) InForce(now time.Time, revision uint64) bool {
-	return !now.Before(f.blind) && f.Acted(now) >= revision
+	return !now.Before(f.blind) && f.MinApplied(now) >= revision
 }
 
-// Acted returns the lowest revision that this instance, or any that has a lease
+// MinApplied returns the lowest revision that this instance, or any that has a lease
 // from it, directly or not, may act on under that lease; zero when this instance
 // acts on none yet.
-func (f *Follower) Acted(now time.Time) uint64 { return f.ActedBut(now, "") }
+func (f *Follower) MinApplied(now time.Time) uint64 { return f.ActedBut(now, "") }
 
 // ActedBut is Acted without what was given to one instance, which is to be told:
 // it knows by itself what it and those below it act on. Were that included, two
