--- a/core/raft/explore_test.go
+++ b/core/raft/explore_test.go
@@ -33,7 +33,7 @@
 		}
 		s.clearFaults()
 		recovered := s.propose("last")
-		s.until(500, func() bool { return s.level() })
+		s.stepUntil(500, func() bool { return s.level() })
 		s.checkLogs()
 		if len(s.bad) > 0 {
 			t.Fatalf("seed %d: %s", seed, strings.Join(s.bad, "\n"))
--- a/core/raft/sim_test.go
+++ b/core/raft/sim_test.go
@@ -264,7 +264,7 @@
 	return best
 }
 
-func (s *sim) until(limit int, ok func() bool) bool {
+func (s *sim) stepUntil(limit int, ok func() bool) bool {
 	for range limit {
 		if len(s.bad) > 0 {
 			return false
@@ -281,7 +281,7 @@
 // success.
 func (s *sim) propose(data string) bool {
 	done := false
-	return s.until(5000, func() bool {
+	return s.stepUntil(5000, func() bool {
 		l := s.leader()
 		if l == nil || done {
 			return done
@@ -291,7 +291,7 @@
 			return false
 		}
 		s.drain(l)
-		s.until(400, func() bool { return s.top >= index })
+		s.stepUntil(400, func() bool { return s.top >= index })
 		e, ok := s.commits[index]
 		done = ok && e.Term == term
 		return done
--- a/core/tree/follower.go
+++ b/core/tree/follower.go
@@ -70,7 +70,7 @@
 // Request returns what to ask the named parent.
 func (f *Follower) Request(now time.Time, parent string) Request {
 	v := f.latest()
-	return Request{Revision: v.revision, Sum: v.sum, Applied: f.ActedBut(now, parent)}
+	return Request{Revision: v.revision, Sum: v.sum, Applied: f.MinAppliedExcept(now, parent)}
 }
 
 // Require states that a revision was acted on already, by this instance before
--- a/core/tree/grants.go
+++ b/core/tree/grants.go
@@ -56,13 +56,13 @@
 // MinApplied returns the lowest revision that this instance, or any that has a lease
 // from it, directly or not, may act on under that lease; zero when this instance
 // acts on none yet.
-func (f *Follower) MinApplied(now time.Time) uint64 { return f.ActedBut(now, "") }
+func (f *Follower) MinApplied(now time.Time) uint64 { return f.MinAppliedExcept(now, "") }
 
-// ActedBut is Acted without what was given to one instance, which is to be told:
+// MinAppliedExcept is Acted without what was given to one instance, which is to be told:
 // it knows by itself what it and those below it act on. Were that included, two
 // instances that have leases from each other, as may be while their views of the
 // tree differ, would wait for each other until the leases end.
-func (f *Follower) ActedBut(now time.Time, name string) uint64 {
+func (f *Follower) MinAppliedExcept(now time.Time, name string) uint64 {
 	lowest := f.acted
 	for c, g := range f.grants {
 		switch {
--- a/core/tree/tree_test.go
+++ b/core/tree/tree_test.go
@@ -79,7 +79,7 @@
 	case 7:
 		i := rapid.IntRange(0, followers-1).Draw(t, "reports")
 		name, parent := m.parent(t)
-		parent.Report(m.child(i), m.all[i].ActedBut(m.now, name))
+		parent.Report(m.child(i), m.all[i].MinAppliedExcept(m.now, name))
 	case 8:
 		if m.revision > 0 {
 			m.succeed(t)
--- a/instance/spread/report.go
+++ b/instance/spread/report.go
@@ -44,7 +44,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, l := range s.lessors {
-		acted := s.state.ActedBut(now, name)
+		acted := s.state.MinAppliedExcept(now, name)
 		switch {
 		case now.After(l.until):
 			delete(s.lessors, name)
