--- a/core/raft/explore_test.go
+++ b/core/raft/explore_test.go
@@ -33,12 +33,12 @@
 		}
 		s.clearFaults()
 		recovered := s.propose("last")
-		s.stepUntil(500, func() bool { return s.level() })
+		s.stepUntil(500, func() bool { return s.converged() })
 		s.checkLogs()
 		if len(s.bad) > 0 {
 			t.Fatalf("seed %d: %s", seed, strings.Join(s.bad, "\n"))
 		}
-		if !recovered || !s.level() {
+		if !recovered || !s.converged() {
 			t.Fatalf("seed %d: the group did not recover: %s", seed, s.describe())
 		}
 		commits += len(s.commits)
@@ -159,7 +159,7 @@
 }
 
 // converged reports whether all members of the group have applied every committed entry.
-func (s *sim) level() bool {
+func (s *sim) converged() bool {
 	l := s.leader()
 	if l == nil {
 		return false
--- a/core/tree/grants.go
+++ b/core/tree/grants.go
@@ -31,9 +31,9 @@
 // AppliedRevision returns what this instance acts on; zero for nothing yet.
 func (f *Follower) AppliedRevision() uint64 { return f.acted }
 
-// Proved reports whether a lease ever came with a revision, so that it was the
+// HadLease reports whether a lease ever came with a revision, so that it was the
 // newest when it was asked for.
-func (f *Follower) Proved() bool { return !f.given.IsZero() || !f.until.IsZero() }
+func (f *Follower) HadLease() bool { return !f.given.IsZero() || !f.until.IsZero() }
 
 func (f *Follower) take(until time.Time) {
 	if until.After(f.given) {
--- a/instance/spread/spread.go
+++ b/instance/spread/spread.go
@@ -243,7 +243,7 @@
 // with a lease, which proves it the newest. In a failure domain that is cut off
 // there is none; after startPhase, what is known here has to do.
 func (s *Service) ready() bool {
-	proved := s.state.Proved() || time.Since(s.started) > startPhase
+	proved := s.state.HadLease() || time.Since(s.started) > startPhase
 	return proved && s.state.Ready()
 }
 
