--- a/core/raft/explore_test.go
+++ b/core/raft/explore_test.go
@@ -25,7 +25,7 @@
 		s := newSim(seed, 3+2*int(seed%2))
 		s.drop, s.crash, s.compact = []float64{0.02, 0.1, 0.3}[seed%3], []float64{0.0003, 0.003}[seed/3%2], 0.02
 		for range 4000 {
-			s.disturb()
+			s.injectFault()
 			s.step()
 			if len(s.bad) > 0 {
 				break
@@ -50,7 +50,7 @@
 }
 
 // injectFault causes at most one event: load, a fault or a step of a repair.
-func (s *sim) disturb() {
+func (s *sim) injectFault() {
 	h := s.hosts[s.order[s.rnd.Intn(len(s.order))]]
 	other := s.order[s.rnd.Intn(len(s.order))]
 	switch p := s.rnd.Float64(); {
--- a/core/tree/grants.go
+++ b/core/tree/grants.go
@@ -42,9 +42,9 @@
 	f.MarkApplied(f.acted)
 }
 
-// TakeOver states that this instance becomes the root. Which leases an earlier
+// BecomeRoot states that this instance becomes the root. Which leases an earlier
 // root gave is not known to it; none of them lasts longer than ttl from now.
-func (f *Follower) TakeOver(now time.Time, ttl time.Duration) { f.blind = now.Add(ttl) }
+func (f *Follower) BecomeRoot(now time.Time, ttl time.Duration) { f.blind = now.Add(ttl) }
 
 // InForce reports, at the root, whether all instances act on a revision or a
 // later one, or know that they are cut off. It does not depend on who is
--- a/core/tree/tree_test.go
+++ b/core/tree/tree_test.go
@@ -107,7 +107,7 @@
 		t.Fatal(err)
 	}
 	m.root.MarkApplied(m.revision)
-	m.root.TakeOver(m.now, leaseTTL)
+	m.root.BecomeRoot(m.now, leaseTTL)
 }
 
 func (m *model) parent(t *rapid.T) (string, *tree.Follower) {
--- a/instance/spread/spread.go
+++ b/instance/spread/spread.go
@@ -194,7 +194,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.state.TakeOver(time.Now(), ttl)
+	s.state.BecomeRoot(time.Now(), ttl)
 }
 
 // Acts reports whether this instance itself acts on a revision or a later one.
