--- a/core/raft/explore_test.go
+++ b/core/raft/explore_test.go
@@ -55,7 +55,7 @@
 	other := s.order[s.rnd.Intn(len(s.order))]
 	switch p := s.rnd.Float64(); {
 	case p < 0.20:
-		s.load(h, p < 0.10)
+		s.applyLoad(h, p < 0.10)
 	case p < 0.206:
 		s.cuts[[2]raft.MemberID{h.id, other}] = true
 	case p < 0.216:
@@ -78,7 +78,7 @@
 	}
 }
 
-func (s *sim) load(h *host, write bool) {
+func (s *sim) applyLoad(h *host, write bool) {
 	if !s.running(h) {
 		return
 	}
--- a/core/tree/follower.go
+++ b/core/tree/follower.go
@@ -133,7 +133,7 @@
 
 // Answer returns what a child is told that asks q, with a lease if there is one.
 func (f *Follower) Answer(now time.Time, from Child, q Request) Update {
-	u := f.Inform(q)
+	u := f.AnswerWithoutLease(q)
 	if l := f.Lease(now); l.Valid {
 		u.LeaseMillis = l.Until.Sub(now).Milliseconds()
 		f.grant(from, q.Applied)
@@ -141,8 +141,8 @@
 	return u
 }
 
-// Inform is Answer without a lease.
-func (f *Follower) Inform(q Request) Update {
+// AnswerWithoutLease is Answer without a lease.
+func (f *Follower) AnswerWithoutLease(q Request) Update {
 	v := f.latest()
 	u := Update{Revision: v.revision, Sum: v.sum}
 	switch {
--- a/instance/spread/spread.go
+++ b/instance/spread/spread.go
@@ -330,7 +330,7 @@
 	if from == s.parent {
 		// A lease from this instance would be the asking one's own, and while
 		// both were content with it neither would look for a fresh one.
-		return s.state.Inform(q.Request), nil
+		return s.state.AnswerWithoutLease(q.Request), nil
 	}
 	return s.state.Answer(time.Now(), tree.Child{Name: from, Start: q.Start}, q.Request), nil
 }
