--- a/core/raft/explore_test.go
+++ b/core/raft/explore_test.go
@@ -69,7 +69,7 @@
 	case p < 0.256:
 		s.loseDisk(h)
 	case p < 0.28:
-		s.repair()
+		s.replaceLostMember()
 	case p < 0.283:
 		if l := s.leader(); l != nil {
 			_ = l.node.Transfer(s.clock(l), other)
@@ -108,7 +108,7 @@
 }
 
 // replaceLostMember performs the next step of replacing a member that lost its disk.
-func (s *sim) repair() {
+func (s *sim) replaceLostMember() {
 	l := s.leader()
 	if l == nil {
 		return
--- a/core/tree/follower.go
+++ b/core/tree/follower.go
@@ -176,13 +176,13 @@
 	Behind
 )
 
-// Offer takes in a parent's answer to a question that was asked at the given
+// ApplyUpdate takes in a parent's answer to a question that was asked at the given
 // time. An older revision never replaces a newer one. A lease counts from the
 // question, not from the answer, and only for the revision that it was given
 // for: neither a slow network nor a circle of instances that ask each other can
 // prolong it. It fails with fault.Corrupt when the update does not fit; then the
 // whole content is to be asked for, with an empty Question.
-func (f *Follower) Offer(asked time.Time, u Update) (Outcome, error) {
+func (f *Follower) ApplyUpdate(asked time.Time, u Update) (Outcome, error) {
 	v := f.latest()
 	if u.Revision == 0 || u.Revision < v.revision || u.Revision < f.floor {
 		return Behind, nil
--- a/core/tree/tree_test.go
+++ b/core/tree/tree_test.go
@@ -123,7 +123,7 @@
 		a := m.answers[i]
 		m.answers = append(m.answers[:i], m.answers[i+1:]...)
 		// A restarted follower may not have the base any more: that is Corrupt.
-		_, _ = m.all[a.to].Offer(a.asked, a.u)
+		_, _ = m.all[a.to].ApplyUpdate(a.asked, a.u)
 	}
 }
 
@@ -181,20 +181,20 @@
 	root, child := tree.NewFollower(), tree.NewFollower()
 	big := bytes.Repeat([]byte("organisation "), 10_000)
 	g.Expect(root.Publish(1, big)).To(Succeed())
-	_, err := child.Offer(now, root.Answer(now, tree.Child{}, child.Request(now, "")))
+	_, err := child.ApplyUpdate(now, root.Answer(now, tree.Child{}, child.Request(now, "")))
 	g.Expect(err).NotTo(HaveOccurred())
 	edited := append(append(bytes.Clone(big[:5000]), "new entry"...), big[5000:]...)
 	g.Expect(root.Publish(2, edited)).To(Succeed())
 	u := root.Answer(now, tree.Child{}, child.Request(now, ""))
 	g.Expect(len(u.Middle)).To(BeNumerically("<", 100))
-	g.Expect(child.Offer(now, u)).To(Equal(tree.Applied))
+	g.Expect(child.ApplyUpdate(now, u)).To(Equal(tree.Applied))
 	g.Expect(child.Content()).To(Equal(edited))
 
 	far := tree.NewFollower()
-	_, err = far.Offer(now, u)
+	_, err = far.ApplyUpdate(now, u)
 	g.Expect(fault.CodeOf(err)).To(Equal(fault.Corrupt))
 	g.Expect(far.Ready()).To(BeFalse())
-	g.Expect(far.Offer(now, root.Answer(now, tree.Child{}, far.Request(now, "")))).To(Equal(tree.Applied))
+	g.Expect(far.ApplyUpdate(now, root.Answer(now, tree.Child{}, far.Request(now, "")))).To(Equal(tree.Applied))
 	g.Expect(fault.CodeOf(root.Publish(1, big))).To(Equal(fault.Conflict))
 	g.Expect(fault.CodeOf(root.Publish(2, big))).To(Equal(fault.Conflict))
 }
@@ -210,16 +210,16 @@
 	g.Expect(recent.Publish(5, content(5))).To(Succeed())
 	late := behind.Answer(now, tree.Child{}, restarted.Request(now, ""))
 	restarted.Require(5)
-	g.Expect(restarted.Offer(now, late)).To(Equal(tree.Behind))
+	g.Expect(restarted.ApplyUpdate(now, late)).To(Equal(tree.Behind))
 	g.Expect(restarted.Revision()).To(BeZero())
-	g.Expect(restarted.Offer(now, recent.Answer(now, tree.Child{}, restarted.Request(now, "")))).To(Equal(tree.Applied))
-	g.Expect(restarted.Offer(now, late)).To(Equal(tree.Behind))
-	g.Expect(recent.Offer(now, late)).To(Equal(tree.Behind))
+	g.Expect(restarted.ApplyUpdate(now, recent.Answer(now, tree.Child{}, restarted.Request(now, "")))).To(Equal(tree.Applied))
+	g.Expect(restarted.ApplyUpdate(now, late)).To(Equal(tree.Behind))
+	g.Expect(recent.ApplyUpdate(now, late)).To(Equal(tree.Behind))
 	g.Expect(restarted.Lease(now).Valid).To(BeFalse(), "a lease of an older revision does not count")
 	g.Expect(restarted.Ready()).To(BeTrue())
 	restarted.Require(6)
 	g.Expect(restarted.Ready()).To(BeFalse())
-	g.Expect(restarted.Offer(now, tree.Update{})).To(Equal(tree.Behind))
+	g.Expect(restarted.ApplyUpdate(now, tree.Update{})).To(Equal(tree.Behind))
 }
 
 func TestCandidates(t *testing.T) {
--- a/instance/spread/ask.go
+++ b/instance/spread/ask.go
@@ -117,7 +117,7 @@
 		return false, err
 	}
 	s.mu.Lock()
-	outcome, err := s.state.Offer(asked, u)
+	outcome, err := s.state.ApplyUpdate(asked, u)
 	if err == nil && outcome != tree.Behind {
 		s.parent = name
 	}
