--- a/core/raft/observer_test.go
+++ b/core/raft/observer_test.go
@@ -58,7 +58,7 @@
 }
 
 // checkNewLeader checks election safety and leader completeness.
-func (s *sim) watchRole(h *host) {
+func (s *sim) checkNewLeader(h *host) {
 	st := h.node.Status(s.clock(h))
 	if st.Role != raft.Leader || h.role == raft.Leader {
 		h.role = st.Role
--- a/core/raft/sim_test.go
+++ b/core/raft/sim_test.go
@@ -144,7 +144,7 @@
 		}
 		r := h.node.Ready(s.clock(h))
 		if r.Empty() {
-			s.watchRole(h)
+			s.checkNewLeader(h)
 			return
 		}
 		if s.rnd.Float64() < s.crash {
@@ -165,7 +165,7 @@
 		}
 		s.apply(h, r)
 		h.node.Advance(s.clock(h), r)
-		s.watchRole(h)
+		s.checkNewLeader(h)
 		s.maybeCompact(h)
 	}
 	s.fail("member %d has work ready without end", h.id)
--- a/core/tree/follower.go
+++ b/core/tree/follower.go
@@ -73,12 +73,12 @@
 	return Request{Revision: v.revision, Sum: v.sum, Applied: f.MinAppliedExcept(now, parent)}
 }
 
-// Require states that a revision was acted on already, by this instance before
+// RequireRevision states that a revision was acted on already, by this instance before
 // a restart or by another one. An instance without a data folder has forgotten
 // its revision when it starts anew, and the first parent that answers may be
 // behind: it would go back to an older configuration. The others' heartbeats
 // tell what was in force, and nothing older is accepted.
-func (f *Follower) Require(revision uint64) { f.floor = max(f.floor, revision) }
+func (f *Follower) RequireRevision(revision uint64) { f.floor = max(f.floor, revision) }
 
 // Ready reports whether there is a configuration to act on that is not known to
 // be out of date. An instance that is not ready must not serve under a guess.
--- a/core/tree/tree_test.go
+++ b/core/tree/tree_test.go
@@ -67,7 +67,7 @@
 	case 3:
 		i := rapid.IntRange(0, followers-1).Draw(t, "restart")
 		m.all[i] = tree.NewFollower()
-		m.all[i].Require(m.highest[i]) // told by the others' heartbeats
+		m.all[i].RequireRevision(m.highest[i]) // told by the others' heartbeats
 		m.starts[i]++
 		m.acts[i] = 0
 	case 4:
@@ -209,7 +209,7 @@
 	behind.Renew(now, leaseTTL)
 	g.Expect(recent.Publish(5, content(5))).To(Succeed())
 	late := behind.Answer(now, tree.Child{}, restarted.Request(now, ""))
-	restarted.Require(5)
+	restarted.RequireRevision(5)
 	g.Expect(restarted.ApplyUpdate(now, late)).To(Equal(tree.Behind))
 	g.Expect(restarted.Revision()).To(BeZero())
 	g.Expect(restarted.ApplyUpdate(now, recent.Answer(now, tree.Child{}, restarted.Request(now, "")))).To(Equal(tree.Applied))
@@ -217,7 +217,7 @@
 	g.Expect(recent.ApplyUpdate(now, late)).To(Equal(tree.Behind))
 	g.Expect(restarted.Lease(now).Valid).To(BeFalse(), "a lease of an older revision does not count")
 	g.Expect(restarted.Ready()).To(BeTrue())
-	restarted.Require(6)
+	restarted.RequireRevision(6)
 	g.Expect(restarted.Ready()).To(BeFalse())
 	g.Expect(restarted.ApplyUpdate(now, tree.Update{})).To(Equal(tree.Behind))
 }
--- a/instance/spread/spread.go
+++ b/instance/spread/spread.go
@@ -265,7 +265,7 @@
 // needs mu. Later ones are no reason to stop serving: they are on their way.
 func (s *Service) require() {
 	if s.cfg.Floor != nil && !s.state.Ready() {
-		s.state.Require(s.cfg.Floor())
+		s.state.RequireRevision(s.cfg.Floor())
 	}
 }
 
