--- a/core/raft/node_test.go
+++ b/core/raft/node_test.go
@@ -12,7 +12,7 @@
 )
 
 // singleMember is one member whose peers are simulated by the test.
-type single struct {
+type singleMember struct {
 	t    *testing.T
 	now  time.Time
 	node *raft.Node
@@ -36,8 +36,8 @@
 
 // newSingleMember returns member 1 of the given voters, with a snapshot at index 1 and the
 // given entries after it.
-func newSingle(t *testing.T, members raft.Members, entries ...raft.Entry) *single {
-	s := &single{t: t, now: time.Unix(1000, 0), id: 1}
+func newSingle(t *testing.T, members raft.Members, entries ...raft.Entry) *singleMember {
+	s := &singleMember{t: t, now: time.Unix(1000, 0), id: 1}
 	s.disk = disk{hard: raft.HardState{Term: 1}, snap: raft.Snapshot{Index: 1, Term: 1, Members: members}, entries: entries}
 	for _, e := range entries {
 		s.disk.hard.Term = e.Term
@@ -46,7 +46,7 @@
 	return s
 }
 
-func (s *single) restart() {
+func (s *singleMember) restart() {
 	node, err := raft.New(s.now, raft.Config{ID: s.id, Cluster: "c", Heartbeat: heartbeat, ElectionTimeout: election,
 		RestartTimeout: s.restartTimeout, Rand: rand.New(rand.NewSource(1))}, s.disk.hard, s.disk.snap, s.disk.entries)
 	NewWithT(s.t).Expect(err).NotTo(HaveOccurred())
@@ -54,7 +54,7 @@
 }
 
 // processReady processes everything that is ready and returns it as one Ready.
-func (s *single) out() raft.Ready {
+func (s *singleMember) out() raft.Ready {
 	var all raft.Ready
 	for {
 		r := s.node.Ready(s.now)
@@ -72,22 +72,22 @@
 	}
 }
 
-func (s *single) step(m raft.Message) raft.Ready {
+func (s *singleMember) step(m raft.Message) raft.Ready {
 	m.Cluster, m.To = "c", s.id
 	NewWithT(s.t).Expect(s.node.Step(s.now, m)).To(Succeed())
 	return s.out()
 }
 
-func (s *single) wait(d time.Duration) raft.Ready {
+func (s *singleMember) wait(d time.Duration) raft.Ready {
 	s.now = s.now.Add(d)
 	s.node.Tick(s.now)
 	return s.out()
 }
 
-func (s *single) status() raft.Status { return s.node.Status(s.now) }
+func (s *singleMember) status() raft.Status { return s.node.Status(s.now) }
 
 // becomeLeader makes the member the leader with the votes of the given others.
-func (s *single) lead(others ...raft.MemberID) {
+func (s *singleMember) lead(others ...raft.MemberID) {
 	s.wait(2 * election)
 	for _, kind := range []raft.MessageKind{raft.MsgPreVoteReply, raft.MsgVoteReply} {
 		term := s.status().Term
@@ -102,11 +102,11 @@
 }
 
 // ack acknowledges all entries up to index, without echoing a heartbeat round.
-func (s *single) ack(id raft.MemberID, index uint64) raft.Ready {
+func (s *singleMember) ack(id raft.MemberID, index uint64) raft.Ready {
 	return s.step(raft.Message{Kind: raft.MsgAppendReply, From: id, Term: s.status().Term, Index: index})
 }
 
-func (s *single) echo(id raft.MemberID, round uint64) raft.Ready {
+func (s *singleMember) echo(id raft.MemberID, round uint64) raft.Ready {
 	return s.step(raft.Message{Kind: raft.MsgHeartbeatReply, From: id, Term: s.status().Term, Round: round})
 }
 
--- a/core/registry/brief.go
+++ b/core/registry/brief.go
@@ -11,12 +11,12 @@
 	"github.com/comfreyladder/comfreyladder/core/wire"
 )
 
-// Brief is a relayed beat without what seldom changes. A failure domain with 76
+// CompactBeat is a relayed beat without what seldom changes. A failure domain with 76
 // upstreams relays 76 beats a second to each of its instances; whole ones of
 // about 300 bytes would use up more than the 18 KB/s that an instance has for
 // all control traffic. It travels as an array, as the names of its fields would
 // be a third of it.
-type Brief struct {
+type CompactBeat struct {
 	wire.Array
 	// Ref stands for what is left out; see refOf.
 	Ref      uint64
@@ -44,11 +44,11 @@
 
 // Shorten returns the brief form of a beat; false for a leave, which must be
 // understood also by an instance that does not know the upstream yet.
-func Shorten(m Relayed) (Brief, bool) {
+func Shorten(m Relayed) (CompactBeat, bool) {
 	if m.Beat.Leave {
-		return Brief{}, false
+		return CompactBeat{}, false
 	}
-	b := Brief{
+	b := CompactBeat{
 		Ref:             refOf(m.Beat),
 		Sequence:        m.Beat.Sequence,
 		RemainingMillis: m.Remaining.Milliseconds(),
@@ -91,7 +91,7 @@
 
 // ApplyBrief takes in a relayed beat in its brief form. It is Unknown when the
 // rest is not known here; then the sender is to be asked for the Whole beat.
-func (r *Registry) ApplyBrief(now time.Time, b Brief) Outcome {
+func (r *Registry) ApplyBrief(now time.Time, b CompactBeat) Outcome {
 	e := r.byRef[b.Ref]
 	if e == nil {
 		return Unknown
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -221,7 +221,7 @@
 	b.Models = []string{"m1"}
 	b.Load = &announce.Load{Running: 2, TokensPerSecond: 99.6, KVUsed: 0.25, AgeMillis: 40}
 	one.Apply(now, b)
-	relayed := func(b announce.Beat) registry.Brief {
+	relayed := func(b announce.Beat) registry.CompactBeat {
 		short, ok := registry.Shorten(registry.Relayed{Beat: b, Remaining: time.Second})
 		g.Expect(ok).To(BeTrue())
 		return short
--- a/instance/registry/registry.go
+++ b/instance/registry/registry.go
@@ -63,8 +63,8 @@
 
 // batch is one message to the peers.
 type batch struct {
-	Beats  []core.Relayed `codec:"b,omitempty"`
-	Briefs []core.Brief   `codec:"s,omitempty"`
+	Beats  []core.Relayed     `codec:"b,omitempty"`
+	Briefs []core.CompactBeat `codec:"s,omitempty"`
 }
 
 // want asks for the whole beats of upstreams that a peer knows.
--- a/instance/registry/relay_test.go
+++ b/instance/registry/relay_test.go
@@ -26,8 +26,8 @@
 
 // sent is the form of the messages on the wire.
 type sent struct {
-	Beats  []core.Relayed `codec:"b"`
-	Briefs []core.Brief   `codec:"s"`
+	Beats  []core.Relayed     `codec:"b"`
+	Briefs []core.CompactBeat `codec:"s"`
 }
 
 func (p *post) Handle(string, link.Handler, ...link.ChannelOption) {}
