--- a/core/raft/node_test.go
+++ b/core/raft/node_test.go
@@ -36,7 +36,7 @@
 
 // newSingleMember returns member 1 of the given voters, with a snapshot at index 1 and the
 // given entries after it.
-func newSingle(t *testing.T, members raft.Members, entries ...raft.Entry) *singleMember {
+func newSingleMember(t *testing.T, members raft.Members, entries ...raft.Entry) *singleMember {
 	s := &singleMember{t: t, now: time.Unix(1000, 0), id: 1}
 	s.disk = disk{hard: raft.HardState{Term: 1}, snap: raft.Snapshot{Index: 1, Term: 1, Members: members}, entries: entries}
 	for _, e := range entries {
@@ -133,7 +133,7 @@
 // first vote was sent before it was synced.
 func TestVoteIsRememberedAcrossARestart(t *testing.T) {
 	g := NewWithT(t)
-	s := newSingle(t, voters(1, 2, 3))
+	s := newSingleMember(t, voters(1, 2, 3))
 	s.now = s.now.Add(election)
 	r := s.step(raft.Message{Kind: raft.MsgVote, From: 2, Term: 5, Index: 1, LogTerm: 1})
 	g.Expect(r.Messages).To(HaveLen(1))
@@ -148,7 +148,7 @@
 // another leader at once, while the first leader still serves reads under its lease.
 func TestRestartedMemberKeepsToTheLeaseItMayHaveGranted(t *testing.T) {
 	g := NewWithT(t)
-	s := newSingle(t, voters(1, 2, 3))
+	s := newSingleMember(t, voters(1, 2, 3))
 	r := s.step(raft.Message{Kind: raft.MsgHeartbeat, From: 3, Term: 2, Round: 1})
 	g.Expect(r.Messages[0].Kind).To(Equal(raft.MsgHeartbeatReply))
 	s.restart()
@@ -165,7 +165,7 @@
 // a leader sooner, but leases must then be shorter than it.
 func TestRestartTimeoutBoundsLeasesAndTheWaitAfterARestart(t *testing.T) {
 	g := NewWithT(t)
-	s := newSingle(t, voters(1, 2, 3))
+	s := newSingleMember(t, voters(1, 2, 3))
 	s.restartTimeout = election / 2
 	r := s.step(raft.Message{Kind: raft.MsgHeartbeat, From: 3, Term: 2, Round: 1})
 	g.Expect(r.Messages[0].Kind).To(Equal(raft.MsgHeartbeatReply))
@@ -182,7 +182,7 @@
 	s.node.Tick(s.now)
 	g.Expect(s.out().Messages).To(ContainElement(HaveField("Kind", raft.MsgPreVote)))
 
-	s = newSingle(t, voters(1, 2, 3))
+	s = newSingleMember(t, voters(1, 2, 3))
 	s.restartTimeout = election / 2
 	s.restart()
 	s.lead(2)
@@ -201,10 +201,10 @@
 // test above.
 func TestFoundersElectAtOnce(t *testing.T) {
 	g := NewWithT(t)
-	s := newSingle(t, voters(1, 2, 3))
+	s := newSingleMember(t, voters(1, 2, 3))
 	vote := raft.Message{Kind: raft.MsgVote, From: 2, Term: 2, Index: 1, LogTerm: 1}
 	g.Expect(s.step(vote).Messages).To(HaveLen(1))
-	s = newSingle(t, voters(1, 2, 3))
+	s = newSingleMember(t, voters(1, 2, 3))
 	s.now = s.now.Add(election / 2)
 	s.node.Tick(s.now)
 	g.Expect(s.out().Messages[0].Kind).To(Equal(raft.MsgPreVote))
@@ -220,7 +220,7 @@
 // in a higher term, and the others adopt the term although their leader is healthy.
 func TestMemberThatHearsALeaderIgnoresVotes(t *testing.T) {
 	g := NewWithT(t)
-	s := newSingle(t, voters(1, 2, 3))
+	s := newSingleMember(t, voters(1, 2, 3))
 	s.now = s.now.Add(2 * election)
 	s.step(raft.Message{Kind: raft.MsgHeartbeat, From: 2, Term: 2, Round: 1})
 	s.now = s.now.Add(election / 2)
@@ -232,7 +232,7 @@
 }
 
 func TestMemberThatIsCutOffDoesNotRaiseItsTerm(t *testing.T) {
-	s := newSingle(t, voters(1, 2, 3))
+	s := newSingleMember(t, voters(1, 2, 3))
 	for range 20 {
 		s.wait(2 * election)
 	}
@@ -243,7 +243,7 @@
 // before them arrives, and the member truncates its log at the end of the delayed message.
 func TestLateMessagesDoNotCutAcknowledgedEntries(t *testing.T) {
 	g := NewWithT(t)
-	s := newSingle(t, voters(1, 2, 3))
+	s := newSingleMember(t, voters(1, 2, 3))
 	all := []raft.Entry{command(2, 2), command(3, 2), command(4, 2), command(5, 2)}
 	r := s.step(raft.Message{Kind: raft.MsgAppend, From: 2, Term: 2, Index: 1, LogTerm: 1, Entries: all})
 	g.Expect(r.Messages[0].Index).To(Equal(uint64(5)))
@@ -260,7 +260,7 @@
 // in its place is elected. This is figure 8 of the Raft paper.
 func TestEntriesOfEarlierTermsDoNotCommitByCount(t *testing.T) {
 	g := NewWithT(t)
-	s := newSingle(t, voters(1, 2, 3), command(2, 2))
+	s := newSingleMember(t, voters(1, 2, 3), command(2, 2))
 	s.lead(2)
 	s.ack(2, 2)
 	g.Expect(s.status().Commit).To(Equal(uint64(1)))
@@ -272,7 +272,7 @@
 // and the quorums of the first and the last membership do not overlap.
 func TestOneChangeOfMembersAtATime(t *testing.T) {
 	g := NewWithT(t)
-	s := newSingle(t, voters(1, 2, 3))
+	s := newSingleMember(t, voters(1, 2, 3))
 	s.lead(2)
 	_, err := s.node.Remove(s.now, 3)
 	g.Expect(fault.CodeOf(err)).To(Equal(fault.NotRun), "a change by an earlier leader may still take effect")
@@ -291,7 +291,7 @@
 // reported as done, because the new member votes but has not synced the log yet.
 func TestLearnerIsPromotedOnlyWhenSynced(t *testing.T) {
 	g := NewWithT(t)
-	s := newSingle(t, voters(1))
+	s := newSingleMember(t, voters(1))
 	s.wait(2 * election)
 	g.Expect(s.status().Role).To(Equal(raft.Leader))
 	_, err := s.node.AddLearner(s.now, 2, "b")
@@ -312,7 +312,7 @@
 
 func TestMembershipIsUndoneWithItsEntry(t *testing.T) {
 	g := NewWithT(t)
-	s := newSingle(t, voters(1, 2, 3))
+	s := newSingleMember(t, voters(1, 2, 3))
 	change := raft.Entry{Index: 2, Term: 2, Kind: raft.EntryMembers, Members: voters(1, 2, 3, 4)}
 	s.step(raft.Message{Kind: raft.MsgAppend, From: 2, Term: 2, Index: 1, LogTerm: 1, Entries: []raft.Entry{change}})
 	g.Expect(s.status().Members).To(HaveLen(4))
@@ -322,7 +322,7 @@
 
 func TestRemovedLeaderStepsDown(t *testing.T) {
 	g := NewWithT(t)
-	s := newSingle(t, voters(1, 2))
+	s := newSingleMember(t, voters(1, 2))
 	s.lead(2)
 	s.ack(2, 2)
 	_, err := s.node.Remove(s.now, 1)
@@ -335,7 +335,7 @@
 // sent to it hang: it no longer hears from a quorum.
 func TestLeaderThatHearsNoQuorumStepsDown(t *testing.T) {
 	g := NewWithT(t)
-	s := newSingle(t, voters(1, 2, 3))
+	s := newSingleMember(t, voters(1, 2, 3))
 	s.lead(2)
 	for range 9 {
 		s.wait(heartbeat)
@@ -352,7 +352,7 @@
 // leadership transfer.
 func TestReadsUnderTheLease(t *testing.T) {
 	g := NewWithT(t)
-	s := newSingle(t, voters(1, 2, 3))
+	s := newSingleMember(t, voters(1, 2, 3))
 	s.lead(2)
 	s.ack(2, 2)
 	round := roundOf(s.wait(heartbeat))
@@ -382,7 +382,7 @@
 // lags behind by many of them.
 func TestLargeEntriesAreBounded(t *testing.T) {
 	g := NewWithT(t)
-	s := newSingle(t, voters(1, 2, 3))
+	s := newSingleMember(t, voters(1, 2, 3))
 	s.lead(2)
 	s.ack(2, 2)
 	large := make([]byte, raft.DefaultMaxBatchBytes*2/3)
--- a/core/registry/brief.go
+++ b/core/registry/brief.go
@@ -25,12 +25,12 @@
 	// upstream.
 	RemainingMillis int64
 	AgeMillis       int64
-	Load            *BriefLoad
+	Load            *CompactLoad
 	Cache           []announce.CacheEvent
 }
 
-// BriefLoad is announce.Load in whole numbers.
-type BriefLoad struct {
+// CompactLoad is announce.Load in whole numbers.
+type CompactLoad struct {
 	wire.Array
 	Running         int
 	Waiting         int
@@ -56,7 +56,7 @@
 		Cache:           m.Beat.Cache,
 	}
 	if l := m.Beat.Load; l != nil {
-		b.Load = &BriefLoad{
+		b.Load = &CompactLoad{
 			Running:         l.Running,
 			Waiting:         l.Waiting,
 			TokensPerSecond: int64(math.Round(l.TokensPerSecond)),
