--- a/core/raft/node_test.go
+++ b/core/raft/node_test.go
@@ -54,7 +54,7 @@
 }
 
 // processReady processes everything that is ready and returns it as one Ready.
-func (s *singleMember) out() raft.Ready {
+func (s *singleMember) processReady() raft.Ready {
 	var all raft.Ready
 	for {
 		r := s.node.Ready(s.now)
@@ -75,13 +75,13 @@
 func (s *singleMember) step(m raft.Message) raft.Ready {
 	m.Cluster, m.To = "c", s.id
 	NewWithT(s.t).Expect(s.node.Step(s.now, m)).To(Succeed())
-	return s.out()
+	return s.processReady()
 }
 
 func (s *singleMember) wait(d time.Duration) raft.Ready {
 	s.now = s.now.Add(d)
 	s.node.Tick(s.now)
-	return s.out()
+	return s.processReady()
 }
 
 func (s *singleMember) status() raft.Status { return s.node.Status(s.now) }
@@ -173,14 +173,14 @@
 	vote := raft.Message{Kind: raft.MsgVote, From: 2, Term: 5, Index: 1, LogTerm: 1}
 	s.now = s.now.Add(election/2 - 1)
 	s.node.Tick(s.now)
-	g.Expect(s.out().Messages).To(BeEmpty(), "it may have granted a lease right before it restarted")
+	g.Expect(s.processReady().Messages).To(BeEmpty(), "it may have granted a lease right before it restarted")
 	g.Expect(s.step(vote).Messages).To(BeEmpty())
 	s.now = s.now.Add(1)
 	g.Expect(s.step(vote).Messages).To(HaveLen(1))
 	s.restart()
 	s.now = s.now.Add(election)
 	s.node.Tick(s.now)
-	g.Expect(s.out().Messages).To(ContainElement(HaveField("Kind", raft.MsgPreVote)))
+	g.Expect(s.processReady().Messages).To(ContainElement(HaveField("Kind", raft.MsgPreVote)))
 
 	s = newSingleMember(t, voters(1, 2, 3))
 	s.restartTimeout = election / 2
@@ -190,10 +190,10 @@
 	s.echo(2, roundOf(s.wait(heartbeat)))
 	s.now = s.now.Add(election/2*9/10 - 1)
 	g.Expect(s.node.ReadIndex(s.now, 1)).To(Succeed())
-	g.Expect(s.out().Reads).To(HaveLen(1))
+	g.Expect(s.processReady().Reads).To(HaveLen(1))
 	s.now = s.now.Add(1)
 	g.Expect(s.node.ReadIndex(s.now, 2)).To(Succeed())
-	g.Expect(s.out().Reads).To(BeEmpty(), "a restarted member may vote by then")
+	g.Expect(s.processReady().Reads).To(BeEmpty(), "a restarted member may vote by then")
 }
 
 // Guards against a new group that serves nobody for seconds because its founders wait for a
@@ -207,13 +207,13 @@
 	s = newSingleMember(t, voters(1, 2, 3))
 	s.now = s.now.Add(election / 2)
 	s.node.Tick(s.now)
-	g.Expect(s.out().Messages[0].Kind).To(Equal(raft.MsgPreVote))
+	g.Expect(s.processReady().Messages[0].Kind).To(Equal(raft.MsgPreVote))
 	vote.Term = 5
 	g.Expect(s.step(vote).Messages).To(HaveLen(1))
 	s.restart()
 	s.now = s.now.Add(election / 2)
 	s.node.Tick(s.now)
-	g.Expect(s.out().Messages).To(BeEmpty())
+	g.Expect(s.processReady().Messages).To(BeEmpty())
 }
 
 // Guards against disruption by a member that rejoins after a partition: it requests votes
@@ -279,7 +279,7 @@
 	s.ack(2, 2)
 	_, err = s.node.AddLearner(s.now, 4, "d")
 	g.Expect(err).NotTo(HaveOccurred())
-	s.out()
+	s.processReady()
 	_, err = s.node.Remove(s.now, 3)
 	g.Expect(fault.CodeOf(err)).To(Equal(fault.NotRun))
 	s.ack(2, 3)
@@ -296,7 +296,7 @@
 	g.Expect(s.status().Role).To(Equal(raft.Leader))
 	_, err := s.node.AddLearner(s.now, 2, "b")
 	g.Expect(err).NotTo(HaveOccurred())
-	r := s.out()
+	r := s.processReady()
 	g.Expect(kinds(r, 2)).To(ContainElement(raft.MsgAppend), "a new member receives the log without further proposals")
 	s.ack(2, 2)
 	_, err = s.node.Promote(s.now, 2)
@@ -359,7 +359,7 @@
 	s.echo(2, round)
 	read := func(context uint64) raft.Ready {
 		g.Expect(s.node.ReadIndex(s.now, context)).To(Succeed())
-		return s.out()
+		return s.processReady()
 	}
 	g.Expect(read(1).Reads).To(HaveLen(1), "under the lease")
 	s.now = s.now.Add(95 * election / 100)
@@ -369,7 +369,7 @@
 	g.Expect(s.echo(2, roundOf(r)).Reads).To(HaveLen(1))
 
 	g.Expect(s.node.Transfer(s.now, 3)).To(Succeed())
-	s.out()
+	s.processReady()
 	g.Expect(read(3).Reads).To(BeEmpty())
 	s.echo(2, roundOf(s.wait(heartbeat)))
 	s.now = s.now.Add(election / 2)
--- a/core/registry/brief.go
+++ b/core/registry/brief.go
@@ -42,9 +42,9 @@
 
 const mille = 1000
 
-// Shorten returns the brief form of a beat; false for a leave, which must be
+// Compact returns the brief form of a beat; false for a leave, which must be
 // understood also by an instance that does not know the upstream yet.
-func Shorten(m Relayed) (CompactBeat, bool) {
+func Compact(m Relayed) (CompactBeat, bool) {
 	if m.Beat.Leave {
 		return CompactBeat{}, false
 	}
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -77,7 +77,7 @@
 			continue
 		}
 		outcome := registry.Unknown
-		if b, ok := registry.Shorten(m); ok && rapid.Bool().Draw(t, "brief") {
+		if b, ok := registry.Compact(m); ok && rapid.Bool().Draw(t, "brief") {
 			outcome = d.regs[to].ApplyBrief(d.now, b)
 		}
 		if outcome == registry.Unknown {
@@ -222,7 +222,7 @@
 	b.Load = &announce.Load{Running: 2, TokensPerSecond: 99.6, KVUsed: 0.25, AgeMillis: 40}
 	one.Apply(now, b)
 	relayed := func(b announce.Beat) registry.CompactBeat {
-		short, ok := registry.Shorten(registry.Relayed{Beat: b, Remaining: time.Second})
+		short, ok := registry.Compact(registry.Relayed{Beat: b, Remaining: time.Second})
 		g.Expect(ok).To(BeTrue())
 		return short
 	}
--- a/instance/registry/registry.go
+++ b/instance/registry/registry.go
@@ -313,7 +313,7 @@
 		if !ok {
 			continue
 		}
-		if brief, ok := core.Shorten(m); ok {
+		if brief, ok := core.Compact(m); ok {
 			b.Briefs = append(b.Briefs, brief)
 			continue
 		}
