--- a/core/raft/node_test.go
+++ b/core/raft/node_test.go
@@ -78,7 +78,7 @@
 	return s.processReady()
 }
 
-func (s *singleMember) wait(d time.Duration) raft.Ready {
+func (s *singleMember) advance(d time.Duration) raft.Ready {
 	s.now = s.now.Add(d)
 	s.node.Tick(s.now)
 	return s.processReady()
@@ -88,7 +88,7 @@
 
 // becomeLeader makes the member the leader with the votes of the given others.
 func (s *singleMember) lead(others ...raft.MemberID) {
-	s.wait(2 * election)
+	s.advance(2 * election)
 	for _, kind := range []raft.MessageKind{raft.MsgPreVoteReply, raft.MsgVoteReply} {
 		term := s.status().Term
 		if kind == raft.MsgPreVoteReply {
@@ -187,7 +187,7 @@
 	s.restart()
 	s.lead(2)
 	s.ack(2, s.status().Last)
-	s.echo(2, roundOf(s.wait(heartbeat)))
+	s.echo(2, roundOf(s.advance(heartbeat)))
 	s.now = s.now.Add(election/2*9/10 - 1)
 	g.Expect(s.node.ReadIndex(s.now, 1)).To(Succeed())
 	g.Expect(s.processReady().Reads).To(HaveLen(1))
@@ -234,7 +234,7 @@
 func TestMemberThatIsCutOffDoesNotRaiseItsTerm(t *testing.T) {
 	s := newSingleMember(t, voters(1, 2, 3))
 	for range 20 {
-		s.wait(2 * election)
+		s.advance(2 * election)
 	}
 	NewWithT(t).Expect(s.status().Term).To(Equal(uint64(1)))
 }
@@ -292,7 +292,7 @@
 func TestLearnerIsPromotedOnlyWhenSynced(t *testing.T) {
 	g := NewWithT(t)
 	s := newSingleMember(t, voters(1))
-	s.wait(2 * election)
+	s.advance(2 * election)
 	g.Expect(s.status().Role).To(Equal(raft.Leader))
 	_, err := s.node.AddLearner(s.now, 2, "b")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -338,10 +338,10 @@
 	s := newSingleMember(t, voters(1, 2, 3))
 	s.lead(2)
 	for range 9 {
-		s.wait(heartbeat)
+		s.advance(heartbeat)
 	}
 	g.Expect(s.status().Role).To(Equal(raft.Leader))
-	s.wait(heartbeat)
+	s.advance(heartbeat)
 	g.Expect(s.status().Role).To(Equal(raft.Follower))
 	_, _, err := s.node.Propose(s.now, nil)
 	g.Expect(fault.CodeOf(err)).To(Equal(fault.NotRun))
@@ -355,7 +355,7 @@
 	s := newSingleMember(t, voters(1, 2, 3))
 	s.lead(2)
 	s.ack(2, 2)
-	round := roundOf(s.wait(heartbeat))
+	round := roundOf(s.advance(heartbeat))
 	s.echo(2, round)
 	read := func(context uint64) raft.Ready {
 		g.Expect(s.node.ReadIndex(s.now, context)).To(Succeed())
@@ -371,9 +371,9 @@
 	g.Expect(s.node.Transfer(s.now, 3)).To(Succeed())
 	s.processReady()
 	g.Expect(read(3).Reads).To(BeEmpty())
-	s.echo(2, roundOf(s.wait(heartbeat)))
+	s.echo(2, roundOf(s.advance(heartbeat)))
 	s.now = s.now.Add(election / 2)
-	s.echo(2, roundOf(s.wait(heartbeat)))
+	s.echo(2, roundOf(s.advance(heartbeat)))
 	g.Expect(read(4).Reads).To(BeEmpty(), "MsgTimeoutNow may still be in flight")
 }
 
--- a/core/registry/brief.go
+++ b/core/registry/brief.go
@@ -89,9 +89,9 @@
 	return d.Sum64()
 }
 
-// ApplyBrief takes in a relayed beat in its brief form. It is Unknown when the
+// ApplyCompact takes in a relayed beat in its brief form. It is Unknown when the
 // rest is not known here; then the sender is to be asked for the Whole beat.
-func (r *Registry) ApplyBrief(now time.Time, b CompactBeat) Outcome {
+func (r *Registry) ApplyCompact(now time.Time, b CompactBeat) Outcome {
 	e := r.byRef[b.Ref]
 	if e == nil {
 		return Unknown
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -78,7 +78,7 @@
 		}
 		outcome := registry.Unknown
 		if b, ok := registry.Compact(m); ok && rapid.Bool().Draw(t, "brief") {
-			outcome = d.regs[to].ApplyBrief(d.now, b)
+			outcome = d.regs[to].ApplyCompact(d.now, b)
 		}
 		if outcome == registry.Unknown {
 			outcome = d.regs[to].ApplyRelayed(d.now, m)
@@ -226,18 +226,18 @@
 		g.Expect(ok).To(BeTrue())
 		return short
 	}
-	g.Expect(two.ApplyBrief(now, relayed(b))).To(Equal(registry.Unknown))
+	g.Expect(two.ApplyCompact(now, relayed(b))).To(Equal(registry.Unknown))
 	whole, ok := one.Whole(now.Add(time.Second), relayed(b).Ref)
 	g.Expect(ok).To(BeTrue())
 	g.Expect(whole.Remaining).To(Equal(ttl - time.Second))
 	g.Expect(two.ApplyRelayed(now, whole)).To(Equal(registry.Accepted))
 	b.Sequence = 2
-	g.Expect(two.ApplyBrief(now, relayed(b))).To(Equal(registry.Accepted))
+	g.Expect(two.ApplyCompact(now, relayed(b))).To(Equal(registry.Accepted))
 	u := two.View().Find("e1")
 	g.Expect(u.Models).To(Equal([]string{"m1"}))
 	g.Expect(*u.Load).To(Equal(announce.Load{Running: 2, TokensPerSecond: 100, KVUsed: 0.25, AgeMillis: 40}))
 	b.Sequence, b.Models = 3, []string{"m1", "m2"}
-	g.Expect(two.ApplyBrief(now, relayed(b))).To(Equal(registry.Unknown), "the models changed")
+	g.Expect(two.ApplyCompact(now, relayed(b))).To(Equal(registry.Unknown), "the models changed")
 	b.Incarnation, b.Models = 2, []string{"m1"}
-	g.Expect(two.ApplyBrief(now, relayed(b))).To(Equal(registry.Unknown), "a new start may differ in all")
+	g.Expect(two.ApplyCompact(now, relayed(b))).To(Equal(registry.Unknown), "a new start may differ in all")
 }
--- a/instance/registry/registry.go
+++ b/instance/registry/registry.go
@@ -215,7 +215,7 @@
 		}
 	}
 	for _, brief := range b.Briefs {
-		if s.state.ApplyBrief(now, brief) == core.Unknown {
+		if s.state.ApplyCompact(now, brief) == core.Unknown {
 			unknown = append(unknown, brief.Ref)
 		}
 	}
