--- a/core/raft/node_test.go
+++ b/core/raft/node_test.go
@@ -87,7 +87,7 @@
 func (s *singleMember) status() raft.Status { return s.node.Status(s.now) }
 
 // becomeLeader makes the member the leader with the votes of the given others.
-func (s *singleMember) lead(others ...raft.MemberID) {
+func (s *singleMember) becomeLeader(others ...raft.MemberID) {
 	s.advance(2 * election)
 	for _, kind := range []raft.MessageKind{raft.MsgPreVoteReply, raft.MsgVoteReply} {
 		term := s.status().Term
@@ -185,7 +185,7 @@
 	s = newSingleMember(t, voters(1, 2, 3))
 	s.restartTimeout = election / 2
 	s.restart()
-	s.lead(2)
+	s.becomeLeader(2)
 	s.ack(2, s.status().Last)
 	s.echo(2, roundOf(s.advance(heartbeat)))
 	s.now = s.now.Add(election/2*9/10 - 1)
@@ -261,7 +261,7 @@
 func TestEntriesOfEarlierTermsDoNotCommitByCount(t *testing.T) {
 	g := NewWithT(t)
 	s := newSingleMember(t, voters(1, 2, 3), command(2, 2))
-	s.lead(2)
+	s.becomeLeader(2)
 	s.ack(2, 2)
 	g.Expect(s.status().Commit).To(Equal(uint64(1)))
 	s.ack(2, 3)
@@ -273,7 +273,7 @@
 func TestOneChangeOfMembersAtATime(t *testing.T) {
 	g := NewWithT(t)
 	s := newSingleMember(t, voters(1, 2, 3))
-	s.lead(2)
+	s.becomeLeader(2)
 	_, err := s.node.Remove(s.now, 3)
 	g.Expect(fault.CodeOf(err)).To(Equal(fault.NotRun), "a change by an earlier leader may still take effect")
 	s.ack(2, 2)
@@ -323,7 +323,7 @@
 func TestRemovedLeaderStepsDown(t *testing.T) {
 	g := NewWithT(t)
 	s := newSingleMember(t, voters(1, 2))
-	s.lead(2)
+	s.becomeLeader(2)
 	s.ack(2, 2)
 	_, err := s.node.Remove(s.now, 1)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -336,7 +336,7 @@
 func TestLeaderThatHearsNoQuorumStepsDown(t *testing.T) {
 	g := NewWithT(t)
 	s := newSingleMember(t, voters(1, 2, 3))
-	s.lead(2)
+	s.becomeLeader(2)
 	for range 9 {
 		s.advance(heartbeat)
 	}
@@ -353,7 +353,7 @@
 func TestReadsUnderTheLease(t *testing.T) {
 	g := NewWithT(t)
 	s := newSingleMember(t, voters(1, 2, 3))
-	s.lead(2)
+	s.becomeLeader(2)
 	s.ack(2, 2)
 	round := roundOf(s.advance(heartbeat))
 	s.echo(2, round)
@@ -383,7 +383,7 @@
 func TestLargeEntriesAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	s := newSingleMember(t, voters(1, 2, 3))
-	s.lead(2)
+	s.becomeLeader(2)
 	s.ack(2, 2)
 	large := make([]byte, raft.DefaultMaxBatchBytes*2/3)
 	accepted := 0
--- a/core/registry/brief.go
+++ b/core/registry/brief.go
@@ -115,10 +115,10 @@
 	})
 }
 
-// Whole returns the latest beat of the upstream that a Brief refers to, as it is
+// FullBeat returns the latest beat of the upstream that a Brief refers to, as it is
 // to be relayed now; false when it is unknown or gone. It carries no cache events, so that the receiver
 // learns by the next one's number whether it missed some.
-func (r *Registry) Whole(now time.Time, ref uint64) (Relayed, bool) {
+func (r *Registry) FullBeat(now time.Time, ref uint64) (Relayed, bool) {
 	e := r.byRef[ref]
 	if e == nil || e.gone {
 		return Relayed{}, false
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -227,7 +227,7 @@
 		return short
 	}
 	g.Expect(two.ApplyCompact(now, relayed(b))).To(Equal(registry.Unknown))
-	whole, ok := one.Whole(now.Add(time.Second), relayed(b).Ref)
+	whole, ok := one.FullBeat(now.Add(time.Second), relayed(b).Ref)
 	g.Expect(ok).To(BeTrue())
 	g.Expect(whole.Remaining).To(Equal(ttl - time.Second))
 	g.Expect(two.ApplyRelayed(now, whole)).To(Equal(registry.Accepted))
--- a/instance/registry/registry.go
+++ b/instance/registry/registry.go
@@ -233,7 +233,7 @@
 	now := time.Now()
 	s.mu.Lock()
 	for _, ref := range w.Refs {
-		if r, ok := s.state.Whole(now, ref); ok {
+		if r, ok := s.state.FullBeat(now, ref); ok {
 			b.Beats = append(b.Beats, r)
 		}
 	}
