--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -213,9 +213,9 @@
 	return m, m.Remaining > 0 || m.Beat.Leave
 }
 
-// Turns counts how often an upstream came or went, which a View should tell at
+// MembershipChanges counts how often an upstream came or went, which a View should tell at
 // once, where changes of load can wait to be told together.
-func (r *Registry) Turns() uint64 { return r.turns }
+func (r *Registry) MembershipChanges() uint64 { return r.turns }
 
 func (r *Registry) changed() {
 	r.version++
--- a/instance/registry/registry.go
+++ b/instance/registry/registry.go
@@ -167,14 +167,14 @@
 // which come with each beat, wait for the next tick: a snapshot for each of them
 // took a quarter of what a domain of 21 instances spends on control.
 func (s *Service) publishTurns() {
-	if s.state.Turns() != s.turns {
+	if s.state.MembershipChanges() != s.turns {
 		s.hurry = true
 		s.publish()
 	}
 }
 
 func (s *Service) publish() {
-	s.turns = s.state.Turns()
+	s.turns = s.state.MembershipChanges()
 	v := s.state.View()
 	if v == s.view.Load() {
 		return
@@ -262,7 +262,7 @@
 	for _, name := range s.state.Expire(now) {
 		s.cfg.Log.Warn().Str("upstream", name).Msg("upstream silent, no new work")
 	}
-	if s.state.Turns() != s.turns {
+	if s.state.MembershipChanges() != s.turns {
 		s.publish()
 	}
 	s.ticks++
