--- a/core/registry/brief.go
+++ b/core/registry/brief.go
@@ -44,7 +44,7 @@
 
 // Compact returns the brief form of a beat; false for a leave, which must be
 // understood also by an instance that does not know the upstream yet.
-func Compact(m Relayed) (CompactBeat, bool) {
+func Compact(m RelayedBeat) (CompactBeat, bool) {
 	if m.Beat.Leave {
 		return CompactBeat{}, false
 	}
@@ -108,7 +108,7 @@
 			AgeMillis:       l.AgeMillis,
 		}
 	}
-	return r.ApplyRelayed(now, Relayed{
+	return r.ApplyRelayed(now, RelayedBeat{
 		Beat:      beat,
 		Remaining: time.Duration(b.RemainingMillis) * time.Millisecond,
 		Age:       time.Duration(b.AgeMillis) * time.Millisecond,
@@ -118,12 +118,12 @@
 // FullBeat returns the latest beat of the upstream that a Brief refers to, as it is
 // to be relayed now; false when it is unknown or gone. It carries no cache events, so that the receiver
 // learns by the next one's number whether it missed some.
-func (r *Registry) FullBeat(now time.Time, ref uint64) (Relayed, bool) {
+func (r *Registry) FullBeat(now time.Time, ref uint64) (RelayedBeat, bool) {
 	e := r.byRef[ref]
 	if e == nil || e.gone {
-		return Relayed{}, false
+		return RelayedBeat{}, false
 	}
-	m := Relayed{Beat: e.up.Beat, Remaining: e.expires.Sub(now), Age: now.Sub(e.up.HeardAt)}
+	m := RelayedBeat{Beat: e.up.Beat, Remaining: e.expires.Sub(now), Age: now.Sub(e.up.HeardAt)}
 	if e.up.Load != nil {
 		load := *e.up.Load
 		load.AgeMillis = max(e.up.HeardAt.Sub(e.up.LoadAt), 0).Milliseconds()
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -26,8 +26,8 @@
 	MaxPrefixes = 16_384
 )
 
-// Relayed is a beat on its way between instances.
-type Relayed struct {
+// RelayedBeat is a beat on its way between instances.
+type RelayedBeat struct {
 	Beat announce.Beat `codec:"b"`
 	// Remaining is for how long the beat still keeps the upstream alive.
 	Remaining time.Duration `codec:"r"`
@@ -110,7 +110,7 @@
 
 // Apply takes in a beat that the upstream itself sent to this instance.
 func (r *Registry) Apply(now time.Time, beat announce.Beat) Outcome {
-	return r.ApplyRelayed(now, Relayed{Beat: beat, Remaining: min(beat.TTL(), MaxSilence)})
+	return r.ApplyRelayed(now, RelayedBeat{Beat: beat, Remaining: min(beat.TTL(), MaxSilence)})
 }
 
 // ApplyRelayed takes in a beat with what remains of its lifetime. Beats are
@@ -118,7 +118,7 @@
 // nothing: neither does it bring back an upstream that left or fell silent, nor
 // does it prolong a life. The remaining lifetime never grows on the way, so that
 // instances which relay each other's beats cannot keep a dead upstream alive.
-func (r *Registry) ApplyRelayed(now time.Time, m Relayed) Outcome {
+func (r *Registry) ApplyRelayed(now time.Time, m RelayedBeat) Outcome {
 	beat := m.Beat
 	if beat.Domain != r.domain {
 		return Foreign
@@ -147,7 +147,7 @@
 	return Accepted
 }
 
-func (r *Registry) accept(now time.Time, e *entry, m Relayed, remaining time.Duration) {
+func (r *Registry) accept(now time.Time, e *entry, m RelayedBeat, remaining time.Duration) {
 	beat := m.Beat
 	if beat.Incarnation != e.up.Incarnation {
 		// A process that started anew has an empty cache and no load report.
@@ -207,7 +207,7 @@
 
 // Aged returns a beat as it is to be relayed after it was held for a while; false
 // when it keeps nothing alive any more and need not be relayed.
-func Aged(m Relayed, held time.Duration) (Relayed, bool) {
+func Aged(m RelayedBeat, held time.Duration) (RelayedBeat, bool) {
 	m.Remaining -= held
 	m.Age += held
 	return m, m.Remaining > 0 || m.Beat.Leave
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -27,7 +27,7 @@
 
 // held is a beat as one instance keeps it for relaying.
 type held struct {
-	m  registry.Relayed
+	m  registry.RelayedBeat
 	at time.Time
 }
 
@@ -63,7 +63,7 @@
 	to := rapid.IntRange(0, instances-1).Draw(t, "to")
 	d.regs[to].Apply(d.now, b)
 	d.sawLeave(to, b)
-	d.flying = append(d.flying, held{registry.Relayed{Beat: b, Remaining: ttl}, d.now})
+	d.flying = append(d.flying, held{registry.RelayedBeat{Beat: b, Remaining: ttl}, d.now})
 }
 
 func (d *domain) relay(t *rapid.T) {
@@ -171,11 +171,11 @@
 	g.Expect(r.Apply(now, long)).To(Equal(registry.Stale))
 
 	long.Sequence++
-	r.ApplyRelayed(now, registry.Relayed{Beat: long, Remaining: time.Hour})
+	r.ApplyRelayed(now, registry.RelayedBeat{Beat: long, Remaining: time.Hour})
 	g.Expect(r.Expire(now.Add(registry.MaxSilence))).To(Equal([]string{"e1"}))
 
 	r.Expire(now.Add(registry.ForgetAfter + time.Minute))
-	g.Expect(r.ApplyRelayed(now, registry.Relayed{Beat: long})).To(Equal(registry.Expired))
+	g.Expect(r.ApplyRelayed(now, registry.RelayedBeat{Beat: long})).To(Equal(registry.Expired))
 }
 
 // Story: an engine evicts a prefix, the event that says so is lost, and requests
@@ -206,7 +206,7 @@
 	r := registry.New("hall")
 	b := beat(1, 1)
 	b.Load = &announce.Load{Running: 3, AgeMillis: 400}
-	r.ApplyRelayed(now, registry.Relayed{Beat: b, Remaining: time.Second, Age: 100 * time.Millisecond})
+	r.ApplyRelayed(now, registry.RelayedBeat{Beat: b, Remaining: time.Second, Age: 100 * time.Millisecond})
 	r.Apply(now, beat(1, 2))
 	u := r.View().Find("e1")
 	g.Expect(u.Load.Running).To(Equal(3))
@@ -222,7 +222,7 @@
 	b.Load = &announce.Load{Running: 2, TokensPerSecond: 99.6, KVUsed: 0.25, AgeMillis: 40}
 	one.Apply(now, b)
 	relayed := func(b announce.Beat) registry.CompactBeat {
-		short, ok := registry.Compact(registry.Relayed{Beat: b, Remaining: time.Second})
+		short, ok := registry.Compact(registry.RelayedBeat{Beat: b, Remaining: time.Second})
 		g.Expect(ok).To(BeTrue())
 		return short
 	}
--- a/instance/registry/registry.go
+++ b/instance/registry/registry.go
@@ -63,7 +63,7 @@
 
 // batch is one message to the peers.
 type batch struct {
-	Beats  []core.Relayed     `codec:"b,omitempty"`
+	Beats  []core.RelayedBeat `codec:"b,omitempty"`
 	Briefs []core.CompactBeat `codec:"s,omitempty"`
 }
 
@@ -73,7 +73,7 @@
 }
 
 type pending struct {
-	m  core.Relayed
+	m  core.RelayedBeat
 	at time.Time
 }
 
@@ -147,7 +147,7 @@
 	case core.Full:
 		return fault.New(fault.Overloaded, "%d upstreams are known already", core.MaxUpstreams)
 	case core.Accepted:
-		s.enqueue(pending{core.Relayed{Beat: beat, Remaining: min(beat.TTL(), core.MaxSilence)}, now})
+		s.enqueue(pending{core.RelayedBeat{Beat: beat, Remaining: min(beat.TTL(), core.MaxSilence)}, now})
 		s.publishTurns()
 	}
 	return nil
--- a/instance/registry/relay_test.go
+++ b/instance/registry/relay_test.go
@@ -26,7 +26,7 @@
 
 // sent is the form of the messages on the wire.
 type sent struct {
-	Beats  []core.Relayed     `codec:"b"`
+	Beats  []core.RelayedBeat `codec:"b"`
 	Briefs []core.CompactBeat `codec:"s"`
 }
 
