--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -205,9 +205,9 @@
 	return names
 }
 
-// Aged returns a beat as it is to be relayed after it was held for a while; false
+// WithDelay returns a beat as it is to be relayed after it was held for a while; false
 // when it keeps nothing alive any more and need not be relayed.
-func Aged(m RelayedBeat, held time.Duration) (RelayedBeat, bool) {
+func WithDelay(m RelayedBeat, held time.Duration) (RelayedBeat, bool) {
 	m.Remaining -= held
 	m.Age += held
 	return m, m.Remaining > 0 || m.Beat.Leave
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -72,7 +72,7 @@
 			continue
 		}
 		to := rapid.IntRange(0, instances-1).Draw(t, "relay to")
-		m, ok := registry.Aged(h.m, d.now.Sub(h.at))
+		m, ok := registry.WithDelay(h.m, d.now.Sub(h.at))
 		if !ok {
 			continue
 		}
--- a/instance/registry/registry.go
+++ b/instance/registry/registry.go
@@ -309,7 +309,7 @@
 // packed makes a message of beats that were held.
 func packed(now time.Time, held []pending) (b batch) {
 	for _, p := range held {
-		m, ok := core.Aged(p.m, now.Sub(p.at))
+		m, ok := core.WithDelay(p.m, now.Sub(p.at))
 		if !ok {
 			continue
 		}
