--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -98,8 +98,8 @@
 	Accepted Outcome = iota + 1
 	// Stale beats are no newer than what is known.
 	Stale
-	// Foreign beats belong to another failure domain.
-	Foreign
+	// WrongDomain beats belong to another failure domain.
+	WrongDomain
 	// Full means that MaxUpstreams are known already.
 	Full
 	// Expired beats keep nothing alive any more.
@@ -121,7 +121,7 @@
 func (r *Registry) ApplyRelayed(now time.Time, m RelayedBeat) Outcome {
 	beat := m.Beat
 	if beat.Domain != r.domain {
-		return Foreign
+		return WrongDomain
 	}
 	e := r.entries[beat.Name]
 	if e != nil && !beat.Newer(e.up.Incarnation, e.up.Sequence) {
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -152,7 +152,7 @@
 	g.Expect(r.View().Find("e1")).NotTo(BeNil())
 	other := beat(9, 9)
 	other.Domain = "elsewhere"
-	g.Expect(r.Apply(now, other)).To(Equal(registry.Foreign))
+	g.Expect(r.Apply(now, other)).To(Equal(registry.WrongDomain))
 }
 
 func TestLifetimes(t *testing.T) {
--- a/instance/registry/registry.go
+++ b/instance/registry/registry.go
@@ -142,7 +142,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch s.state.Apply(now, beat) {
-	case core.Foreign:
+	case core.WrongDomain:
 		return fault.New(fault.Invalid, "domain: %q is not %q, whose instances this one belongs to", beat.Domain, s.cfg.Domain)
 	case core.Full:
 		return fault.New(fault.Overloaded, "%d upstreams are known already", core.MaxUpstreams)
