--- a/core/registry/cache.go
+++ b/core/registry/cache.go
@@ -4,10 +4,10 @@
 
 // Cache is an immutable view of an upstream's prefix cache.
 type Cache struct {
-	// Doubtful says that events were lost: prefixes may be held that are not
+	// Incomplete says that events were lost: prefixes may be held that are not
 	// known here.
-	Doubtful bool
-	prefixes map[uint64]struct{}
+	Incomplete bool
+	prefixes   map[uint64]struct{}
 }
 
 // Holds reports whether the upstream is known to hold a prefix, given the 64-bit
@@ -109,7 +109,7 @@
 
 func (c *cache) view() *Cache {
 	if c.shared == nil {
-		c.shared = &Cache{Doubtful: c.doubtful, prefixes: c.prefixes}
+		c.shared = &Cache{Incomplete: c.doubtful, prefixes: c.prefixes}
 	}
 	return c.shared
 }
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -192,12 +192,12 @@
 	}
 	first := apply(1, 1, announce.CacheEvent{Number: 1, Prefix: 10}, announce.CacheEvent{Number: 2, Prefix: 20})
 	second := apply(1, 2, announce.CacheEvent{Number: 2, Prefix: 20}, announce.CacheEvent{Number: 3, Prefix: 10, Dropped: true})
-	g.Expect([]bool{first.Holds(10), first.Holds(20), first.Doubtful}).To(Equal([]bool{true, true, false}))
-	g.Expect([]bool{second.Holds(10), second.Holds(20), second.Doubtful}).To(Equal([]bool{false, true, false}))
+	g.Expect([]bool{first.Holds(10), first.Holds(20), first.Incomplete}).To(Equal([]bool{true, true, false}))
+	g.Expect([]bool{second.Holds(10), second.Holds(20), second.Incomplete}).To(Equal([]bool{false, true, false}))
 	third := apply(1, 3, announce.CacheEvent{Number: 5, Prefix: 30})
-	g.Expect([]bool{third.Holds(20), third.Holds(30), third.Doubtful}).To(Equal([]bool{false, true, true}))
+	g.Expect([]bool{third.Holds(20), third.Holds(30), third.Incomplete}).To(Equal([]bool{false, true, true}))
 	fourth := apply(2, 1)
-	g.Expect([]bool{fourth.Holds(30), fourth.Doubtful}).To(Equal([]bool{false, false}))
+	g.Expect([]bool{fourth.Holds(30), fourth.Incomplete}).To(Equal([]bool{false, false}))
 }
 
 func TestAgeOfLoadReport(t *testing.T) {
