--- a/core/member/message.go
+++ b/core/member/message.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Claim is what one instance believes of another one.
-type Claim struct {
+// PeerState is what one instance believes of another one.
+type PeerState struct {
 	Info   Info   `codec:"i"`
 	Status Status `codec:"s"`
 	// Silent is for how long the sender has heard nothing of it.
@@ -17,9 +17,9 @@
 type Message struct {
 	From Info `codec:"f"`
 	// Seen is the highest revision that the sender knows to have been acted on.
-	Seen   uint64   `codec:"v,omitempty"`
-	Claims []Claim  `codec:"c,omitempty"`
-	Others []Digest `codec:"o,omitempty"`
+	Seen   uint64      `codec:"v,omitempty"`
+	Claims []PeerState `codec:"c,omitempty"`
+	Others []Digest    `codec:"o,omitempty"`
 }
 
 // Digest is what other failure domains know of one.
@@ -54,7 +54,7 @@
 	m := Message{From: t.self, Seen: t.RevisionSeen()}
 	for _, r := range t.members {
 		if r.info.Domain == t.self.Domain {
-			m.Claims = append(m.Claims, Claim{Info: r.info, Status: r.status, Silent: now.Sub(r.heard)})
+			m.Claims = append(m.Claims, PeerState{Info: r.info, Status: r.status, Silent: now.Sub(r.heard)})
 		}
 	}
 	sort.Slice(m.Claims, func(i, j int) bool { return m.Claims[i].Info.Name < m.Claims[j].Info.Name })
@@ -117,7 +117,7 @@
 // and that it refuted that: its next heartbeat should go out at once.
 func (t *Table) Receive(now time.Time, m Message) (refuted bool) {
 	t.seen = max(t.seen, m.Seen)
-	refuted = t.heard(now, Claim{Info: m.From, Status: m.From.Declared})
+	refuted = t.heard(now, PeerState{Info: m.From, Status: m.From.Declared})
 	for _, c := range m.Claims {
 		if c.Info.Domain == t.self.Domain {
 			refuted = t.heard(now, c) || refuted
@@ -143,12 +143,12 @@
 	t.domains[d.Domain] = &domainRecord{digest: d, heard: heard}
 	for _, info := range d.Contacts {
 		if info.Domain == d.Domain {
-			t.heard(now, Claim{Info: info, Status: info.Declared, Silent: d.Age})
+			t.heard(now, PeerState{Info: info, Status: info.Declared, Silent: d.Age})
 		}
 	}
 }
 
-func (t *Table) heard(now time.Time, c Claim) bool {
+func (t *Table) heard(now time.Time, c PeerState) bool {
 	t.seen = max(t.seen, c.Info.Revision)
 	if c.Info.Name == t.self.Name {
 		return t.heardOfSelf(c)
@@ -177,7 +177,7 @@
 
 // learn adds an instance that is not known yet. Those that others believe gone
 // are added as well, so that a late heartbeat of theirs is known to be late.
-func (t *Table) learn(now time.Time, c Claim) {
+func (t *Table) learn(now time.Time, c PeerState) {
 	status := c.Status
 	if c.Info.Declared == Left {
 		status = Left
@@ -189,7 +189,7 @@
 // heardOfSelf refutes a belief that this instance is suspect, dead or gone. A
 // process of the same name that started later, at another address, replaces
 // this one instead.
-func (t *Table) heardOfSelf(c Claim) bool {
+func (t *Table) heardOfSelf(c PeerState) bool {
 	if c.Info.Incarnation < t.self.Incarnation || t.self.Declared == Left {
 		return false
 	}
