--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -177,7 +177,7 @@
 	g.Expect(addr).To(Equal("127.0.0.1:99"))
 
 	g.Expect(replaced.RevisionSeen()).To(BeZero())
-	replaced.Receive(now, member.Message{From: info(2, 1), Claims: []member.PeerState{{Info: acted(info(1, 1), 6), Status: member.Left}}})
+	replaced.Receive(now, member.Message{From: info(2, 1), PeerStates: []member.PeerState{{Info: acted(info(1, 1), 6), Status: member.Left}}})
 	g.Expect(replaced.RevisionSeen()).To(BeEquivalentTo(6), "what it acted on before the restart")
 
 	zombie := member.New(cfg, info(1, 1))
--- a/core/member/message.go
+++ b/core/member/message.go
@@ -17,9 +17,9 @@
 type Message struct {
 	From Info `codec:"f"`
 	// Seen is the highest revision that the sender knows to have been acted on.
-	Seen   uint64      `codec:"v,omitempty"`
-	Claims []PeerState `codec:"c,omitempty"`
-	Others []Digest    `codec:"o,omitempty"`
+	Seen       uint64      `codec:"v,omitempty"`
+	PeerStates []PeerState `codec:"c,omitempty"`
+	Others     []Digest    `codec:"o,omitempty"`
 }
 
 // Digest is what other failure domains know of one.
@@ -54,10 +54,10 @@
 	m := Message{From: t.self, Seen: t.RevisionSeen()}
 	for _, r := range t.members {
 		if r.info.Domain == t.self.Domain {
-			m.Claims = append(m.Claims, PeerState{Info: r.info, Status: r.status, Silent: now.Sub(r.heard)})
+			m.PeerStates = append(m.PeerStates, PeerState{Info: r.info, Status: r.status, Silent: now.Sub(r.heard)})
 		}
 	}
-	sort.Slice(m.Claims, func(i, j int) bool { return m.Claims[i].Info.Name < m.Claims[j].Info.Name })
+	sort.Slice(m.PeerStates, func(i, j int) bool { return m.PeerStates[i].Info.Name < m.PeerStates[j].Info.Name })
 	m.Others = t.Domains(now)
 	return m
 }
@@ -118,7 +118,7 @@
 func (t *Table) Receive(now time.Time, m Message) (refuted bool) {
 	t.seen = max(t.seen, m.Seen)
 	refuted = t.heard(now, PeerState{Info: m.From, Status: m.From.Declared})
-	for _, c := range m.Claims {
+	for _, c := range m.PeerStates {
 		if c.Info.Domain == t.self.Domain {
 			refuted = t.heard(now, c) || refuted
 		}
