--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -45,7 +45,7 @@
 		}
 		m := table.Heartbeat()
 		if rapid.Bool().Draw(t, "full") {
-			m = table.Full(n.now)
+			m = table.FullHeartbeat(n.now)
 		}
 		n.post(t, i, m)
 	}
@@ -137,7 +137,7 @@
 	now = now.Add(cfg.SuspectAfter + time.Second)
 	two.Tick(now)
 	g.Expect(status(two, now, "i1")).To(Equal(member.Suspect))
-	g.Expect(one.Receive(now, two.Full(now))).To(BeTrue())
+	g.Expect(one.Receive(now, two.FullHeartbeat(now))).To(BeTrue())
 	g.Expect(one.Self().Incarnation).To(BeEquivalentTo(2))
 	two.Receive(now, one.Heartbeat())
 	g.Expect(status(two, now, "i1")).To(Equal(member.Alive))
@@ -151,7 +151,7 @@
 	dead, relay, other := member.New(cfg, info(1, 1)), member.New(cfg, info(2, 1)), member.New(cfg, info(3, 1))
 	other.Receive(now, dead.Heartbeat())
 	relay.Receive(now, dead.Heartbeat())
-	other.Receive(now.Add(2*time.Second), relay.Full(now.Add(2*time.Second)))
+	other.Receive(now.Add(2*time.Second), relay.FullHeartbeat(now.Add(2*time.Second)))
 	now = now.Add(cfg.SuspectAfter + time.Second)
 	other.Tick(now)
 	g.Expect(status(other, now, "i1")).To(Equal(member.Suspect))
@@ -164,7 +164,7 @@
 	late := old.Heartbeat()
 	other.Receive(now, late)
 	old.Leave()
-	other.Receive(now, old.Full(now))
+	other.Receive(now, old.FullHeartbeat(now))
 	other.Receive(now, late)
 	g.Expect(status(other, now, "i1")).To(Equal(member.Left))
 
@@ -181,7 +181,7 @@
 	g.Expect(replaced.RevisionSeen()).To(BeEquivalentTo(6), "what it acted on before the restart")
 
 	zombie := member.New(cfg, info(1, 1))
-	zombie.Receive(now, other.Full(now))
+	zombie.Receive(now, other.FullHeartbeat(now))
 	g.Expect(zombie.Superseded()).To(BeTrue())
 	g.Expect(replaced.Superseded()).To(BeFalse())
 }
--- a/core/member/message.go
+++ b/core/member/message.go
@@ -46,11 +46,11 @@
 	return Message{From: t.self, Seen: t.RevisionSeen()}
 }
 
-// Full returns the latest heartbeat with all that this instance knows. To send
+// FullHeartbeat returns the latest heartbeat with all that this instance knows. To send
 // it to one peer in turn, and heartbeats to all, keeps the traffic of a domain
 // with n instances at n small messages a second each, where n full ones would
 // grow with the square.
-func (t *Table) Full(now time.Time) Message {
+func (t *Table) FullHeartbeat(now time.Time) Message {
 	m := Message{From: t.self, Seen: t.RevisionSeen()}
 	for _, r := range t.members {
 		if r.info.Domain == t.self.Domain {
--- a/instance/member/member.go
+++ b/instance/member/member.go
@@ -218,7 +218,7 @@
 	peers := s.table.Peers()
 	out := []outgoing{{to: peers, msg: beat}}
 	if len(peers) > 0 {
-		full := s.table.Full(now)
+		full := s.table.FullHeartbeat(now)
 		turn := s.round
 		if s.round%digestRounds == 0 {
 			// Digests take turns of their own: counted in rounds they would reach
