--- a/core/member/message.go
+++ b/core/member/message.go
@@ -17,9 +17,9 @@
 type Message struct {
 	From Info `codec:"f"`
 	// Seen is the highest revision that the sender knows to have been acted on.
-	Seen       uint64      `codec:"v,omitempty"`
-	PeerStates []PeerState `codec:"c,omitempty"`
-	Others     []Digest    `codec:"o,omitempty"`
+	Seen         uint64      `codec:"v,omitempty"`
+	PeerStates   []PeerState `codec:"c,omitempty"`
+	OtherDomains []Digest    `codec:"o,omitempty"`
 }
 
 // Digest is what other failure domains know of one.
@@ -58,7 +58,7 @@
 		}
 	}
 	sort.Slice(m.PeerStates, func(i, j int) bool { return m.PeerStates[i].Info.Name < m.PeerStates[j].Info.Name })
-	m.Others = t.Domains(now)
+	m.OtherDomains = t.Domains(now)
 	return m
 }
 
@@ -123,7 +123,7 @@
 			refuted = t.heard(now, c) || refuted
 		}
 	}
-	for _, d := range m.Others {
+	for _, d := range m.OtherDomains {
 		t.ReceiveDigest(now, d)
 	}
 	return refuted
--- a/instance/member/member.go
+++ b/instance/member/member.go
@@ -225,17 +225,17 @@
 			// only some of 5, 10, 15 or 20 peers, ever the same ones.
 			turn = s.round / digestRounds
 		} else {
-			full.Others = nil
+			full.OtherDomains = nil
 		}
 		turn %= len(peers)
 		out = append(out, outgoing{to: peers[turn : turn+1], msg: full})
 	}
-	abroad := core.Message{From: beat.From, Others: append(s.table.Domains(now), s.table.Digest(now))}
+	abroad := core.Message{From: beat.From, OtherDomains: append(s.table.Domains(now), s.table.Digest(now))}
 	if seeds := s.unknownSeeds(now); len(seeds) > 0 {
 		out = append(out, outgoing{to: seeds, msg: abroad})
 	}
 	if s.round%digestRounds == 0 && s.table.Delegate(now) == s.cfg.Self.Name {
-		abroad.Others = abroad.Others[len(abroad.Others)-1:]
+		abroad.OtherDomains = abroad.OtherDomains[len(abroad.OtherDomains)-1:]
 		out = append(out, outgoing{to: s.abroad(now), msg: abroad})
 	}
 	return out
