--- a/core/raft/founding/founding.go
+++ b/core/raft/founding/founding.go
@@ -16,9 +16,9 @@
 	"github.com/comfreyladder/comfreyladder/core/raft"
 )
 
-// Resend is the time between two sendings of what was not answered yet. It is a
+// ResendInterval is the time between two sendings of what was not answered yet. It is a
 // good part of the time that founders which start together need to begin.
-const Resend = 200 * time.Millisecond
+const ResendInterval = 200 * time.Millisecond
 
 // Phase says how far a founder is.
 type Phase uint8
@@ -124,7 +124,7 @@
 	if now.Before(f.resendAt) {
 		return
 	}
-	f.resendAt = now.Add(Resend)
+	f.resendAt = now.Add(ResendInterval)
 	switch f.state.Phase {
 	case Empty:
 		f.send(f.founders[0], Message{Kind: Offer})
--- a/core/raft/founding/founding_test.go
+++ b/core/raft/founding/founding_test.go
@@ -78,7 +78,7 @@
 }
 
 func (w *world) step(drop, crash float64) {
-	w.now = w.now.Add(founding.Resend / 4)
+	w.now = w.now.Add(founding.ResendInterval / 4)
 	batch := w.net
 	w.net = nil
 	w.rnd.Shuffle(len(batch), func(i, j int) { batch[i], batch[j] = batch[j], batch[i] })
--- a/instance/consensus/founder.go
+++ b/instance/consensus/founder.go
@@ -96,7 +96,7 @@
 
 func (f *Founder) run() {
 	defer close(f.done)
-	ticker := time.NewTicker(founding.Resend / ticksPerHeartbeat)
+	ticker := time.NewTicker(founding.ResendInterval / ticksPerHeartbeat)
 	defer ticker.Stop()
 	announced := false
 	for {
