--- a/core/tree/follower.go
+++ b/core/tree/follower.go
@@ -8,22 +8,23 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// historyBytes bounds the older contents kept to make differences from.
+// historyBytes limits the size of the older contents that are kept as bases of differences.
 const historyBytes = 4 << 20
 
-// Lease says whether the configuration is known to be the newest one.
+// Lease tells whether the configuration is known to be the latest one.
 type Lease struct {
-	// Valid until Until; before the first lease, Until is zero.
+	// Valid reports whether the lease holds now, which it does until Until. Until is zero
+	// before the first lease.
 	Valid bool
 	Until time.Time
 }
 
-// Request is what an instance asks its parent.
+// Request is what an instance sends to its parent.
 type Request struct {
-	// Revision and Sum are what it has; zero when it has nothing.
+	// Revision and Sum describe the content that the instance has; zero if it has none.
 	Revision uint64 `codec:"r"`
 	Sum      uint64 `codec:"s"`
-	// Applied is what it reports; see Follower.ActedBut.
+	// Applied is the revision that the instance reports; see Follower.MinAppliedExcept.
 	Applied uint64 `codec:"a"`
 }
 
@@ -33,25 +34,26 @@
 	content  []byte
 }
 
-// Follower is one instance's part of the tree: what it has, for how long that is
-// known to be the newest, and what it answers to its children. It is not safe
-// for concurrent use.
+// Follower is the state of one instance in the tree: the content that it has, how long that
+// is known to be the latest, and what it answers to its children. It is not safe for
+// concurrent use.
 type Follower struct {
-	history []version // oldest first; the last one is in force
-	kept    int       // bytes in history
-	floor   uint64
-	until   time.Time
-	// acted is what this instance itself acts on, and given the lease that
-	// counts once it acts on the revision in force.
-	acted  uint64
-	given  time.Time
-	grants map[Child]grant
-	// blind is until when leases may last that an earlier root gave.
-	blind time.Time
+	history     []version // oldest first; the last one is in effect
+	historySize int       // bytes in history
+	minRevision uint64
+	leaseUntil  time.Time
+	// applied is the revision that this instance has applied. pendingLease is the end of
+	// the lease that takes effect once the instance has applied the revision in effect.
+	applied      uint64
+	pendingLease time.Time
+	grants       map[Child]grant
+	// unknownLeasesUntil is the latest time at which a lease granted by an earlier root can
+	// end.
+	unknownLeasesUntil time.Time
 }
 
-// NewFollower returns one that knows nothing and so has no configuration to act
-// on until a parent or Publish gives it one.
+// NewFollower returns a Follower without a configuration. It gets one from a parent or from
+// Publish.
 func NewFollower() *Follower { return &Follower{grants: map[Child]grant{}} }
 
 func (f *Follower) latest() version {
@@ -61,77 +63,77 @@
 	return f.history[len(f.history)-1]
 }
 
-// Revision returns the revision in force; zero when there is none yet.
+// Revision returns the revision in effect, or zero if there is none yet.
 func (f *Follower) Revision() uint64 { return f.latest().revision }
 
-// Content returns the content in force, which must not be changed.
+// Content returns the content in effect, which the caller must not modify.
 func (f *Follower) Content() []byte { return f.latest().content }
 
-// Request returns what to ask the named parent.
+// Request returns the request to send to the named parent.
 func (f *Follower) Request(now time.Time, parent string) Request {
 	v := f.latest()
 	return Request{Revision: v.revision, Sum: v.sum, Applied: f.MinAppliedExcept(now, parent)}
 }
 
-// RequireRevision states that a revision was acted on already, by this instance before
-// a restart or by another one. An instance without a data folder has forgotten
-// its revision when it starts anew, and the first parent that answers may be
-// behind: it would go back to an older configuration. The others' heartbeats
-// tell what was in force, and nothing older is accepted.
-func (f *Follower) RequireRevision(revision uint64) { f.floor = max(f.floor, revision) }
+// RequireRevision records that a revision was already applied, by this instance before a
+// restart or by another one. An instance without a data folder loses its revision when it
+// restarts, and the first parent that answers may lag: the instance would then go back to
+// an older configuration. The heartbeats of the other instances tell which revision was in
+// effect, and nothing older is accepted.
+func (f *Follower) RequireRevision(revision uint64) { f.minRevision = max(f.minRevision, revision) }
 
-// Ready reports whether there is a configuration to act on that is not known to
-// be out of date. An instance that is not ready must not serve under a guess.
+// Ready reports whether there is a configuration that is not known to be outdated. An
+// instance that is not ready must not serve, since its configuration may be wrong.
 func (f *Follower) Ready() bool {
 	r := f.Revision()
-	return r != 0 && r >= f.floor
+	return r != 0 && r >= f.minRevision
 }
 
-// Publish puts a revision in force that the control group has committed; it is
-// for instances that hold the control state. The same revision again is
-// accepted; an older one, or other content for the same one, is fault.Conflict.
+// Publish puts a revision into effect that the control group has committed. It is for
+// instances that hold the control state. Publishing the same revision again is allowed; an
+// older revision, or other content for the same revision, is fault.Conflict.
 func (f *Follower) Publish(revision uint64, content []byte) error {
 	v := f.latest()
 	sum := xxhash.Sum64(content)
 	switch {
 	case revision == 0 || revision < v.revision:
-		return fault.New(fault.Conflict, "revision %d: revision %d is in force", revision, v.revision)
+		return fault.New(fault.Conflict, "revision %d is older than revision %d, which is in effect", revision, v.revision)
 	case revision == v.revision && sum != v.sum:
-		return fault.New(fault.Conflict, "revision %d has other content", revision)
+		return fault.New(fault.Conflict, "revision %d was published with different content", revision)
 	case revision == v.revision:
 		return nil
 	}
-	f.put(version{revision, sum, content})
+	f.install(version{revision, sum, content})
 	return nil
 }
 
-// Renew states that the control leader knew, at the given time, that the
-// revision in force was the newest, and that no newer one will count before ttl
-// has passed since. Only the leader calls it.
-func (f *Follower) Renew(at time.Time, ttl time.Duration) { f.extend(at.Add(ttl)) }
+// Renew records that the control leader knew at the given time that the revision in effect
+// was the latest, and that no newer one takes effect before ttl has passed since. Only the
+// leader calls it.
+func (f *Follower) Renew(at time.Time, ttl time.Duration) { f.extendLease(at.Add(ttl)) }
 
-func (f *Follower) extend(until time.Time) {
-	if until.After(f.until) {
-		f.until = until
+func (f *Follower) extendLease(until time.Time) {
+	if until.After(f.leaseUntil) {
+		f.leaseUntil = until
 	}
 }
 
-// Lease returns the state of the configuration lease.
 func (f *Follower) Lease(now time.Time) Lease {
-	return Lease{Valid: f.Ready() && now.Before(f.until), Until: f.until}
+	return Lease{Valid: f.Ready() && now.Before(f.leaseUntil), Until: f.leaseUntil}
 }
 
-func (f *Follower) put(v version) {
+func (f *Follower) install(v version) {
 	f.history = append(f.history, v)
-	f.kept += len(v.content)
-	for len(f.history) > 1 && f.kept > historyBytes {
-		f.kept -= len(f.history[0].content)
+	f.historySize += len(v.content)
+	for len(f.history) > 1 && f.historySize > historyBytes {
+		f.historySize -= len(f.history[0].content)
 		f.history[0] = version{}
 		f.history = f.history[1:]
 	}
 }
 
-// Answer returns what a child is told that asks q, with a lease if there is one.
+// Answer returns the answer to the request of a child, with a lease if this instance has
+// one.
 func (f *Follower) Answer(now time.Time, from Child, q Request) Update {
 	u := f.AnswerWithoutLease(q)
 	if l := f.Lease(now); l.Valid {
@@ -153,7 +155,7 @@
 		for _, old := range f.history {
 			if old.revision == q.Revision && old.sum == q.Sum {
 				u.Base = old.revision
-				u.Prefix, u.Suffix, u.Middle = difference(old.content, v.content)
+				u.Prefix, u.Suffix, u.Middle = diff(old.content, v.content)
 				return u
 			}
 		}
@@ -162,45 +164,45 @@
 	return u
 }
 
-// Outcome says what an answer brought.
+// Outcome is the result of ApplyUpdate.
 type Outcome uint8
 
-// Outcomes of Offer.
+// The outcomes of ApplyUpdate.
 const (
-	// Applied: a newer revision is in force now.
+	// Applied means that a newer revision is now in effect.
 	Applied Outcome = iota + 1
-	// Same: the parent has the same revision.
+	// Same means that the parent has the same revision.
 	Same
-	// Behind: the parent knows less than this instance; another one should be
-	// asked.
+	// Behind means that the parent has an older revision than this instance, or than it
+	// requires. Another parent should be asked.
 	Behind
 )
 
-// ApplyUpdate takes in a parent's answer to a question that was asked at the given
-// time. An older revision never replaces a newer one. A lease counts from the
-// question, not from the answer, and only for the revision that it was given
-// for: neither a slow network nor a circle of instances that ask each other can
-// prolong it. It fails with fault.Corrupt when the update does not fit; then the
-// whole content is to be asked for, with an empty Question.
+// ApplyUpdate processes a parent's answer to a request sent at the given time. An older
+// revision never replaces a newer one. A lease counts from the request, not from the
+// answer, and only for the revision it was granted for, so neither a slow network nor a
+// cycle of instances that ask each other can prolong it. It fails with fault.Corrupt if the
+// update does not match; the complete content is then to be requested with an empty
+// Request.
 func (f *Follower) ApplyUpdate(asked time.Time, u Update) (Outcome, error) {
 	v := f.latest()
-	if u.Revision == 0 || u.Revision < v.revision || u.Revision < f.floor {
+	if u.Revision == 0 || u.Revision < v.revision || u.Revision < f.minRevision {
 		return Behind, nil
 	}
 	outcome := Same
 	switch {
 	case u.Revision > v.revision:
-		content, err := u.content(f.base(u.Base))
+		content, err := u.reconstruct(f.base(u.Base))
 		if err != nil {
 			return 0, err
 		}
-		f.put(version{u.Revision, u.Sum, content})
+		f.install(version{u.Revision, u.Sum, content})
 		outcome = Applied
 	case u.Sum != v.sum:
-		return 0, fault.New(fault.Corrupt, "revision %d has other content here", u.Revision)
+		return 0, fault.New(fault.Corrupt, "revision %d has different content on this instance", u.Revision)
 	}
 	if u.LeaseMillis > 0 {
-		f.take(asked.Add(time.Duration(u.LeaseMillis) * time.Millisecond))
+		f.acceptLease(asked.Add(time.Duration(u.LeaseMillis) * time.Millisecond))
 	}
 	return outcome, nil
 }
--- a/core/tree/grants.go
+++ b/core/tree/grants.go
@@ -2,98 +2,102 @@
 
 import "time"
 
-// Child is one process that asks. A process that was restarted is another child:
-// it has forgotten what it gave to those below it, while the lease that its
-// predecessor got, which theirs derive from, is still on record here.
+// Child identifies one process that sends requests. A restarted process is a different
+// child: it no longer knows which leases it granted to its own children, while the lease of
+// its predecessor, from which theirs derive, is still recorded here.
 type Child struct {
 	Name string
-	// Start tells the processes of one name apart.
+	// Start distinguishes the processes of one name.
 	Start uint64
 }
 
-// grant is the lease that a child holds at most.
+// grant is the longest lease that a child may hold.
 type grant struct {
 	until time.Time
-	// acted is the lowest revision that the child or one below it may act on.
-	acted uint64
+	// applied is the lowest revision that the child or an instance below it may have
+	// applied.
+	applied uint64
 }
 
-// MarkApplied states that this instance acts on a revision now. A lease that came with
-// it counts from now on: were it to count sooner, an instance that is slow to
-// act would seem to be up to date with the older one.
+// MarkApplied records that this instance has applied a revision. A lease received with the
+// revision takes effect only now: if it took effect earlier, an instance that is slow to
+// apply the revision would appear to be up to date with the older one.
 func (f *Follower) MarkApplied(revision uint64) {
-	f.acted = max(f.acted, revision)
-	if f.acted >= f.Revision() {
-		f.extend(f.given)
+	f.applied = max(f.applied, revision)
+	if f.applied >= f.Revision() {
+		f.extendLease(f.pendingLease)
 	}
 }
 
-// AppliedRevision returns what this instance acts on; zero for nothing yet.
-func (f *Follower) AppliedRevision() uint64 { return f.acted }
+// AppliedRevision returns the revision that this instance has applied, or zero if it has
+// applied none.
+func (f *Follower) AppliedRevision() uint64 { return f.applied }
 
-// HadLease reports whether a lease ever came with a revision, so that it was the
-// newest when it was asked for.
-func (f *Follower) HadLease() bool { return !f.given.IsZero() || !f.until.IsZero() }
+// HadLease reports whether a lease was ever received, which proves that the revision was
+// the latest when it was requested.
+func (f *Follower) HadLease() bool { return !f.pendingLease.IsZero() || !f.leaseUntil.IsZero() }
 
-func (f *Follower) take(until time.Time) {
-	if until.After(f.given) {
-		f.given = until
+func (f *Follower) acceptLease(until time.Time) {
+	if until.After(f.pendingLease) {
+		f.pendingLease = until
 	}
-	f.MarkApplied(f.acted)
+	f.MarkApplied(f.applied)
 }
 
-// BecomeRoot states that this instance becomes the root. Which leases an earlier
-// root gave is not known to it; none of them lasts longer than ttl from now.
-func (f *Follower) BecomeRoot(now time.Time, ttl time.Duration) { f.blind = now.Add(ttl) }
+// BecomeRoot records that this instance becomes the root. It does not know which leases an
+// earlier root granted, but none of them lasts longer than ttl from now.
+func (f *Follower) BecomeRoot(now time.Time, ttl time.Duration) { f.unknownLeasesUntil = now.Add(ttl) }
 
-// InForce reports, at the root, whether all instances act on a revision or a
-// later one, or know that they are cut off. It does not depend on who is
-// believed to be there: an instance that nobody has heard of has no lease.
+// InForce reports, on the root, whether every instance has applied the revision or a later
+// one, or knows that it is cut off. It does not depend on the membership view: an instance
+// that no other knows of holds no lease.
 func (f *Follower) InForce(now time.Time, revision uint64) bool {
-	return !now.Before(f.blind) && f.MinApplied(now) >= revision
+	return !now.Before(f.unknownLeasesUntil) && f.MinApplied(now) >= revision
 }
 
-// MinApplied returns the lowest revision that this instance, or any that has a lease
-// from it, directly or not, may act on under that lease; zero when this instance
-// acts on none yet.
+// MinApplied returns the lowest revision that this instance, or any instance that holds a
+// lease derived from it, may have applied under that lease. It is zero if this instance has
+// applied none.
 func (f *Follower) MinApplied(now time.Time) uint64 { return f.MinAppliedExcept(now, "") }
 
-// MinAppliedExcept is Acted without what was given to one instance, which is to be told:
-// it knows by itself what it and those below it act on. Were that included, two
-// instances that have leases from each other, as may be while their views of the
-// tree differ, would wait for each other until the leases end.
+// MinAppliedExcept is MinApplied without the leases granted to the named instance, to which
+// the result is sent: that instance itself knows what it and the instances below it have
+// applied. If its leases were included, two instances that hold leases from each other, as
+// can happen while their views of the tree differ, would wait for each other until the
+// leases end.
 func (f *Follower) MinAppliedExcept(now time.Time, name string) uint64 {
-	lowest := f.acted
+	lowest := f.applied
 	for c, g := range f.grants {
 		switch {
 		case !now.Before(g.until):
 			delete(f.grants, c)
 		case c.Name != name:
-			lowest = min(lowest, g.acted)
+			lowest = min(lowest, g.applied)
 		}
 	}
 	return lowest
 }
 
-// grant records the lease that an answer carries; it ends with this instance's
-// own at the latest, since it counts from the question.
-func (f *Follower) grant(c Child, acted uint64) {
+// grant records the lease that an answer carries. It ends no later than this instance's own
+// lease, since it counts from the request.
+func (f *Follower) grant(c Child, applied uint64) {
 	old, known := f.grants[c]
 	switch {
-	case acted == 0 && known:
-		// It may still act on an earlier answer.
-		acted = old.acted
-	case acted == 0:
-		// It acts on nothing yet, and next on what this answer brings.
-		acted = f.Revision()
+	case applied == 0 && known:
+		// The child may still use the revision of an earlier answer.
+		applied = old.applied
+	case applied == 0:
+		// The child has applied nothing yet; the first revision it applies is that of this
+		// answer.
+		applied = f.Revision()
 	}
-	f.grants[c] = grant{until: f.until, acted: acted}
+	f.grants[c] = grant{until: f.leaseUntil, applied: applied}
 }
 
-// Report takes in what a child acts on, between its questions.
-func (f *Follower) Report(c Child, acted uint64) {
-	if g, known := f.grants[c]; known && acted > g.acted {
-		g.acted = acted
+// Report records the revision that a child has applied, between its requests.
+func (f *Follower) Report(c Child, applied uint64) {
+	if g, known := f.grants[c]; known && applied > g.applied {
+		g.applied = applied
 		f.grants[c] = g
 	}
 }
--- a/core/tree/layout.go
+++ b/core/tree/layout.go
@@ -1,34 +1,34 @@
-// Package tree spreads the control state from the control group to all
-// instances, along a tree of bounded fan-out. It is pure: time is passed in, and
-// updates are values that a service carries.
+// Package tree distributes the control state from the control group to all instances along
+// a tree of bounded fan-out. It is a pure state machine: time is passed in, and updates are
+// values that a service transports.
 //
-// Each instance asks its parent for what is newer than what it has. The answer
-// also tells for how long the parent's configuration is known to be the newest
-// one, which is the configuration lease.
+// Each instance asks its parent for anything newer than what it has. The answer also tells
+// how long the parent's configuration is known to be the latest one, which is the
+// configuration lease.
 package tree
 
 import "sort"
 
-// DefaultFanOut is how many children an instance has inside a failure domain:
-// 21 instances are then reached from the delegate in two steps.
+// DefaultFanOut is the number of children of an instance inside a failure domain. With it,
+// the delegate reaches 21 instances, itself included, in two hops.
 const DefaultFanOut = 4
 
 // Instance is one instance in the tree.
 type Instance struct {
 	Name   string
 	Domain string
-	// Data says that the instance has a data folder and may hold the control
-	// state itself.
+	// Data reports whether the instance has a data folder and may hold the control state
+	// itself.
 	Data bool
 }
 
-// Candidates returns whom self asks, the best first. The parent comes first,
-// then the other ancestors up to the failure domain's delegate and the root, so
-// that a silent one is passed over; then the rest of the domain and of the
-// control group, so that a cut-off instance finds anyone who knows more. The
-// delegate's parent is the root. Instances with the same view agree on the tree;
-// where views differ, an instance may ask a descendant, which does no harm, as
-// neither revisions nor leases grow on the way.
+// Candidates returns the instances that self sends its requests to, in order of preference.
+// The parent comes first, then the other ancestors up to the delegate of the failure domain
+// and the root, so that an unresponsive ancestor is skipped. Then come the instances with a
+// data folder and the rest of the domain, so that a partitioned instance finds any that has
+// a newer revision. The parent of the delegate is the root. Instances with the same view
+// compute the same tree. Where views differ, an instance may ask a descendant; this is
+// harmless, since neither revisions nor leases grow on the way.
 func Candidates(self Instance, root string, live []Instance, fanOut int) []string {
 	domain := namesOf(live, func(n Instance) bool { return n.Domain == self.Domain || n.Name == self.Name })
 	position := sort.SearchStrings(domain, self.Name)
--- a/core/tree/tree_test.go
+++ b/core/tree/tree_test.go
@@ -18,7 +18,7 @@
 	followers = 4
 )
 
-// answer is an update on its way, or a copy of it.
+// answer is an update in flight, or a copy of it.
 type answer struct {
 	to    int
 	asked time.Time
@@ -26,17 +26,17 @@
 }
 
 type model struct {
-	now       time.Time
-	root      *tree.Follower
-	revision  uint64
-	changed   map[uint64]time.Time // when the root put a revision in force
-	leads     bool
-	all       []*tree.Follower
-	highest   []uint64 // highest revision that each one acted on, over restarts
-	answers   []answer
-	lastRenew time.Time
-	starts    []uint64
-	acts      []uint64 // what each one acts on
+	now         time.Time
+	root        *tree.Follower
+	revision    uint64
+	publishedAt map[uint64]time.Time // when the root published a revision
+	leads       bool
+	all         []*tree.Follower
+	maxApplied  []uint64 // highest revision that each follower had, across restarts
+	answers     []answer
+	lastRenew   time.Time
+	starts      []uint64
+	applied     []uint64 // what each follower has applied
 }
 
 func (m *model) child(i int) tree.Child {
@@ -57,7 +57,7 @@
 	case 0, 1:
 		if m.leads {
 			m.revision++
-			m.changed[m.revision] = m.now
+			m.publishedAt[m.revision] = m.now
 			if err := m.root.Publish(m.revision, content(m.revision)); err != nil {
 				t.Fatal(err)
 			}
@@ -67,22 +67,22 @@
 	case 3:
 		i := rapid.IntRange(0, followers-1).Draw(t, "restart")
 		m.all[i] = tree.NewFollower()
-		m.all[i].RequireRevision(m.highest[i]) // told by the others' heartbeats
+		m.all[i].RequireRevision(m.maxApplied[i]) // known from the heartbeats of the others
 		m.starts[i]++
-		m.acts[i] = 0
+		m.applied[i] = 0
 	case 4:
 		m.root.MarkApplied(m.root.Revision())
 	case 5, 6:
 		i := rapid.IntRange(0, followers-1).Draw(t, "acts")
-		m.acts[i] = m.all[i].Revision()
-		m.all[i].MarkApplied(m.acts[i])
+		m.applied[i] = m.all[i].Revision()
+		m.all[i].MarkApplied(m.applied[i])
 	case 7:
 		i := rapid.IntRange(0, followers-1).Draw(t, "reports")
 		name, parent := m.parent(t)
 		parent.Report(m.child(i), m.all[i].MinAppliedExcept(m.now, name))
 	case 8:
 		if m.revision > 0 {
-			m.succeed(t)
+			m.replaceRoot(t)
 		}
 	default:
 		m.ask(t)
@@ -100,8 +100,9 @@
 	}
 }
 
-// succeed makes another instance the root, which knows of no leases.
-func (m *model) succeed(t *rapid.T) {
+// replaceRoot makes another instance the root, which does not know the leases of the
+// earlier one.
+func (m *model) replaceRoot(t *rapid.T) {
 	m.root = tree.NewFollower()
 	if err := m.root.Publish(m.revision, content(m.revision)); err != nil {
 		t.Fatal(err)
@@ -122,29 +123,29 @@
 		i := rapid.IntRange(0, len(m.answers)-1).Draw(t, "which")
 		a := m.answers[i]
 		m.answers = append(m.answers[:i], m.answers[i+1:]...)
-		// A restarted follower may not have the base any more: that is Corrupt.
+		// A restarted follower may have lost the base, which gives fault.Corrupt.
 		_, _ = m.all[a.to].ApplyUpdate(a.asked, a.u)
 	}
 }
 
 func (m *model) check(t *rapid.T) {
 	for i, f := range m.all {
-		if f.Lease(m.now).Valid && m.acts[i] != 0 && m.root.InForce(m.now, m.acts[i]+1) {
-			t.Fatalf("a confirm of %d has returned, but follower %d acts on %d under a lease", m.acts[i]+1, i, m.acts[i])
+		if f.Lease(m.now).Valid && m.applied[i] != 0 && m.root.InForce(m.now, m.applied[i]+1) {
+			t.Fatalf("revision %d is reported as in force, but follower %d has applied %d under a lease", m.applied[i]+1, i, m.applied[i])
 		}
 		if !f.Ready() {
 			continue
 		}
 		r := f.Revision()
-		if r < m.highest[i] {
-			t.Fatalf("follower %d went back from %d to %d", i, m.highest[i], r)
+		if r < m.maxApplied[i] {
+			t.Fatalf("follower %d went back from revision %d to %d", i, m.maxApplied[i], r)
 		}
-		m.highest[i] = r
+		m.maxApplied[i] = r
 		if !bytes.Equal(f.Content(), content(r)) {
 			t.Fatalf("follower %d has %q for %d", i, f.Content(), r)
 		}
-		if next, ok := m.changed[r+1]; ok && f.Lease(m.now).Valid && m.now.Sub(next) > leaseTTL {
-			t.Fatalf("follower %d trusts %d, which was replaced %s ago", i, r, m.now.Sub(next))
+		if next, ok := m.publishedAt[r+1]; ok && f.Lease(m.now).Valid && m.now.Sub(next) > leaseTTL {
+			t.Fatalf("follower %d has a lease for revision %d, which was replaced %s ago", i, r, m.now.Sub(next))
 		}
 		if f.Lease(m.now).Valid && m.now.Sub(m.lastRenew) > leaseTTL {
 			t.Fatalf("follower %d has a lease %s after the last renewal", i, m.now.Sub(m.lastRenew))
@@ -152,19 +153,17 @@
 	}
 }
 
-// Story: an operator's confirm has returned, and a caller is still served by the
-// older configuration, under a lease. The instance moved to another parent, was
-// restarted, was slow to act or was never heard of by the one that was asked.
+// Guards against two failures. First, a confirm returns while a caller is still served
+// under the older configuration by an instance with a lease, because the instance changed
+// its parent, restarted, was slow to apply the revision or was unknown to the root.
 //
-// Story: an operator's change is in force; then an instance gets a late answer,
-// or restarts without a disk and asks one that is behind, and acts on the old
-// configuration again. Or instances that are cut off from the control group
-// confirm to each other for ever that theirs is the newest.
+// Second, an instance goes back to an older configuration after a late answer or a restart
+// without a disk, or partitioned instances renew each other's leases without end.
 func TestRevisionsNeverGoBackAndLeasesEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{
-			now: time.Unix(1000, 0), root: tree.NewFollower(), changed: map[uint64]time.Time{}, leads: true,
-			highest: make([]uint64, followers), starts: make([]uint64, followers), acts: make([]uint64, followers), lastRenew: time.Unix(1000, 0),
+			now: time.Unix(1000, 0), root: tree.NewFollower(), publishedAt: map[uint64]time.Time{}, leads: true,
+			maxApplied: make([]uint64, followers), starts: make([]uint64, followers), applied: make([]uint64, followers), lastRenew: time.Unix(1000, 0),
 		}
 		for range followers {
 			m.all = append(m.all, tree.NewFollower())
@@ -199,8 +198,8 @@
 	g.Expect(fault.CodeOf(root.Publish(2, big))).To(Equal(fault.Conflict))
 }
 
-// Story: an instance without a disk restarts and the first that it asks was cut
-// off and has an older configuration. It would serve by that one again.
+// Guards against an instance without a disk that restarts, asks a parent that was
+// partitioned and has an older configuration, and serves under that one again.
 func TestRestartWithoutDisk(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -215,7 +214,7 @@
 	g.Expect(restarted.ApplyUpdate(now, recent.Answer(now, tree.Child{}, restarted.Request(now, "")))).To(Equal(tree.Applied))
 	g.Expect(restarted.ApplyUpdate(now, late)).To(Equal(tree.Behind))
 	g.Expect(recent.ApplyUpdate(now, late)).To(Equal(tree.Behind))
-	g.Expect(restarted.Lease(now).Valid).To(BeFalse(), "a lease of an older revision does not count")
+	g.Expect(restarted.Lease(now).Valid).To(BeFalse(), "a lease for an older revision has no effect")
 	g.Expect(restarted.Ready()).To(BeTrue())
 	restarted.RequireRevision(6)
 	g.Expect(restarted.Ready()).To(BeFalse())
@@ -236,7 +235,7 @@
 		g.Expect(c).To(HaveLen(len(nodes) - 1))
 		children[c[0]]++
 	}
-	g.Expect(children["leader"]).To(Equal(1), "one delegate of a domain asks the root")
+	g.Expect(children["leader"]).To(Equal(1), "only the delegate of a domain asks the root")
 	for name, count := range children {
 		g.Expect(count).To(BeNumerically("<=", tree.DefaultFanOut), name)
 	}
