--- a/core/timebase/timebase.go
+++ b/core/timebase/timebase.go
@@ -1,10 +1,11 @@
-// Package timebase lets machines agree on the time of day, for work that is divided by it.
-// It does no I/O: clocks are passed in.
+// Package timebase lets instances agree on the time of day, for work that is divided by
+// time. It does no I/O: clocks are passed in.
 //
-// A machine's time of day may jump by seconds and back, while its steady clock (one that
-// goes on during a suspension and is never stepped) keeps its rate. So the agreed time is
-// an offset to the steady clock. Where the time of day is taken at its word, requests of
-// some seconds are counted for the wrong span, and twice or not at all by those who disagree.
+// The wall clock of an instance may jump by seconds and back, while its steady clock (one
+// that continues during a suspension and is never stepped) keeps its rate. So the agreed
+// time is an offset from the steady clock. If wall clocks were used directly, requests of
+// several seconds would be counted in the wrong time window, and twice or not at all by
+// instances that disagree.
 package timebase
 
 import (
@@ -14,74 +15,78 @@
 )
 
 const (
-	// remember is for how long what a machine told about its clock counts.
-	remember = 30 * time.Second
-	// forming is for how long the agreed time may still be set, while the first machines
-	// tell their clocks; later it only slews.
-	forming = 3 * time.Second
-	// slew is how much of each second the agreed time is moved at most: faster than quartz
-	// clocks drift, and so slow that a step of most clocks by seconds for seconds does not
-	// show.
-	slew = 0.001
+	// sourceTTL is how long a reading of another instance is used.
+	sourceTTL = 30 * time.Second
+	// settleAfter is how long the agreed time may still be set directly, while the first
+	// instances exchange their readings. Afterwards it is only slewed.
+	settleAfter = 3 * time.Second
+	// maxSlewRate is the maximum rate at which the agreed time is adjusted, in seconds per
+	// second. It exceeds the drift of quartz clocks, but is low enough to hide a step of
+	// most clocks by seconds that lasts for seconds.
+	maxSlewRate = 0.001
 )
 
-// Reading is what a machine tells about its clocks at one moment.
+// Reading holds the clocks of an instance at one moment.
 type Reading struct {
-	// Wall is its time of day, Agreed the agreed time as it knows it.
+	// Wall is the wall clock of the instance, Agreed the agreed time as the instance knows
+	// it.
 	Wall, Agreed time.Time
-	// Settled says that its agreed time is not to be set any more.
+	// Settled reports that the agreed time of the instance can only be slewed, no longer
+	// set.
 	Settled bool
 }
 
-// source is what is known of one machine's clocks, as offsets to the own steady clock.
+// source holds what is known of the clocks of another instance, as offsets from the local
+// steady clock.
 type source struct {
 	wall, agreed time.Duration
 	settled      bool
-	// at is when it was heard last, read when the reading came that wall is from.
-	at, read time.Time
+	// heardAt is when the instance was last heard from, wallReadAt when the reading arrived
+	// that wall comes from.
+	heardAt, wallReadAt time.Time
 }
 
-// Clock is one machine's part in the agreement. It is not safe for concurrent use.
+// Clock is the state of one instance in the agreement. It is not safe for concurrent use.
 type Clock struct {
-	own     func() time.Time
-	sources map[string]source
-	offset  time.Duration
-	known   bool
-	begun   time.Time
-	settled bool
-	// moved is when the offset was worked out last.
-	moved time.Time
+	wallClock   func() time.Time
+	sources     map[string]source
+	offset      time.Duration
+	initialised bool
+	startedAt   time.Time
+	settled     bool
+	// updatedAt is when the offset was last computed.
+	updatedAt time.Time
 }
 
-// New returns a clock that has only its own machine's time of day, which wall returns.
-func New(wall func() time.Time) *Clock { return &Clock{own: wall, sources: map[string]source{}} }
+// New returns a clock that initially uses only the local wall clock, which wall returns.
+func New(wall func() time.Time) *Clock { return &Clock{wallClock: wall, sources: map[string]source{}} }
 
-// Observe takes in a reading of another machine that came at a time of the steady clock.
-// It was taken a moment before, which is not known: of several readings the one that was
-// least delayed counts.
+// Observe records a reading of another instance that arrived at the given time of the
+// steady clock. The reading was taken earlier by an unknown delay, so of several readings
+// the least delayed one is used.
 func (c *Clock) Observe(now time.Time, name string, r Reading) {
-	next := source{wall: r.Wall.Sub(now), agreed: r.Agreed.Sub(now), settled: r.Settled, at: now, read: now}
+	next := source{wall: r.Wall.Sub(now), agreed: r.Agreed.Sub(now), settled: r.Settled, heardAt: now, wallReadAt: now}
 	old, known := c.sources[name]
-	if known && now.Sub(old.read) < bestFor && old.wall > next.wall && old.wall-next.wall < maxDelay {
-		next.wall, next.read = old.wall, old.read
+	if known && now.Sub(old.wallReadAt) < bestReadingTTL && old.wall > next.wall && old.wall-next.wall < maxReadingDelay {
+		next.wall, next.wallReadAt = old.wall, old.wallReadAt
 	}
 	c.sources[name] = next
 }
 
 const (
-	// bestFor is for how long the least delayed reading counts.
-	bestFor = 3 * time.Second
-	// maxDelay is up to what difference a lower reading is taken for a delayed one, and not
-	// for a step of the clock.
-	maxDelay = 500 * time.Millisecond
+	// bestReadingTTL is how long the least delayed reading is used.
+	bestReadingTTL = 3 * time.Second
+	// maxReadingDelay is the largest difference by which a lower reading counts as delayed.
+	// A larger difference counts as a step of the clock.
+	maxReadingDelay = 500 * time.Millisecond
 )
 
-// Reading returns what this machine tells others.
+// Reading returns the reading that this instance sends to others.
 func (c *Clock) Reading(now time.Time) Reading {
-	return Reading{Wall: c.own(), Agreed: c.Now(now), Settled: c.settled}
+	return Reading{Wall: c.wallClock(), Agreed: c.Now(now), Settled: c.settled}
 }
 
-// Settled reports whether the agreed time is not to be set any more.
+// Settled reports whether the agreed time can only be slewed, no longer set.
 func (c *Clock) Settled() bool { return c.settled }
 
 // Now returns the agreed time at a time of the steady clock.
@@ -91,49 +96,50 @@
 }
 
 func (c *Clock) update(now time.Time) {
-	if !c.known {
-		c.begun, c.moved = now, now
+	if !c.initialised {
+		c.startedAt, c.updatedAt = now, now
 	}
-	elapsed := now.Sub(c.moved)
-	if c.known && elapsed < updateEvery {
+	elapsed := now.Sub(c.updatedAt)
+	if c.initialised && elapsed < updateInterval {
 		return
 	}
 	for name, s := range c.sources {
-		if now.Sub(s.at) > remember {
+		if now.Sub(s.heardAt) > sourceTTL {
 			delete(c.sources, name)
 		}
 	}
-	c.moved = now
-	target := c.median(now)
+	c.updatedAt = now
+	target := c.medianWallOffset(now)
 	if c.settled {
-		most := time.Duration(slew * float64(elapsed))
-		c.offset += min(most, max(-most, target-c.offset))
+		maxStep := time.Duration(maxSlewRate * float64(elapsed))
+		c.offset += min(maxStep, max(-maxStep, target-c.offset))
 		return
 	}
-	c.known = true
-	if agreed, ok := c.agreedByOthers(); ok {
+	c.initialised = true
+	if agreed, ok := c.settledOffset(); ok {
 		c.offset, c.settled = agreed, true
 		return
 	}
 	c.offset = target
-	c.settled = len(c.sources) > 0 && now.Sub(c.begun) >= forming
+	c.settled = len(c.sources) > 0 && now.Sub(c.startedAt) >= settleAfter
 }
 
-// updateEvery bounds how often the offset is worked out.
-const updateEvery = 20 * time.Millisecond
+// updateInterval is the minimum time between two computations of the offset.
+const updateInterval = 20 * time.Millisecond
 
-// median returns the middle of all machines' times of day.
-func (c *Clock) median(now time.Time) time.Duration {
-	list := []time.Duration{c.own().Sub(now)}
+// medianWallOffset returns the median of the wall clock offsets of all instances, this one
+// included.
+func (c *Clock) medianWallOffset(now time.Time) time.Duration {
+	list := []time.Duration{c.wallClock().Sub(now)}
 	for _, s := range c.sources {
 		list = append(list, s.wall)
 	}
-	return middle(list)
+	return medianOf(list)
 }
 
-// agreedByOthers returns the middle of what the machines agree on whose time is settled. A
-// machine that starts takes it over, whatever its own time of day.
-func (c *Clock) agreedByOthers() (time.Duration, bool) {
+// settledOffset returns the median of the agreed times of the instances that have settled.
+// An instance that starts adopts it, whatever its own wall clock shows.
+func (c *Clock) settledOffset() (time.Duration, bool) {
 	var list []time.Duration
 	for _, s := range c.sources {
 		if s.settled {
@@ -143,32 +149,34 @@
 	if len(list) == 0 {
 		return 0, false
 	}
-	return middle(list), true
+	return medianOf(list), true
 }
 
-func middle(list []time.Duration) time.Duration {
+func medianOf(list []time.Duration) time.Duration {
 	slices.SortFunc(list, cmp.Compare[time.Duration])
 	return list[(len(list)-1)/2]
 }
 
-// Follower keeps the agreed time at a machine that only asks others for it. The zero
-// Follower knows none. It is not safe for concurrent use.
+// Follower tracks the agreed time on an instance that only requests it from others. The
+// zero Follower has no time yet. It is not safe for concurrent use.
 type Follower struct {
-	offset, spread time.Duration
-	at             time.Time
-	known          bool
+	offset, uncertainty time.Duration
+	observedAt          time.Time
+	known               bool
 }
 
-// Observe takes in an answer's agreed time, with the times of the own steady clock at which
-// the question was sent and the answer came, and for how long it was held. The agreed time
-// was read in between; the less time that took, the better it is known.
-func (f *Follower) Observe(sent, came time.Time, held time.Duration, agreed time.Time) {
-	spread := max(0, came.Sub(sent)-held) / 2
-	if f.known && spread > f.spread && came.Sub(f.at) < bestFor {
+// Observe records the agreed time of an answer, with the times of the local steady clock at
+// which the request was sent and the answer was received, and how long the request was held
+// before the answer. The agreed time was read in between, so a shorter round trip gives a
+// more precise result.
+func (f *Follower) Observe(sent, received time.Time, held time.Duration, agreed time.Time) {
+	uncertainty := max(0, received.Sub(sent)-held) / 2
+	if f.known && uncertainty > f.uncertainty && received.Sub(f.observedAt) < bestReadingTTL {
 		return
 	}
-	f.offset, f.spread, f.at, f.known = agreed.Add(spread).Sub(came), spread, came, true
+	f.offset, f.uncertainty, f.observedAt, f.known = agreed.Add(uncertainty).Sub(received), uncertainty, received, true
 }
 
-// Now returns the agreed time at a time of the steady clock; false while none is known.
+// Now returns the agreed time at the given time of the steady clock, or false if it is not
+// known yet.
 func (f *Follower) Now(now time.Time) (time.Time, bool) { return now.Add(f.offset), f.known }
