--- a/core/registry/brief.go
+++ b/core/registry/brief.go
@@ -11,39 +11,38 @@
 	"github.com/comfreyladder/comfreyladder/core/wire"
 )
 
-// CompactBeat is a relayed beat without what seldom changes. A failure domain with 76
-// upstreams relays 76 beats a second to each of its instances; whole ones of
-// about 300 bytes would use up more than the 18 KB/s that an instance has for
-// all control traffic. It travels as an array, as the names of its fields would
-// be a third of it.
+// CompactBeat is a relayed beat without the fields that seldom change. A failure domain
+// with 76 upstreams relays 76 beats a second to each of its instances; complete beats of
+// about 300 bytes would exceed the 18 KB/s that an instance has for all control traffic. It
+// is encoded as an array, since field names would take a third of its size.
 type CompactBeat struct {
 	wire.Array
-	// Ref stands for what is left out; see refOf.
+	// Ref identifies the omitted fields; see refOf.
 	Ref      uint64
 	Sequence uint64
-	// RemainingMillis and AgeMillis are those of Relayed, rounded against the
-	// upstream.
+	// RemainingMillis and AgeMillis are those of RelayedBeat, rounded so that the upstream
+	// expires sooner rather than later.
 	RemainingMillis int64
 	AgeMillis       int64
 	Load            *CompactLoad
 	Cache           []announce.CacheEvent
 }
 
-// CompactLoad is announce.Load in whole numbers.
+// CompactLoad is announce.Load in integers.
 type CompactLoad struct {
 	wire.Array
 	Running         int
 	Waiting         int
 	TokensPerSecond int64
-	// KVMille is the used share of the KV cache in thousandths.
+	// KVMille is the used fraction of the KV cache in thousandths.
 	KVMille   int64
 	AgeMillis int64
 }
 
-const mille = 1000
+const perMille = 1000
 
-// Compact returns the brief form of a beat; false for a leave, which must be
-// understood also by an instance that does not know the upstream yet.
+// Compact returns the compact form of a beat. It returns false for a leave, which must be
+// understood even by an instance that does not know the upstream yet.
 func Compact(m RelayedBeat) (CompactBeat, bool) {
 	if m.Beat.Leave {
 		return CompactBeat{}, false
@@ -60,15 +59,16 @@
 			Running:         l.Running,
 			Waiting:         l.Waiting,
 			TokensPerSecond: int64(math.Round(l.TokensPerSecond)),
-			KVMille:         int64(math.Round(l.KVUsed * mille)),
+			KVMille:         int64(math.Round(l.KVUsed * perMille)),
 			AgeMillis:       l.AgeMillis,
 		}
 	}
 	return b, true
 }
 
-// refOf hashes what a Brief leaves out: the upstream's name, its start and what
-// it said of itself. Hashes of 64 bits of some thousand upstreams don't collide.
+// refOf hashes the fields that a CompactBeat omits: the upstream's name, its incarnation
+// and its self-description. Collisions of 64-bit hashes are not expected among a few
+// thousand upstreams.
 func refOf(b announce.Beat) uint64 {
 	d := xxhash.New()
 	write := func(s string) {
@@ -89,14 +89,14 @@
 	return d.Sum64()
 }
 
-// ApplyCompact takes in a relayed beat in its brief form. It is Unknown when the
-// rest is not known here; then the sender is to be asked for the Whole beat.
+// ApplyCompact processes a relayed beat in its compact form. It returns Unknown if the
+// omitted fields are not known here; the sender is then to be asked for the FullBeat.
 func (r *Registry) ApplyCompact(now time.Time, b CompactBeat) Outcome {
 	e := r.byRef[b.Ref]
 	if e == nil {
 		return Unknown
 	}
-	beat := e.up.Beat
+	beat := e.upstream.Beat
 	beat.Sequence, beat.Leave = b.Sequence, false
 	beat.Cache = b.Cache
 	if l := b.Load; l != nil {
@@ -104,7 +104,7 @@
 			Running:         l.Running,
 			Waiting:         l.Waiting,
 			TokensPerSecond: float64(l.TokensPerSecond),
-			KVUsed:          float64(l.KVMille) / mille,
+			KVUsed:          float64(l.KVMille) / perMille,
 			AgeMillis:       l.AgeMillis,
 		}
 	}
@@ -115,18 +115,18 @@
 	})
 }
 
-// FullBeat returns the latest beat of the upstream that a Brief refers to, as it is
-// to be relayed now; false when it is unknown or gone. It carries no cache events, so that the receiver
-// learns by the next one's number whether it missed some.
+// FullBeat returns the latest beat of the upstream that a CompactBeat refers to, as it is
+// to be relayed now, or false if the upstream is unknown or inactive. The beat carries no
+// cache events; the receiver detects missed events by the number of the next one.
 func (r *Registry) FullBeat(now time.Time, ref uint64) (RelayedBeat, bool) {
 	e := r.byRef[ref]
-	if e == nil || e.gone {
+	if e == nil || e.inactive {
 		return RelayedBeat{}, false
 	}
-	m := RelayedBeat{Beat: e.up.Beat, Remaining: e.expires.Sub(now), Age: now.Sub(e.up.HeardAt)}
-	if e.up.Load != nil {
-		load := *e.up.Load
-		load.AgeMillis = max(e.up.HeardAt.Sub(e.up.LoadAt), 0).Milliseconds()
+	m := RelayedBeat{Beat: e.upstream.Beat, Remaining: e.expires.Sub(now), Age: now.Sub(e.upstream.HeardAt)}
+	if e.upstream.Load != nil {
+		load := *e.upstream.Load
+		load.AgeMillis = max(e.upstream.HeardAt.Sub(e.upstream.LoadAt), 0).Milliseconds()
 		m.Beat.Load = &load
 	}
 	return m, m.Remaining > 0
--- a/core/registry/cache.go
+++ b/core/registry/cache.go
@@ -2,16 +2,16 @@
 
 import "github.com/comfreyladder/comfreyladder/core/announce"
 
-// Cache is an immutable view of an upstream's prefix cache.
+// Cache is an immutable view of the prefix cache of an upstream.
 type Cache struct {
-	// Incomplete says that events were lost: prefixes may be held that are not
+	// Incomplete reports that events were lost: the upstream may hold prefixes that are not
 	// known here.
 	Incomplete bool
 	prefixes   map[uint64]struct{}
 }
 
-// Holds reports whether the upstream is known to hold a prefix, given the 64-bit
-// xxhash of its text.
+// Holds reports whether the upstream is known to hold the prefix whose text has this 64-bit
+// xxhash.
 func (c *Cache) Holds(prefix uint64) bool {
 	if c == nil {
 		return false
@@ -20,7 +20,7 @@
 	return ok
 }
 
-// Len returns how many prefixes are known.
+// Len returns the number of known prefixes.
 func (c *Cache) Len() int {
 	if c == nil {
 		return 0
@@ -28,7 +28,7 @@
 	return len(c.prefixes)
 }
 
-// Prefixes returns the known prefixes; the caller must not change them.
+// Prefixes returns the known prefixes; the caller must not modify the map.
 func (c *Cache) Prefixes() map[uint64]struct{} {
 	if c == nil {
 		return nil
@@ -36,26 +36,26 @@
 	return c.prefixes
 }
 
-// cache follows the numbered events of one incarnation.
+// cache tracks the numbered cache events of one incarnation of an upstream.
 type cache struct {
-	next     uint64 // number of the next event; zero before the first one
-	doubtful bool
-	prefixes map[uint64]struct{}
-	order    []uint64 // prefixes as they were stored, oldest first
-	shared   *Cache   // the view that shares prefixes, or nil
+	next       uint64 // number of the next event; zero before the first one
+	incomplete bool
+	prefixes   map[uint64]struct{}
+	order      []uint64 // prefixes in the order they were stored, oldest first
+	shared     *Cache   // the view that shares the prefixes map, or nil
 }
 
-// apply takes events in. A gap means that events are lost, such as one that
-// dropped a prefix: requests would be sent to an upstream for a prefix that it
-// does not hold any more. So the view is cleared and built anew from what comes.
+// apply processes events. A gap in the numbers means that events were lost, possibly one
+// that dropped a prefix: requests would then be sent to an upstream for a prefix that it no
+// longer holds. So the view is cleared and rebuilt from later events.
 func (c *cache) apply(events []announce.CacheEvent) {
 	for _, e := range events {
 		if c.next != 0 && e.Number < c.next {
-			continue // told before
+			continue // already applied
 		}
-		c.own()
+		c.copyIfShared()
 		if (c.next == 0 && e.Number > 1) || (c.next != 0 && e.Number > c.next) {
-			c.doubtful = true
+			c.incomplete = true
 			c.prefixes = map[uint64]struct{}{}
 			c.order = nil
 		}
@@ -83,7 +83,7 @@
 	}
 }
 
-// compact drops from the order those that were dropped since.
+// compact removes prefixes from the order that were dropped since.
 func (c *cache) compact() {
 	kept := make([]uint64, 0, len(c.prefixes))
 	for _, p := range c.order {
@@ -94,8 +94,8 @@
 	c.order = kept
 }
 
-// own copies the prefixes when a view shares them.
-func (c *cache) own() {
+// copyIfShared copies the prefixes if a view shares them.
+func (c *cache) copyIfShared() {
 	if c.shared == nil && c.prefixes != nil {
 		return
 	}
@@ -109,7 +109,7 @@
 
 func (c *cache) view() *Cache {
 	if c.shared == nil {
-		c.shared = &Cache{Incomplete: c.doubtful, prefixes: c.prefixes}
+		c.shared = &Cache{Incomplete: c.incomplete, prefixes: c.prefixes}
 	}
 	return c.shared
 }
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -1,6 +1,6 @@
-// Package registry is a failure domain's view of its upstreams, made from their
-// announcements. It is a pure state machine: time is passed in, and beats are
-// values that a service carries between the domain's instances.
+// Package registry maintains a failure domain's view of its upstreams, built from their
+// announcements. It is a pure state machine: time is passed in, and beats are values that a
+// service transports between the instances of the domain.
 package registry
 
 import (
@@ -12,51 +12,51 @@
 
 // Limits of a Registry.
 const (
-	// MaxSilence is how long an upstream is given new work after its last beat,
-	// whatever lifetime the beat asks for: three of the beats that come once a
-	// second, so that two lost ones do no harm.
+	// MaxSilence is how long after its last beat an upstream is given new work, whatever
+	// lifetime the beat requests. It is three beat intervals of one second, so two lost
+	// beats do no harm.
 	MaxSilence = 3 * time.Second
-	// ForgetAfter is how long an upstream that is gone is remembered, so that
-	// its late beats are known to be late. It exceeds any delay of a beat.
+	// ForgetAfter is how long an inactive upstream is remembered, so that its late beats
+	// are recognised as late. It exceeds any delay of a beat.
 	ForgetAfter = 10 * time.Minute
-	// MaxUpstreams bounds the memory that announcements can take.
+	// MaxUpstreams limits the memory that announcements can take.
 	MaxUpstreams = 4096
-	// MaxPrefixes bounds the known cache entries of one upstream; those known
-	// for longest are dropped first.
+	// MaxPrefixes limits the known cache entries of one upstream; the oldest known are
+	// dropped first.
 	MaxPrefixes = 16_384
 )
 
-// RelayedBeat is a beat on its way between instances.
+// RelayedBeat is a beat relayed between instances.
 type RelayedBeat struct {
 	Beat announce.Beat `codec:"b"`
-	// Remaining is for how long the beat still keeps the upstream alive.
+	// Remaining is how long the beat still keeps the upstream alive.
 	Remaining time.Duration `codec:"r"`
-	// Age is how long ago the upstream sent it to the domain.
+	// Age is the time since the beat reached the failure domain.
 	Age time.Duration `codec:"a"`
 }
 
-// Upstream is an immutable view of one upstream that may be given work.
+// Upstream is an immutable view of one upstream that may be given new work.
 type Upstream struct {
-	// Beat is the latest one, without its cache events.
+	// Beat is the latest beat, without its load report and its cache events.
 	announce.Beat
 	// HeardAt is when the beat reached the failure domain.
 	HeardAt time.Time
-	// Load is the latest load report, or nil; LoadAt is when it was true.
+	// Load is the latest load report, or nil; LoadAt is when it was measured.
 	Load   *announce.Load
 	LoadAt time.Time
-	// Cache tells which prefixes the upstream holds.
+	// Cache is the view of the prefixes that the upstream holds.
 	Cache *Cache
 }
 
 // View is an immutable snapshot of the upstreams that may be given new work.
 type View struct {
-	// Version grows with each change.
+	// Version increases with each change.
 	Version   uint64
 	Upstreams []Upstream
 	byName    map[string]int
 }
 
-// Find returns the upstream of that name, or nil.
+// Find returns the upstream with the given name, or nil.
 func (v *View) Find(name string) *Upstream {
 	i, ok := v.byName[name]
 	if !ok {
@@ -66,70 +66,71 @@
 }
 
 type entry struct {
-	up      Upstream
-	expires time.Time // no new work from then on
-	gone    bool      // left or expired
-	left    bool
-	cache   cache
-	ref     uint64 // of what a Brief leaves out; zero before the first beat
+	upstream Upstream
+	expires  time.Time // no new work from then on
+	inactive bool      // left or expired
+	left     bool
+	cache    cache
+	ref      uint64 // refOf the latest beat; zero before the first one
 }
 
-// Registry is one instance's view. It is not safe for concurrent use; a View is.
+// Registry is one instance's view of the upstreams of its failure domain. It is not safe
+// for concurrent use; a View is.
 type Registry struct {
-	domain  string
-	entries map[string]*entry
-	byRef   map[uint64]*entry
-	version uint64
-	turns   uint64
-	view    *View
+	domain            string
+	entries           map[string]*entry
+	byRef             map[uint64]*entry
+	version           uint64
+	membershipChanges uint64
+	view              *View
 }
 
-// New returns an empty view of a failure domain.
+// New returns an empty Registry of a failure domain.
 func New(domain string) *Registry {
 	return &Registry{domain: domain, entries: map[string]*entry{}, byRef: map[uint64]*entry{}}
 }
 
-// Outcome says what became of a beat.
+// Outcome is the result of processing a beat.
 type Outcome uint8
 
-// Outcomes of Apply and ApplyRelayed.
+// The outcomes of Apply, ApplyRelayed and ApplyCompact.
 const (
 	// Accepted beats are to be relayed to the other instances of the domain.
 	Accepted Outcome = iota + 1
-	// Stale beats are no newer than what is known.
+	// Stale beats are no newer than the latest known one.
 	Stale
 	// WrongDomain beats belong to another failure domain.
 	WrongDomain
-	// Full means that MaxUpstreams are known already.
+	// Full means that MaxUpstreams upstreams are already known.
 	Full
-	// Expired beats keep nothing alive any more.
+	// Expired beats have no lifetime left.
 	Expired
-	// Unknown brief beats lack what must be known before.
+	// Unknown is returned for a compact beat whose omitted fields are not known.
 	Unknown
 )
 
-// Apply takes in a beat that the upstream itself sent to this instance.
+// Apply processes a beat that the upstream itself sent to this instance.
 func (r *Registry) Apply(now time.Time, beat announce.Beat) Outcome {
 	return r.ApplyRelayed(now, RelayedBeat{Beat: beat, Remaining: min(beat.TTL(), MaxSilence)})
 }
 
-// ApplyRelayed takes in a beat with what remains of its lifetime. Beats are
-// ordered by incarnation and sequence, so that a late or repeated one changes
-// nothing: neither does it bring back an upstream that left or fell silent, nor
-// does it prolong a life. The remaining lifetime never grows on the way, so that
-// instances which relay each other's beats cannot keep a dead upstream alive.
+// ApplyRelayed processes a beat with its remaining lifetime. Beats are ordered by
+// incarnation and sequence, so a late or duplicate one changes nothing: it neither revives
+// an upstream that left or expired nor extends its lifetime. The remaining lifetime never
+// grows when a beat is relayed, so instances that relay beats to each other cannot keep a
+// dead upstream alive.
 func (r *Registry) ApplyRelayed(now time.Time, m RelayedBeat) Outcome {
 	beat := m.Beat
 	if beat.Domain != r.domain {
 		return WrongDomain
 	}
 	e := r.entries[beat.Name]
-	if e != nil && !beat.Newer(e.up.Incarnation, e.up.Sequence) {
+	if e != nil && !beat.Newer(e.upstream.Incarnation, e.upstream.Sequence) {
 		return Stale
 	}
-	if e != nil && e.left && beat.Incarnation == e.up.Incarnation {
-		// A leave is final for an incarnation: a beat after it can only come
-		// from a process that did not end yet.
+	if e != nil && e.left && beat.Incarnation == e.upstream.Incarnation {
+		// A leave is final for an incarnation: a later beat can only come from a process
+		// that has not ended yet.
 		return Stale
 	}
 	remaining := min(m.Remaining, MaxSilence, beat.TTL())
@@ -149,33 +150,33 @@
 
 func (r *Registry) accept(now time.Time, e *entry, m RelayedBeat, remaining time.Duration) {
 	beat := m.Beat
-	if beat.Incarnation != e.up.Incarnation {
-		// A process that started anew has an empty cache and no load report.
+	if beat.Incarnation != e.upstream.Incarnation {
+		// A restarted process has an empty cache and no load report.
 		e.cache = cache{}
-		e.up.Load = nil
+		e.upstream.Load = nil
 	}
-	heard := now.Add(-max(m.Age, 0))
+	heardAt := now.Add(-max(m.Age, 0))
 	if beat.Load != nil {
-		e.up.Load = beat.Load
-		e.up.LoadAt = heard.Add(-time.Duration(beat.Load.AgeMillis) * time.Millisecond)
+		e.upstream.Load = beat.Load
+		e.upstream.LoadAt = heardAt.Add(-time.Duration(beat.Load.AgeMillis) * time.Millisecond)
 	}
 	e.cache.apply(beat.Cache)
 	beat.Cache, beat.Load = nil, nil
-	e.up.Beat = beat
-	e.up.HeardAt = heard
-	e.up.Cache = e.cache.view()
-	if e.gone != beat.Leave || e.ref == 0 {
-		r.turns++
+	e.upstream.Beat = beat
+	e.upstream.HeardAt = heardAt
+	e.upstream.Cache = e.cache.view()
+	if e.inactive != beat.Leave || e.ref == 0 {
+		r.membershipChanges++
 	}
 	e.left = beat.Leave
-	e.gone = beat.Leave
-	r.refer(e, refOf(beat))
+	e.inactive = beat.Leave
+	r.setRef(e, refOf(beat))
 	e.expires = now.Add(remaining)
-	r.changed()
+	r.invalidateView()
 }
 
-// refer makes an entry known under another reference.
-func (r *Registry) refer(e *entry, ref uint64) {
+// setRef updates the reference under which an entry is found.
+func (r *Registry) setRef(e *entry, ref uint64) {
 	if e.ref == ref {
 		return
 	}
@@ -184,54 +185,54 @@
 	r.byRef[ref] = e
 }
 
-// Expire ends the upstreams whose lifetime ran out and returns their names.
+// Expire deactivates the upstreams whose lifetime has ended and returns their names.
 func (r *Registry) Expire(now time.Time) []string {
 	var names []string
 	for name, e := range r.entries {
 		switch {
-		case e.gone && now.Sub(e.expires) > ForgetAfter:
+		case e.inactive && now.Sub(e.expires) > ForgetAfter:
 			delete(r.entries, name)
 			delete(r.byRef, e.ref)
-		case !e.gone && !now.Before(e.expires):
-			e.gone = true
+		case !e.inactive && !now.Before(e.expires):
+			e.inactive = true
 			names = append(names, name)
 		}
 	}
 	if len(names) > 0 {
-		r.turns++
+		r.membershipChanges++
 		sort.Strings(names)
-		r.changed()
+		r.invalidateView()
 	}
 	return names
 }
 
-// WithDelay returns a beat as it is to be relayed after it was held for a while; false
-// when it keeps nothing alive any more and need not be relayed.
+// WithDelay returns a beat to be relayed after it was held for the given time. It returns
+// false if the beat no longer keeps its upstream alive and need not be relayed.
 func WithDelay(m RelayedBeat, held time.Duration) (RelayedBeat, bool) {
 	m.Remaining -= held
 	m.Age += held
 	return m, m.Remaining > 0 || m.Beat.Leave
 }
 
-// MembershipChanges counts how often an upstream came or went, which a View should tell at
-// once, where changes of load can wait to be told together.
-func (r *Registry) MembershipChanges() uint64 { return r.turns }
+// MembershipChanges counts how often an upstream appeared or disappeared. A View should be
+// published at once after such a change, while changes of load can be batched.
+func (r *Registry) MembershipChanges() uint64 { return r.membershipChanges }
 
-func (r *Registry) changed() {
+func (r *Registry) invalidateView() {
 	r.version++
 	r.view = nil
 }
 
-// View returns the upstreams that may be given new work, ordered by name. Call
-// Expire before it.
+// View returns the upstreams that may be given new work, sorted by name. Call Expire before
+// it.
 func (r *Registry) View() *View {
 	if r.view != nil {
 		return r.view
 	}
 	v := &View{Version: r.version, byName: map[string]int{}}
 	for _, e := range r.entries {
-		if !e.gone {
-			v.Upstreams = append(v.Upstreams, e.up)
+		if !e.inactive {
+			v.Upstreams = append(v.Upstreams, e.upstream)
 		}
 	}
 	sort.Slice(v.Upstreams, func(i, j int) bool { return v.Upstreams[i].Name < v.Upstreams[j].Name })
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -25,18 +25,19 @@
 	}
 }
 
-// held is a beat as one instance keeps it for relaying.
-type held struct {
+// inFlightBeat is a beat that an instance holds for relaying, with the time it was
+// received.
+type inFlightBeat struct {
 	m  registry.RelayedBeat
 	at time.Time
 }
 
-// domain is a few instances that relay the beats of one upstream.
+// domain is a set of instances that relay the beats of one upstream.
 type domain struct {
 	now         time.Time
-	regs        [instances]*registry.Registry
+	registries  [instances]*registry.Registry
 	left        [instances]uint64 // the incarnation whose leave it has seen
-	flying      []held
+	inFlight    []inFlightBeat
 	incarnation uint64
 	sequence    uint64
 	alive       bool
@@ -61,13 +62,13 @@
 		b.Leave = true
 	}
 	to := rapid.IntRange(0, instances-1).Draw(t, "to")
-	d.regs[to].Apply(d.now, b)
-	d.sawLeave(to, b)
-	d.flying = append(d.flying, held{registry.RelayedBeat{Beat: b, Remaining: ttl}, d.now})
+	d.registries[to].Apply(d.now, b)
+	d.recordLeave(to, b)
+	d.inFlight = append(d.inFlight, inFlightBeat{registry.RelayedBeat{Beat: b, Remaining: ttl}, d.now})
 }
 
 func (d *domain) relay(t *rapid.T) {
-	for _, h := range d.flying {
+	for _, h := range d.inFlight {
 		if rapid.IntRange(0, 2).Draw(t, "relay") > 0 {
 			continue
 		}
@@ -78,49 +79,49 @@
 		}
 		outcome := registry.Unknown
 		if b, ok := registry.Compact(m); ok && rapid.Bool().Draw(t, "brief") {
-			outcome = d.regs[to].ApplyCompact(d.now, b)
+			outcome = d.registries[to].ApplyCompact(d.now, b)
 		}
 		if outcome == registry.Unknown {
-			outcome = d.regs[to].ApplyRelayed(d.now, m)
+			outcome = d.registries[to].ApplyRelayed(d.now, m)
 		}
 		if outcome == registry.Accepted {
-			d.sawLeave(to, m.Beat)
-			d.flying = append(d.flying, held{m, d.now})
+			d.recordLeave(to, m.Beat)
+			d.inFlight = append(d.inFlight, inFlightBeat{m, d.now})
 		}
 	}
 }
 
-func (d *domain) sawLeave(to int, b announce.Beat) {
+func (d *domain) recordLeave(to int, b announce.Beat) {
 	if b.Leave {
 		d.left[to] = max(d.left[to], b.Incarnation)
 	}
 }
 
 func (d *domain) check(t *rapid.T) {
-	for i, r := range d.regs {
+	for i, r := range d.registries {
 		r.Expire(d.now)
 		u := r.View().Find("e1")
 		if u == nil {
 			continue
 		}
 		if !d.alive && d.now.Sub(d.ended) >= registry.MaxSilence {
-			t.Fatalf("instance %d still uses it %s after its end", i, d.now.Sub(d.ended))
+			t.Fatalf("instance %d still uses the upstream %s after it ended", i, d.now.Sub(d.ended))
 		}
 		if u.Incarnation <= d.left[i] {
-			t.Fatalf("instance %d uses incarnation %d although it knows that %d left", i, u.Incarnation, d.left[i])
+			t.Fatalf("instance %d uses incarnation %d although it knows that incarnation %d left", i, u.Incarnation, d.left[i])
 		}
 	}
 }
 
-// Story: an upstream announces itself to one instance or another, the instances
-// relay the beats to each other, late, doubled and in any order, and then it
-// dies or leaves. If a relayed beat counted like a fresh one, the instances
-// would keep it alive for each other for ever, and requests would go to it.
+// Guards against instances that keep a dead upstream alive for each other: the beats of an
+// upstream are relayed late, duplicated and reordered, and then it dies or leaves. If a
+// relayed beat counted as a fresh one, requests would be sent to the dead upstream without
+// end.
 func TestNothingIsUsableAfterTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := &domain{now: time.Unix(1000, 0), incarnation: 1, alive: true}
-		for i := range d.regs {
-			d.regs[i] = registry.New("hall")
+		for i := range d.registries {
+			d.registries[i] = registry.New("hall")
 		}
 		for range rapid.IntRange(20, 120).Draw(t, "steps") {
 			d.now = d.now.Add(step)
@@ -178,8 +179,9 @@
 	g.Expect(r.ApplyRelayed(now, registry.RelayedBeat{Beat: long})).To(Equal(registry.Expired))
 }
 
-// Story: an engine evicts a prefix, the event that says so is lost, and requests
-// go on being sent there for it, away from engines that hold it.
+// Guards against requests that are sent to an engine for a prefix that it no longer holds,
+// rather than to engines that hold it, because the event that reported the eviction was
+// lost.
 func TestCacheEventsWithGap(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -239,5 +241,5 @@
 	b.Sequence, b.Models = 3, []string{"m1", "m2"}
 	g.Expect(two.ApplyCompact(now, relayed(b))).To(Equal(registry.Unknown), "the models changed")
 	b.Incarnation, b.Models = 2, []string{"m1"}
-	g.Expect(two.ApplyCompact(now, relayed(b))).To(Equal(registry.Unknown), "a new start may differ in all")
+	g.Expect(two.ApplyCompact(now, relayed(b))).To(Equal(registry.Unknown), "a new incarnation may differ in every field")
 }
