--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -17,15 +17,15 @@
 	return member.Info{Name: fmt.Sprintf("i%d", i), Domain: "hall", Address: fmt.Sprintf("127.0.0.1:%d", i), Incarnation: incarnation}
 }
 
-// net carries messages late, twice, in any order or never.
+// net delivers messages late, twice, in any order or never.
 type net struct {
-	now    time.Time
-	tables map[int]*member.Table
-	ended  map[int]time.Time
-	posts  []post
+	now      time.Time
+	tables   map[int]*member.Table
+	ended    map[int]time.Time
+	inFlight []delivery
 }
 
-type post struct {
+type delivery struct {
 	to int
 	m  member.Message
 	at time.Time
@@ -47,14 +47,14 @@
 		if rapid.Bool().Draw(t, "full") {
 			m = table.FullHeartbeat(n.now)
 		}
-		n.post(t, i, m)
+		n.send(t, i, m)
 	}
 	n.now = n.now.Add(step)
-	due := n.posts
-	n.posts = nil
+	due := n.inFlight
+	n.inFlight = nil
 	for _, p := range due {
 		if p.at.After(n.now) {
-			n.posts = append(n.posts, p)
+			n.inFlight = append(n.inFlight, p)
 		} else if table := n.tables[p.to]; table != nil {
 			table.Receive(n.now, p.m)
 		}
@@ -64,21 +64,21 @@
 	}
 }
 
-func (n *net) post(t *rapid.T, from int, m member.Message) {
+func (n *net) send(t *rapid.T, from int, m member.Message) {
 	for to := range instances {
 		copies := rapid.IntRange(0, 2).Draw(t, "copies")
 		for range copies {
 			delay := time.Duration(rapid.IntRange(0, int(maxDelay/step)).Draw(t, "delay")) * step
 			if to != from {
-				n.posts = append(n.posts, post{to, m, n.now.Add(delay)})
+				n.inFlight = append(n.inFlight, delivery{to, m, n.now.Add(delay)})
 			}
 		}
 	}
 }
 
-// Story: an instance leaves or dies. Heartbeats that it sent before are still on
-// their way, late, doubled and relayed by others. Were one of them taken for a
-// sign of life, the others would go on giving it work.
+// Guards against new work for an instance that left or died: heartbeats that it sent
+// earlier are still in flight, delayed, duplicated and relayed by others, and must not
+// count as signs of life.
 func TestGoneInstancesStayGone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := &net{now: time.Unix(1000, 0), tables: map[int]*member.Table{}, ended: map[int]time.Time{}}
@@ -143,8 +143,8 @@
 	g.Expect(status(two, now, "i1")).To(Equal(member.Alive))
 }
 
-// Story: an instance is cut off from one that died, and hears of its last
-// heartbeat from a third one, late. Silence counts from the heartbeat itself.
+// Guards against late detection of a dead instance whose last heartbeat arrives late
+// through a third instance. The silence counts from the heartbeat itself.
 func TestRelayedSilence(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -178,11 +178,11 @@
 
 	g.Expect(replaced.RevisionSeen()).To(BeZero())
 	replaced.Receive(now, member.Message{From: info(2, 1), PeerStates: []member.PeerState{{Info: acted(info(1, 1), 6), Status: member.Left}}})
-	g.Expect(replaced.RevisionSeen()).To(BeEquivalentTo(6), "what it acted on before the restart")
+	g.Expect(replaced.RevisionSeen()).To(BeEquivalentTo(6), "the revision applied before the restart")
 
-	zombie := member.New(cfg, info(1, 1))
-	zombie.Receive(now, other.FullHeartbeat(now))
-	g.Expect(zombie.Superseded()).To(BeTrue())
+	stale := member.New(cfg, info(1, 1))
+	stale.Receive(now, other.FullHeartbeat(now))
+	g.Expect(stale.Superseded()).To(BeTrue())
 	g.Expect(replaced.Superseded()).To(BeFalse())
 }
 
--- a/core/member/message.go
+++ b/core/member/message.go
@@ -5,56 +5,58 @@
 	"time"
 )
 
-// PeerState is what one instance believes of another one.
+// PeerState is what one instance believes about another one.
 type PeerState struct {
 	Info   Info   `codec:"i"`
 	Status Status `codec:"s"`
-	// Silent is for how long the sender has heard nothing of it.
+	// Silent is the time since the last heartbeat that the sender knows of.
 	Silent time.Duration `codec:"a"`
 }
 
-// Message is one heartbeat, with a digest in some of them.
+// Message is one heartbeat. Full heartbeats also carry the states of the peers and the
+// digests of other failure domains.
 type Message struct {
 	From Info `codec:"f"`
-	// Seen is the highest revision that the sender knows to have been acted on.
+	// Seen is the highest revision that the sender knows to have been applied.
 	Seen         uint64      `codec:"v,omitempty"`
 	PeerStates   []PeerState `codec:"c,omitempty"`
 	OtherDomains []Digest    `codec:"o,omitempty"`
 }
 
-// Digest is what other failure domains know of one.
+// Digest is the summary of a failure domain that other domains receive.
 type Digest struct {
 	Domain string `codec:"d"`
-	// Live counts its usable instances.
+	// Live is the number of its usable instances.
 	Live int `codec:"l"`
-	// RevisionMin is the lowest configuration revision that one of them acts on.
+	// RevisionMin is the lowest configuration revision that one of its usable instances has
+	// applied.
 	RevisionMin uint64 `codec:"r"`
 	// Contacts are its delegate and its instances with a data folder.
 	Contacts []Info `codec:"c"`
-	// Age is how long ago the domain itself said so.
+	// Age is the time since the domain itself sent the digest.
 	Age time.Duration `codec:"a"`
 }
 
 type domainRecord struct {
-	digest Digest
-	heard  time.Time
+	digest    Digest
+	lastHeard time.Time
 }
 
-// Heartbeat counts and returns this instance's next heartbeat.
+// Heartbeat increments the heartbeat count and returns the next heartbeat of this instance.
 func (t *Table) Heartbeat() Message {
 	t.self.Beat++
 	return Message{From: t.self, Seen: t.RevisionSeen()}
 }
 
-// FullHeartbeat returns the latest heartbeat with all that this instance knows. To send
-// it to one peer in turn, and heartbeats to all, keeps the traffic of a domain
-// with n instances at n small messages a second each, where n full ones would
-// grow with the square.
+// FullHeartbeat returns the latest heartbeat with all that this instance knows. Sending it
+// to one peer in turn, and plain heartbeats to all, limits the traffic to n small messages
+// a second per instance in a domain with n instances; sending full ones to all would make
+// it grow with the square of n.
 func (t *Table) FullHeartbeat(now time.Time) Message {
 	m := Message{From: t.self, Seen: t.RevisionSeen()}
 	for _, r := range t.members {
 		if r.info.Domain == t.self.Domain {
-			m.PeerStates = append(m.PeerStates, PeerState{Info: r.info, Status: r.status, Silent: now.Sub(r.heard)})
+			m.PeerStates = append(m.PeerStates, PeerState{Info: r.info, Status: r.status, Silent: now.Sub(r.lastHeard)})
 		}
 	}
 	sort.Slice(m.PeerStates, func(i, j int) bool { return m.PeerStates[i].Info.Name < m.PeerStates[j].Info.Name })
@@ -62,9 +64,9 @@
 	return m
 }
 
-// Delegate returns the member that speaks for this failure domain: the first
-// usable one by name, which all that have the same view agree on. Two at once
-// are harmless.
+// Delegate returns the member that represents this failure domain: the first usable one by
+// name, on which all instances with the same view agree. Two delegates at once are
+// harmless.
 func (t *Table) Delegate(now time.Time) string {
 	for _, m := range t.Members(now) {
 		if m.Domain == t.self.Domain && m.Usable() {
@@ -74,7 +76,7 @@
 	return t.self.Name
 }
 
-// Digest returns what other failure domains are told of this one.
+// Digest returns the digest of this failure domain for the others.
 func (t *Table) Digest(now time.Time) Digest {
 	d := Digest{Domain: t.self.Domain}
 	delegate := t.Delegate(now)
@@ -95,32 +97,32 @@
 	return d
 }
 
-// Domains returns the digests of the other failure domains, ordered by name.
+// Domains returns the digests of the other failure domains, sorted by name.
 func (t *Table) Domains(now time.Time) []Digest {
 	var all []Digest
 	for _, r := range t.domains {
 		d := r.digest
-		d.Age = now.Sub(r.heard)
+		d.Age = now.Sub(r.lastHeard)
 		all = append(all, d)
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Domain < all[j].Domain })
 	return all
 }
 
-// DomainSilent reports whether nothing recent is known of a failure domain.
+// DomainSilent reports whether no recent digest of a failure domain is known.
 func (t *Table) DomainSilent(now time.Time, domain string) bool {
 	r, ok := t.domains[domain]
-	return !ok || now.Sub(r.heard) > t.cfg.DomainSilentAfter
+	return !ok || now.Sub(r.lastHeard) > t.cfg.DomainSilentAfter
 }
 
-// Receive takes a message in. The result says that others suspect this instance
-// and that it refuted that: its next heartbeat should go out at once.
+// Receive processes a message. It reports whether others suspected this instance and it
+// refuted that; its next heartbeat should then be sent at once.
 func (t *Table) Receive(now time.Time, m Message) (refuted bool) {
-	t.seen = max(t.seen, m.Seen)
-	refuted = t.heard(now, PeerState{Info: m.From, Status: m.From.Declared})
+	t.maxRevisionSeen = max(t.maxRevisionSeen, m.Seen)
+	refuted = t.applyState(now, PeerState{Info: m.From, Status: m.From.Declared})
 	for _, c := range m.PeerStates {
 		if c.Info.Domain == t.self.Domain {
-			refuted = t.heard(now, c) || refuted
+			refuted = t.applyState(now, c) || refuted
 		}
 	}
 	for _, d := range m.OtherDomains {
@@ -129,67 +131,66 @@
 	return refuted
 }
 
-// ReceiveDigest takes in what another failure domain says, directly or relayed.
-// Of two digests the one that was said later counts; ages are compared, as the
-// clocks of instances are not.
+// ReceiveDigest processes a digest of another failure domain, received directly or relayed.
+// Of two digests, the one that was sent later is used. Ages are compared, since the clocks
+// of instances are not comparable.
 func (t *Table) ReceiveDigest(now time.Time, d Digest) {
 	if d.Domain == t.self.Domain || d.Age < 0 {
 		return
 	}
 	heard := now.Add(-d.Age)
-	if r, ok := t.domains[d.Domain]; ok && !heard.After(r.heard) {
+	if r, ok := t.domains[d.Domain]; ok && !heard.After(r.lastHeard) {
 		return
 	}
-	t.domains[d.Domain] = &domainRecord{digest: d, heard: heard}
+	t.domains[d.Domain] = &domainRecord{digest: d, lastHeard: heard}
 	for _, info := range d.Contacts {
 		if info.Domain == d.Domain {
-			t.heard(now, PeerState{Info: info, Status: info.Declared, Silent: d.Age})
+			t.applyState(now, PeerState{Info: info, Status: info.Declared, Silent: d.Age})
 		}
 	}
 }
 
-func (t *Table) heard(now time.Time, c PeerState) bool {
-	t.seen = max(t.seen, c.Info.Revision)
+func (t *Table) applyState(now time.Time, c PeerState) bool {
+	t.maxRevisionSeen = max(t.maxRevisionSeen, c.Info.Revision)
 	if c.Info.Name == t.self.Name {
-		return t.heardOfSelf(c)
+		return t.applySelfState(c)
 	}
 	r, known := t.members[c.Info.Name]
 	if !known {
-		t.learn(now, c)
+		t.addMember(now, c)
 		return false
 	}
 	if newer(c.Info, r.info) {
 		r.info = c.Info
-		// The time of the heartbeat itself counts, not that of the relay.
-		if at := now.Add(-max(c.Silent, 0)); at.After(r.heard) {
-			r.heard = at
+		// The time of the heartbeat itself counts, not the time at which it was relayed.
+		if at := now.Add(-max(c.Silent, 0)); at.After(r.lastHeard) {
+			r.lastHeard = at
 		}
-		r.become(c.Info.Declared, now)
+		r.setStatus(c.Info.Declared, now)
 		return false
 	}
-	// Another one's suspicion of the same state hastens this one's: both heard
-	// the same last heartbeat.
+	// If another instance suspects the member after the same last heartbeat, its suspicion
+	// is adopted early.
 	if c.Status == Suspect && r.status == Alive && c.Info.Incarnation == r.info.Incarnation && c.Info.Beat == r.info.Beat {
-		r.become(Suspect, now)
+		r.setStatus(Suspect, now)
 	}
 	return false
 }
 
-// learn adds an instance that is not known yet. Those that others believe gone
-// are added as well, so that a late heartbeat of theirs is known to be late.
-func (t *Table) learn(now time.Time, c PeerState) {
+// addMember adds an unknown instance. Instances that others believe to be dead or gone are
+// added too, so that their late heartbeats are recognised as late.
+func (t *Table) addMember(now time.Time, c PeerState) {
 	status := c.Status
 	if c.Info.Declared == Left {
 		status = Left
 	}
 	heard := now.Add(-max(c.Silent, 0))
-	t.members[c.Info.Name] = &record{info: c.Info, heard: heard, status: status, since: now}
+	t.members[c.Info.Name] = &record{info: c.Info, lastHeard: heard, status: status, statusSince: now}
 }
 
-// heardOfSelf refutes a belief that this instance is suspect, dead or gone. A
-// process of the same name that started later, at another address, replaces
-// this one instead.
-func (t *Table) heardOfSelf(c PeerState) bool {
+// applySelfState refutes a belief that this instance is suspect, dead or gone. If a process
+// of the same name started later at another address, it supersedes this one instead.
+func (t *Table) applySelfState(c PeerState) bool {
 	if c.Info.Incarnation < t.self.Incarnation || t.self.Declared == Left {
 		return false
 	}
