--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -177,7 +177,7 @@
 	g.Expect(addr).To(Equal("127.0.0.1:99"))
 
 	g.Expect(replaced.RevisionSeen()).To(BeZero())
-	replaced.Receive(now, member.Message{From: info(2, 1), PeerStates: []member.PeerState{{Info: acted(info(1, 1), 6), Status: member.Left}}})
+	replaced.Receive(now, member.Message{From: info(2, 1), PeerStates: []member.PeerState{{Info: withRevision(info(1, 1), 6), Status: member.Left}}})
 	g.Expect(replaced.RevisionSeen()).To(BeEquivalentTo(6), "the revision applied before the restart")
 
 	stale := member.New(cfg, info(1, 1))
@@ -213,7 +213,7 @@
 	return 0
 }
 
-func acted(i member.Info, revision uint64) member.Info {
+func withRevision(i member.Info, revision uint64) member.Info {
 	i.Revision = revision
 	return i
 }
