--- a/core/raft/founding/founding.go
+++ b/core/raft/founding/founding.go
@@ -1,11 +1,11 @@
-// Package founding is the exchange by which listed instances found a control
-// group, as a pure state machine. A history begins only when every founder has
-// said that its disk is empty and has made the same charter durable.
+// Package founding implements, as a pure state machine, the protocol by which the listed
+// instances found a control group. A history begins only when every founder has reported
+// that its disk is empty and has persisted the same charter.
 //
-// Two histories cannot begin: a disk takes at most one charter and never another
-// (a wiped one has a new member ID, so it is no part of the old charter), and a
-// founder goes on only once all founders of its charter have taken it. Empty
-// disks by themselves do nothing, since an operator lists the founders.
+// Two histories cannot begin: a disk adopts at most one charter and never replaces it (a
+// wiped disk has a new member ID, so it is not part of the old charter), and a founder
+// proceeds only once all founders of its charter have adopted it. Empty disks do nothing on
+// their own, since an operator lists the founders.
 package founding
 
 import (
@@ -16,53 +16,53 @@
 	"github.com/comfreyladder/comfreyladder/core/raft"
 )
 
-// ResendInterval is the time between two sendings of what was not answered yet. It is a
-// good part of the time that founders which start together need to begin.
+// ResendInterval is the time between retransmissions of unanswered messages. It accounts
+// for much of the time that founders which start together need to found the group.
 const ResendInterval = 200 * time.Millisecond
 
-// Phase says how far a founder is.
+// Phase is the progress of a founder.
 type Phase uint8
 
-// The phases of a founder. They are persisted, and never go back.
+// The phases of a founder. They are persisted and never decrease.
 const (
 	// Empty means that the disk has no charter.
 	Empty Phase = iota
-	// Chartered means that the charter is durable here, maybe not elsewhere.
+	// Chartered means that the charter is persisted here, but maybe not elsewhere.
 	Chartered
-	// Founded means that the charter is durable at every founder.
+	// Founded means that the charter is persisted at every founder.
 	Founded
 )
 
-// Charter is what a group is founded on.
+// Charter is the identity and the initial membership of a group.
 type Charter struct {
 	Cluster raft.ClusterID `codec:"c"`
 	// Members are the founders, all voters, sorted by ID.
 	Members raft.Members `codec:"m"`
 }
 
-// State is what a founder persists.
+// State is the persistent state of a founder.
 type State struct {
 	Phase   Phase   `codec:"p"`
 	Charter Charter `codec:"c"`
 }
 
-// Kind says what a Message is.
+// Kind is the type of a Message.
 type Kind uint8
 
 // The kinds of messages.
 const (
-	// Offer tells the first founder a member's ID and that its disk is empty.
+	// Offer reports a member ID and that its disk is empty to the first founder.
 	Offer Kind = iota + 1
 	// Propose carries the charter.
 	Propose
-	// Accept says that the charter is durable at the sender.
+	// Accept reports that the sender has persisted the charter.
 	Accept
-	// Refuse says that the sender cannot be a founder, with the reason.
+	// Refuse reports that the sender cannot be a founder, with the reason.
 	Refuse
 )
 
-// Message goes from one founder to another, by name, since the members' IDs are
-// not known yet.
+// Message is sent from one founder to another. Founders are addressed by name, since the
+// member IDs are not known yet.
 type Message struct {
 	Kind     Kind          `codec:"k"`
 	From     string        `codec:"f"`
@@ -72,37 +72,38 @@
 	Reason   string        `codec:"r"`
 }
 
-// Envelope is a message with the name of its receiver.
+// Envelope is a message with the name of its recipient.
 type Envelope struct {
 	To  string
 	Msg Message
 }
 
-// Ready is what a founder wants done: State, if not nil, is to be synced before
-// Messages are sent, since an Accept promises it.
+// Ready is the work that a founder hands to its caller. State, if not nil, must be synced
+// before Messages are sent, since an Accept promises that it was.
 type Ready struct {
 	State    *State
 	Messages []Envelope
 }
 
-// Founder is one instance in the exchange. It is not safe for concurrent use.
+// Founder is one instance that takes part in the founding. It is not safe for concurrent
+// use.
 type Founder struct {
-	name     string
-	id       raft.MemberID
-	founders []string
-	cluster  raft.ClusterID
-	state    State
-	changed  bool
-	offers   map[string]raft.MemberID
-	accepted map[string]bool
-	refused  map[string]string
-	resendAt time.Time
-	out      []Envelope
+	name         string
+	id           raft.MemberID
+	founders     []string
+	cluster      raft.ClusterID
+	state        State
+	stateChanged bool
+	offers       map[string]raft.MemberID
+	accepted     map[string]bool
+	refused      map[string]string
+	resendAt     time.Time
+	outbox       []Envelope
 }
 
-// New returns a founder. id is the member ID of its disk, founders the names that
-// the operator listed at every founder, its own among them, and cluster a random
-// ID that counts if this one comes first in the list. It fails with fault.Invalid.
+// New returns a founder. id is the member ID of its disk, founders are the names that the
+// operator listed at every founder, its own among them, and cluster is a random ID that is
+// used if this founder comes first in the sorted list. It fails with fault.Invalid.
 func New(name string, id raft.MemberID, founders []string, cluster raft.ClusterID, state State) (*Founder, error) {
 	list := slices.Clone(founders)
 	slices.Sort(list)
@@ -113,13 +114,13 @@
 		offers: map[string]raft.MemberID{name: id}, accepted: map[string]bool{}, refused: map[string]string{}}, nil
 }
 
-// State returns what is persisted, or will be after the next Ready.
+// State returns the state that is persisted, or will be after the next Ready.
 func (f *Founder) State() State { return f.state }
 
-// Refusals returns why others refused, by name.
+// Refusals returns the reasons of the founders that refused, by name.
 func (f *Founder) Refusals() map[string]string { return f.refused }
 
-// Tick lets time pass.
+// Tick advances the time and resends unanswered messages.
 func (f *Founder) Tick(now time.Time) {
 	if now.Before(f.resendAt) {
 		return
@@ -130,20 +131,19 @@
 		f.send(f.founders[0], Message{Kind: Offer})
 		f.proposeIfComplete()
 	case Chartered:
-		f.spread()
+		f.broadcastCharter()
 	}
 }
 
-// spread sends the charter and the acceptance to all: any of them may have lost
-// the messages, or the one that proposed may be gone.
-func (f *Founder) spread() {
+// broadcastCharter sends the charter and the acceptance to all founders, since any of them
+// may have missed the messages, and the founder that proposed the charter may have failed.
+func (f *Founder) broadcastCharter() {
 	for _, to := range f.founders {
 		f.send(to, Message{Kind: Propose, Charter: f.state.Charter})
 		f.send(to, Message{Kind: Accept, Charter: f.state.Charter})
 	}
 }
 
-// Step handles a message.
 func (f *Founder) Step(m Message) {
 	if !slices.Contains(f.founders, m.From) || m.From == f.name {
 		return
@@ -175,7 +175,8 @@
 	f.send(m.From, Message{Kind: Propose, Charter: f.state.Charter})
 }
 
-// proposeIfComplete makes the charter at the first founder once all have offered.
+// proposeIfComplete creates the charter at the first founder once all founders have sent an
+// offer.
 func (f *Founder) proposeIfComplete() {
 	if f.state.Phase != Empty || f.name != f.founders[0] || len(f.offers) != len(f.founders) {
 		return
@@ -190,21 +191,21 @@
 		}
 		return 1
 	})
-	f.take(Charter{Cluster: f.cluster, Members: members})
+	f.adoptCharter(Charter{Cluster: f.cluster, Members: members})
 }
 
-// take accepts a charter for good.
-func (f *Founder) take(c Charter) {
+// adoptCharter adopts a charter permanently.
+func (f *Founder) adoptCharter(c Charter) {
 	f.state = State{Phase: Chartered, Charter: c}
-	f.changed = true
+	f.stateChanged = true
 	f.accepted = map[string]bool{f.name: true}
-	f.spread()
-	f.finish()
+	f.broadcastCharter()
+	f.foundIfAccepted()
 }
 
 func (f *Founder) handlePropose(m Message) {
 	if f.state.Phase != Empty {
-		if !same(f.state.Charter, m.Charter) {
+		if !sameCharter(f.state.Charter, m.Charter) {
 			f.refuse(m.From, "my disk has another charter")
 			return
 		}
@@ -215,27 +216,29 @@
 		f.refuse(m.From, "the charter names another disk of mine")
 		return
 	}
-	f.take(m.Charter)
+	f.adoptCharter(m.Charter)
 }
 
 func (f *Founder) handleAccept(m Message) {
-	if f.state.Phase == Empty || !same(f.state.Charter, m.Charter) {
+	if f.state.Phase == Empty || !sameCharter(f.state.Charter, m.Charter) {
 		return
 	}
 	f.accepted[m.From] = true
-	f.finish()
+	f.foundIfAccepted()
 }
 
-func (f *Founder) finish() {
+func (f *Founder) foundIfAccepted() {
 	if f.state.Phase == Chartered && len(f.accepted) == len(f.founders) {
 		f.state.Phase = Founded
-		f.changed = true
-		// The others may wait for nothing but this acceptance.
-		f.spread()
+		f.stateChanged = true
+		// The others may be waiting only for this acceptance.
+		f.broadcastCharter()
 	}
 }
 
-func same(a, b Charter) bool { return a.Cluster == b.Cluster && slices.Equal(a.Members, b.Members) }
+func sameCharter(a, b Charter) bool {
+	return a.Cluster == b.Cluster && slices.Equal(a.Members, b.Members)
+}
 
 func (f *Founder) refuse(to, reason string) { f.send(to, Message{Kind: Refuse, Reason: reason}) }
 
@@ -244,16 +247,16 @@
 		return
 	}
 	m.From, m.ID, m.Founders = f.name, f.id, f.founders
-	f.out = append(f.out, Envelope{To: to, Msg: m})
+	f.outbox = append(f.outbox, Envelope{To: to, Msg: m})
 }
 
-// Ready returns what is to be done now.
+// Ready returns the work to be done now.
 func (f *Founder) Ready() Ready {
-	r := Ready{Messages: f.out}
-	if f.changed {
+	r := Ready{Messages: f.outbox}
+	if f.stateChanged {
 		s := f.state
 		r.State = &s
 	}
-	f.out, f.changed = nil, false
+	f.outbox, f.stateChanged = nil, false
 	return r
 }
--- a/core/raft/founding/founding_test.go
+++ b/core/raft/founding/founding_test.go
@@ -14,24 +14,24 @@
 
 var names = []string{"a", "b", "c"}
 
-// world is three founders over a network that loses, delays and doubles.
-type world struct {
-	rnd      *rand.Rand
-	now      time.Time
-	nextID   raft.MemberID
-	ids      map[string]raft.MemberID
-	disks    map[string]founding.State
-	up       map[string]*founding.Founder
-	net      []founding.Envelope
-	begun    map[raft.ClusterID]bool
-	takers   map[raft.ClusterID]map[raft.MemberID]bool
-	charters map[raft.ClusterID]raft.Members
-	silent   string // hears and says nothing
+// simulation is three founders on a network that loses, delays and duplicates messages.
+type simulation struct {
+	rng         *rand.Rand
+	now         time.Time
+	nextID      raft.MemberID
+	ids         map[string]raft.MemberID
+	disks       map[string]founding.State
+	founders    map[string]*founding.Founder
+	inFlight    []founding.Envelope
+	founded     map[raft.ClusterID]bool
+	adopters    map[raft.ClusterID]map[raft.MemberID]bool
+	charters    map[raft.ClusterID]raft.Members
+	partitioned string // neither receives nor sends
 }
 
-func newWorld(seed int64) *world {
-	w := &world{rnd: rand.New(rand.NewSource(seed)), now: time.Unix(0, 0), ids: map[string]raft.MemberID{}, disks: map[string]founding.State{},
-		up: map[string]*founding.Founder{}, begun: map[raft.ClusterID]bool{}, takers: map[raft.ClusterID]map[raft.MemberID]bool{}, charters: map[raft.ClusterID]raft.Members{}}
+func newSimulation(seed int64) *simulation {
+	w := &simulation{rng: rand.New(rand.NewSource(seed)), now: time.Unix(0, 0), ids: map[string]raft.MemberID{}, disks: map[string]founding.State{},
+		founders: map[string]*founding.Founder{}, founded: map[raft.ClusterID]bool{}, adopters: map[raft.ClusterID]map[raft.MemberID]bool{}, charters: map[raft.ClusterID]raft.Members{}}
 	for _, n := range names {
 		w.wipe(n)
 		w.start(n)
@@ -39,106 +39,105 @@
 	return w
 }
 
-func (w *world) wipe(n string) {
+func (w *simulation) wipe(n string) {
 	w.nextID++
 	w.ids[n] = w.nextID
 	delete(w.disks, n)
 }
 
-func (w *world) start(n string) {
-	f, err := founding.New(n, w.ids[n], names, raft.ClusterID(fmt.Sprint(w.rnd.Int63())), w.disks[n])
+func (w *simulation) start(n string) {
+	f, err := founding.New(n, w.ids[n], names, raft.ClusterID(fmt.Sprint(w.rng.Int63())), w.disks[n])
 	if err != nil {
 		panic(err)
 	}
-	w.up[n] = f
+	w.founders[n] = f
 }
 
-func (w *world) drain(n string, crash float64) {
-	r := w.up[n].Ready()
-	if n == w.silent {
+func (w *simulation) drain(n string, crash float64) {
+	r := w.founders[n].Ready()
+	if n == w.partitioned {
 		return
 	}
-	if w.rnd.Float64() < crash {
+	if w.rng.Float64() < crash {
 		w.start(n)
 		return
 	}
 	if r.State != nil {
 		w.disks[n] = *r.State
 		c := r.State.Charter
-		if w.takers[c.Cluster] == nil {
-			w.takers[c.Cluster] = map[raft.MemberID]bool{}
+		if w.adopters[c.Cluster] == nil {
+			w.adopters[c.Cluster] = map[raft.MemberID]bool{}
 		}
-		w.takers[c.Cluster][w.ids[n]] = true
+		w.adopters[c.Cluster][w.ids[n]] = true
 		w.charters[c.Cluster] = c.Members
 		if r.State.Phase == founding.Founded {
-			w.begun[c.Cluster] = true
+			w.founded[c.Cluster] = true
 		}
 	}
-	w.net = append(w.net, r.Messages...)
+	w.inFlight = append(w.inFlight, r.Messages...)
 }
 
-func (w *world) step(drop, crash float64) {
+func (w *simulation) step(drop, crash float64) {
 	w.now = w.now.Add(founding.ResendInterval / 4)
-	batch := w.net
-	w.net = nil
-	w.rnd.Shuffle(len(batch), func(i, j int) { batch[i], batch[j] = batch[j], batch[i] })
+	batch := w.inFlight
+	w.inFlight = nil
+	w.rng.Shuffle(len(batch), func(i, j int) { batch[i], batch[j] = batch[j], batch[i] })
 	for _, e := range batch {
-		switch p := w.rnd.Float64(); {
-		case p < drop || e.To == w.silent:
-		case p < 3*drop && len(w.net) < 100:
-			w.net = append(w.net, e)
+		switch p := w.rng.Float64(); {
+		case p < drop || e.To == w.partitioned:
+		case p < 3*drop && len(w.inFlight) < 100:
+			w.inFlight = append(w.inFlight, e)
 		default:
-			w.up[e.To].Step(e.Msg)
+			w.founders[e.To].Step(e.Msg)
 			w.drain(e.To, crash)
 		}
 	}
 	for _, n := range names {
-		w.up[n].Tick(w.now)
+		w.founders[n].Tick(w.now)
 		w.drain(n, crash)
 	}
 }
 
-// What a user would see: after some disks were lost during the installation, two
-// halves of the instances act on different configurations for good. What happens:
-// messages of the founding are late and doubled while founders crash and lose
-// their disks. Cause: a second charter comes into force beside the first.
+// Guards against two histories, and so instances with different configurations: messages of
+// the founding are delayed and duplicated while founders crash and lose their disks, and a
+// second charter takes effect beside the first.
 func TestOneHistoryAtMost(t *testing.T) {
 	founded := 0
 	for seed := range int64(400) {
-		w := newWorld(seed)
+		w := newSimulation(seed)
 		for i := range 120 {
 			w.step(0.15, 0.02)
-			if i < 60 && w.rnd.Float64() < 0.05 {
-				// One disk is never lost: without any, a new founding is right.
-				n := names[(int(seed)+1+w.rnd.Intn(2))%len(names)]
+			if i < 60 && w.rng.Float64() < 0.05 {
+				// One disk is never lost: if all were, a new founding would be correct.
+				n := names[(int(seed)+1+w.rng.Intn(2))%len(names)]
 				w.wipe(n)
 				w.start(n)
 			}
 		}
-		if len(w.begun) > 1 {
-			t.Fatalf("seed %d: %d histories began", seed, len(w.begun))
+		if len(w.founded) > 1 {
+			t.Fatalf("seed %d: %d histories began", seed, len(w.founded))
 		}
-		for c := range w.begun {
+		for c := range w.founded {
 			for _, m := range w.charters[c] {
-				if !w.takers[c][m.ID] {
+				if !w.adopters[c][m.ID] {
 					t.Fatalf("seed %d: %s began without %s", seed, c, m.Name)
 				}
 			}
 		}
-		founded += len(w.begun)
+		founded += len(w.founded)
 	}
 	NewWithT(t).Expect(founded).To(BeNumerically(">", 100))
 }
 
 func TestFoundingNeedsEveryListedFounder(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(1)
-	w.silent = "c"
+	w := newSimulation(1)
+	w.partitioned = "c"
 	for range 40 {
 		w.step(0, 0)
 	}
 	g.Expect(w.disks).To(BeEmpty())
-	w.silent = ""
+	w.partitioned = ""
 	for range 20 {
 		w.step(0, 0)
 	}
@@ -147,12 +146,12 @@
 	}
 }
 
-// What a user would see: a wiped instance founds a second, empty configuration.
-// What happens: the disks of two of three founders are replaced at once, and all
-// are told to found again. Cause: the founders that are empty outvote the third.
+// Guards against a second, empty configuration: the disks of two of three founders are
+// replaced at once, all are told to found again, and the two empty founders outvote the
+// third.
 func TestEmptyDisksDoNotFoundBesideAHistory(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(2)
+	w := newSimulation(2)
 	for range 20 {
 		w.step(0, 0)
 	}
@@ -166,5 +165,5 @@
 	}
 	g.Expect(w.disks).NotTo(HaveKey("a"))
 	g.Expect(w.disks["c"].Charter.Cluster).To(Equal(first))
-	g.Expect(w.begun).To(HaveLen(1))
+	g.Expect(w.founded).To(HaveLen(1))
 }
--- a/core/raft/roster/roster_test.go
+++ b/core/raft/roster/roster_test.go
@@ -10,7 +10,7 @@
 	"github.com/comfreyladder/comfreyladder/core/raft/roster"
 )
 
-const long = roster.SilentVoter + time.Second
+const long = roster.VoterReplacementTimeout + time.Second
 
 type member struct {
 	id     raft.MemberID
@@ -19,7 +19,7 @@
 	silent time.Duration
 }
 
-// next asks as member 1, the leader.
+// next returns the change chosen by the leader, which is member 1.
 func next(list ...member) roster.Change {
 	st := &raft.Status{ID: 1}
 	for _, m := range list {
@@ -34,16 +34,16 @@
 	g.Expect(next(member{1, "a", true, 0}, member{2, "b", true, 0}, member{3, "c", true, 0})).To(Equal(roster.Change{}))
 }
 
-// A voter is cut off for some seconds. It must keep its vote: a group that drops
-// members which come back would soon have none to spare.
+// A voter is partitioned for a few seconds. It must keep its vote: a group that removes
+// members which return later would soon have none to spare.
 func TestSilentVoterStaysWithoutASuccessor(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(next(member{1, "a", true, 0}, member{2, "b", true, 0}, member{3, "c", true, long})).To(Equal(roster.Change{}))
 }
 
-// A machine is lost for good and an empty one comes at another address. Without an
-// operator the newcomer gets the vote, and then the lost one leaves: else the next
-// loss would stop the group.
+// An instance is lost for good and an empty one starts at another address. Without an
+// operator, the new one becomes a voter and then the lost one is removed; otherwise the
+// next loss would stop the group.
 func TestLostVoterIsReplaced(t *testing.T) {
 	g := NewWithT(t)
 	a, b, c, d := member{1, "a", true, 0}, member{2, "b", true, 0}, member{3, "c", true, long}, member{4, "d", false, 0}
@@ -52,8 +52,8 @@
 	g.Expect(next(a, b, c, d)).To(Equal(roster.Change{Action: roster.Remove, ID: 3}))
 }
 
-// A machine comes back with an empty disk under its old name, a second after the
-// group lost it. The new disk votes, then the old one leaves.
+// An instance returns with an empty disk under its old name, a second after the group lost
+// it. The new disk becomes a voter, then the old one is removed.
 func TestWipedDiskIsReplaced(t *testing.T) {
 	g := NewWithT(t)
 	a, b, c, d := member{1, "a", true, 0}, member{2, "b", true, 0}, member{3, "c", true, long}, member{4, "c", false, 0}
@@ -66,7 +66,7 @@
 	g := NewWithT(t)
 	a, b, c := member{1, "a", true, 0}, member{2, "b", true, 0}, member{3, "c", true, 0}
 	d, e := member{4, "d", false, 0}, member{5, "e", false, 0}
-	g.Expect(next(a, b, c, d)).To(Equal(roster.Change{}), "a single learner stands by")
+	g.Expect(next(a, b, c, d)).To(Equal(roster.Change{}), "a single learner is kept as a spare")
 	g.Expect(next(a, b, c, d, e)).To(Equal(roster.Change{Action: roster.Promote, ID: 4}))
 	d.voter = true
 	g.Expect(next(a, b, c, d, e)).To(Equal(roster.Change{Action: roster.Promote, ID: 5}))
