--- a/core/raft/founding/founding_test.go
+++ b/core/raft/founding/founding_test.go
@@ -16,22 +16,22 @@
 
 // simulation is three founders on a network that loses, delays and duplicates messages.
 type simulation struct {
-	rng         *rand.Rand
-	now         time.Time
-	nextID      raft.MemberID
-	ids         map[string]raft.MemberID
-	disks       map[string]founding.State
-	founders    map[string]*founding.Founder
-	inFlight    []founding.Envelope
-	founded     map[raft.ClusterID]bool
-	adopters    map[raft.ClusterID]map[raft.MemberID]bool
-	charters    map[raft.ClusterID]raft.Members
-	partitioned string // neither receives nor sends
+	rng             *rand.Rand
+	now             time.Time
+	nextID          raft.MemberID
+	ids             map[string]raft.MemberID
+	disks           map[string]founding.State
+	founders        map[string]*founding.Founder
+	inFlight        []founding.Envelope
+	foundedClusters map[raft.ClusterID]bool
+	adopters        map[raft.ClusterID]map[raft.MemberID]bool
+	charters        map[raft.ClusterID]raft.Members
+	partitioned     string // neither receives nor sends
 }
 
 func newSimulation(seed int64) *simulation {
 	w := &simulation{rng: rand.New(rand.NewSource(seed)), now: time.Unix(0, 0), ids: map[string]raft.MemberID{}, disks: map[string]founding.State{},
-		founders: map[string]*founding.Founder{}, founded: map[raft.ClusterID]bool{}, adopters: map[raft.ClusterID]map[raft.MemberID]bool{}, charters: map[raft.ClusterID]raft.Members{}}
+		founders: map[string]*founding.Founder{}, foundedClusters: map[raft.ClusterID]bool{}, adopters: map[raft.ClusterID]map[raft.MemberID]bool{}, charters: map[raft.ClusterID]raft.Members{}}
 	for _, n := range names {
 		w.wipe(n)
 		w.start(n)
@@ -71,7 +71,7 @@
 		w.adopters[c.Cluster][w.ids[n]] = true
 		w.charters[c.Cluster] = c.Members
 		if r.State.Phase == founding.Founded {
-			w.founded[c.Cluster] = true
+			w.foundedClusters[c.Cluster] = true
 		}
 	}
 	w.inFlight = append(w.inFlight, r.Messages...)
@@ -114,17 +114,17 @@
 				w.start(n)
 			}
 		}
-		if len(w.founded) > 1 {
-			t.Fatalf("seed %d: %d histories began", seed, len(w.founded))
+		if len(w.foundedClusters) > 1 {
+			t.Fatalf("seed %d: %d histories began", seed, len(w.foundedClusters))
 		}
-		for c := range w.founded {
+		for c := range w.foundedClusters {
 			for _, m := range w.charters[c] {
 				if !w.adopters[c][m.ID] {
 					t.Fatalf("seed %d: %s began without %s", seed, c, m.Name)
 				}
 			}
 		}
-		founded += len(w.founded)
+		founded += len(w.foundedClusters)
 	}
 	NewWithT(t).Expect(founded).To(BeNumerically(">", 100))
 }
@@ -165,5 +165,5 @@
 	}
 	g.Expect(w.disks).NotTo(HaveKey("a"))
 	g.Expect(w.disks["c"].Charter.Cluster).To(Equal(first))
-	g.Expect(w.founded).To(HaveLen(1))
+	g.Expect(w.foundedClusters).To(HaveLen(1))
 }
