--- a/core/member/member_test.go
+++ b/core/member/member_test.go
@@ -17,15 +17,15 @@
 	return member.Info{Name: fmt.Sprintf("i%d", i), Domain: "hall", Address: fmt.Sprintf("127.0.0.1:%d", i), Incarnation: incarnation}
 }
 
-// net carries messages late, twice, in any order or never.
+// net delivers messages late, twice, in any order or never.
 type net struct {
-	now    time.Time
-	tables map[int]*member.Table
-	ended  map[int]time.Time
-	posts  []post
+	now      time.Time
+	tables   map[int]*member.Table
+	ended    map[int]time.Time
+	inFlight []delivery
 }
 
-type post struct {
+type delivery struct {
 	to int
 	m  member.Message
 	at time.Time
@@ -45,16 +45,16 @@
 		}
 		m := table.Heartbeat()
 		if rapid.Bool().Draw(t, "full") {
-			m = table.Full(n.now)
+			m = table.FullHeartbeat(n.now)
 		}
-		n.post(t, i, m)
+		n.send(t, i, m)
 	}
 	n.now = n.now.Add(step)
-	due := n.posts
-	n.posts = nil
+	due := n.inFlight
+	n.inFlight = nil
 	for _, p := range due {
 		if p.at.After(n.now) {
-			n.posts = append(n.posts, p)
+			n.inFlight = append(n.inFlight, p)
 		} else if table := n.tables[p.to]; table != nil {
 			table.Receive(n.now, p.m)
 		}
@@ -64,21 +64,21 @@
 	}
 }
 
-func (n *net) post(t *rapid.T, from int, m member.Message) {
+func (n *net) send(t *rapid.T, from int, m member.Message) {
 	for to := range instances {
 		copies := rapid.IntRange(0, 2).Draw(t, "copies")
 		for range copies {
 			delay := time.Duration(rapid.IntRange(0, int(maxDelay/step)).Draw(t, "delay")) * step
 			if to != from {
-				n.posts = append(n.posts, post{to, m, n.now.Add(delay)})
+				n.inFlight = append(n.inFlight, delivery{to, m, n.now.Add(delay)})
 			}
 		}
 	}
 }
 
-// Story: an instance leaves or dies. Heartbeats that it sent before are still on
-// their way, late, doubled and relayed by others. Were one of them taken for a
-// sign of life, the others would go on giving it work.
+// Guards against new work for an instance that left or died: heartbeats that it sent
+// earlier are still in flight, delayed, duplicated and relayed by others, and must not
+// count as signs of life.
 func TestGoneInstancesStayGone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := &net{now: time.Unix(1000, 0), tables: map[int]*member.Table{}, ended: map[int]time.Time{}}
@@ -137,21 +137,21 @@
 	now = now.Add(cfg.SuspectAfter + time.Second)
 	two.Tick(now)
 	g.Expect(status(two, now, "i1")).To(Equal(member.Suspect))
-	g.Expect(one.Receive(now, two.Full(now))).To(BeTrue())
+	g.Expect(one.Receive(now, two.FullHeartbeat(now))).To(BeTrue())
 	g.Expect(one.Self().Incarnation).To(BeEquivalentTo(2))
 	two.Receive(now, one.Heartbeat())
 	g.Expect(status(two, now, "i1")).To(Equal(member.Alive))
 }
 
-// Story: an instance is cut off from one that died, and hears of its last
-// heartbeat from a third one, late. Silence counts from the heartbeat itself.
+// Guards against late detection of a dead instance whose last heartbeat arrives late
+// through a third instance. The silence counts from the heartbeat itself.
 func TestRelayedSilence(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	dead, relay, other := member.New(cfg, info(1, 1)), member.New(cfg, info(2, 1)), member.New(cfg, info(3, 1))
 	other.Receive(now, dead.Heartbeat())
 	relay.Receive(now, dead.Heartbeat())
-	other.Receive(now.Add(2*time.Second), relay.Full(now.Add(2*time.Second)))
+	other.Receive(now.Add(2*time.Second), relay.FullHeartbeat(now.Add(2*time.Second)))
 	now = now.Add(cfg.SuspectAfter + time.Second)
 	other.Tick(now)
 	g.Expect(status(other, now, "i1")).To(Equal(member.Suspect))
@@ -164,7 +164,7 @@
 	late := old.Heartbeat()
 	other.Receive(now, late)
 	old.Leave()
-	other.Receive(now, old.Full(now))
+	other.Receive(now, old.FullHeartbeat(now))
 	other.Receive(now, late)
 	g.Expect(status(other, now, "i1")).To(Equal(member.Left))
 
@@ -177,12 +177,12 @@
 	g.Expect(addr).To(Equal("127.0.0.1:99"))
 
 	g.Expect(replaced.RevisionSeen()).To(BeZero())
-	replaced.Receive(now, member.Message{From: info(2, 1), Claims: []member.Claim{{Info: acted(info(1, 1), 6), Status: member.Left}}})
-	g.Expect(replaced.RevisionSeen()).To(BeEquivalentTo(6), "what it acted on before the restart")
+	replaced.Receive(now, member.Message{From: info(2, 1), PeerStates: []member.PeerState{{Info: withRevision(info(1, 1), 6), Status: member.Left}}})
+	g.Expect(replaced.RevisionSeen()).To(BeEquivalentTo(6), "the revision applied before the restart")
 
-	zombie := member.New(cfg, info(1, 1))
-	zombie.Receive(now, other.Full(now))
-	g.Expect(zombie.Superseded()).To(BeTrue())
+	stale := member.New(cfg, info(1, 1))
+	stale.Receive(now, other.FullHeartbeat(now))
+	g.Expect(stale.Superseded()).To(BeTrue())
 	g.Expect(replaced.Superseded()).To(BeFalse())
 }
 
@@ -213,7 +213,7 @@
 	return 0
 }
 
-func acted(i member.Info, revision uint64) member.Info {
+func withRevision(i member.Info, revision uint64) member.Info {
 	i.Revision = revision
 	return i
 }
--- a/core/raft/explore_test.go
+++ b/core/raft/explore_test.go
@@ -14,62 +14,62 @@
 
 const seeds = 150
 
-// What a user would see: a confirmed change is gone, or two instances act on
-// different configurations. What happens: messages are lost, late, doubled and
-// crossed, members crash between any two steps, freeze, are cut off in one
-// direction, lose their disks and are replaced, while members are added, promoted
-// and removed. Cause, if it fails: one of the protocol's rules does not hold.
+// Guards against the loss of a committed change and against instances that apply different
+// configurations. Messages are lost, delayed, duplicated and reordered; members crash
+// between any two steps, are suspended, partitioned in one direction, lose their disks and
+// are replaced, while members are added, promoted and removed. A failure means that a rule
+// of the protocol is violated.
 func TestNothingCommittedIsLostUnderFaults(t *testing.T) {
 	var commits, reads, leaders int
 	for seed := range int64(seeds) {
 		s := newSim(seed, 3+2*int(seed%2))
 		s.drop, s.crash, s.compact = []float64{0.02, 0.1, 0.3}[seed%3], []float64{0.0003, 0.003}[seed/3%2], 0.02
 		for range 4000 {
-			s.disturb()
+			s.injectFault()
 			s.step()
 			if len(s.bad) > 0 {
 				break
 			}
 		}
-		s.calm()
+		s.clearFaults()
 		recovered := s.propose("last")
-		s.until(500, func() bool { return s.level() })
+		s.stepUntil(500, func() bool { return s.converged() })
 		s.checkLogs()
 		if len(s.bad) > 0 {
 			t.Fatalf("seed %d: %s", seed, strings.Join(s.bad, "\n"))
 		}
-		if !recovered || !s.level() {
-			t.Fatalf("seed %d: the group does not recover: %s", seed, s.describe())
+		if !recovered || !s.converged() {
+			t.Fatalf("seed %d: the group did not recover: %s", seed, s.describe())
 		}
 		commits += len(s.commits)
 		reads += s.served
 		leaders += len(s.leaders)
 	}
 	t.Logf("%d seeds: %d entries, %d reads, %d leaders", seeds, commits, reads, leaders)
-	NewWithT(t).Expect(min(commits/100, reads/100, leaders/10)).To(BeNumerically(">", seeds/100), "the faults must leave room for work")
+	NewWithT(t).Expect(min(commits/100, reads/100, leaders/10)).To(BeNumerically(">", seeds/100), "the group must make progress in spite of the faults")
 }
 
-// disturb makes at most one thing happen.
-func (s *sim) disturb() {
+// injectFault causes at most one event: load, a fault or a step of a repair.
+func (s *sim) injectFault() {
 	h := s.hosts[s.order[s.rnd.Intn(len(s.order))]]
 	other := s.order[s.rnd.Intn(len(s.order))]
 	switch p := s.rnd.Float64(); {
 	case p < 0.20:
-		s.load(h, p < 0.10)
+		s.applyLoad(h, p < 0.10)
 	case p < 0.206:
 		s.cuts[[2]raft.MemberID{h.id, other}] = true
 	case p < 0.216:
 		clear(s.cuts)
 	case p < 0.219:
 		s.stop(h)
-	case p < 0.25 && h.node == nil && !h.gone:
+	case p < 0.25 && h.node == nil && !h.diskLost:
 		s.start(h)
 	case p < 0.254 && s.running(h):
-		h.thaw = s.now.Add(time.Duration(s.rnd.Int63n(int64(4 * election))))
+		h.frozenUntil = s.now.Add(time.Duration(s.rnd.Int63n(int64(4 * election))))
 	case p < 0.256:
 		s.loseDisk(h)
 	case p < 0.28:
-		s.repair()
+		s.replaceLostMember()
 	case p < 0.283:
 		if l := s.leader(); l != nil {
 			_ = l.node.Transfer(s.clock(l), other)
@@ -78,7 +78,7 @@
 	}
 }
 
-func (s *sim) load(h *host, write bool) {
+func (s *sim) applyLoad(h *host, write bool) {
 	if !s.running(h) {
 		return
 	}
@@ -90,25 +90,25 @@
 	s.read(h)
 }
 
-// loseDisk replaces one disk at a time: the old member is gone for good and the
-// newcomer under its name has another ID and an empty disk.
+// loseDisk replaces the disk of one member at a time: the old member never returns, and its
+// replacement has another ID and an empty disk.
 func (s *sim) loseDisk(h *host) {
-	if h.gone {
+	if h.diskLost {
 		return
 	}
 	for _, x := range s.hosts {
-		if x.gone || !x.joined {
+		if x.diskLost || !x.joined {
 			return
 		}
 	}
 	s.stop(h)
-	h.gone = true
+	h.diskLost = true
 	s.add(s.nextID, disk{})
 	s.nextID++
 }
 
-// repair does the next step of replacing a lost member.
-func (s *sim) repair() {
+// replaceLostMember performs the next step of replacing a member that lost its disk.
+func (s *sim) replaceLostMember() {
 	l := s.leader()
 	if l == nil {
 		return
@@ -118,9 +118,9 @@
 		h := s.hosts[id]
 		m, known := l.node.Status(now).Members.Get(id)
 		switch {
-		case h.gone && known:
+		case h.diskLost && known:
 			_, _ = l.node.Remove(now, id)
-		case h.gone:
+		case h.diskLost:
 			s.forget(id)
 			s.drain(l)
 			return
@@ -136,8 +136,8 @@
 	s.drain(l)
 }
 
-// forget drops a removed member from the observer's books once its removal is
-// committed, so that the next disk may be lost.
+// forget drops a removed member from the simulation once its removal is committed, so that
+// another disk may be lost.
 func (s *sim) forget(id raft.MemberID) {
 	if _, in := s.committedMembers().Get(id); in {
 		return
@@ -146,7 +146,7 @@
 	s.order = slices.DeleteFunc(s.order, func(x raft.MemberID) bool { return x == id })
 }
 
-// committedMembers returns the newest membership that was seen committed.
+// committedMembers returns the latest membership that was observed as committed.
 func (s *sim) committedMembers() raft.Members {
 	members := s.founders
 	var newest uint64
@@ -158,22 +158,22 @@
 	return members
 }
 
-// level reports whether all members of the group have applied everything.
-func (s *sim) level() bool {
+// converged reports whether all members of the group have applied every committed entry.
+func (s *sim) converged() bool {
 	l := s.leader()
 	if l == nil {
 		return false
 	}
 	for _, m := range l.node.Status(s.clock(l)).Members {
-		if h := s.hosts[m.ID]; h != nil && !h.gone && h.last != s.top {
+		if h := s.hosts[m.ID]; h != nil && !h.diskLost && h.last != s.top {
 			return false
 		}
 	}
 	return true
 }
 
-// checkLogs checks log matching: where two logs agree on an entry's term, they
-// agree on all before it.
+// checkLogs checks log matching: logs that agree on the term of an entry agree on all
+// entries before it.
 func (s *sim) checkLogs() {
 	for _, a := range s.hosts {
 		for _, b := range s.hosts {
@@ -201,7 +201,7 @@
 	var b strings.Builder
 	for _, id := range s.order {
 		h := s.hosts[id]
-		fmt.Fprintf(&b, "\n%d gone=%v applied=%d of %d", id, h.gone, h.last, s.top)
+		fmt.Fprintf(&b, "\n%d gone=%v applied=%d of %d", id, h.diskLost, h.last, s.top)
 		if h.node != nil {
 			fmt.Fprintf(&b, " %+v", h.node.Status(s.clock(h)))
 		}
@@ -209,8 +209,8 @@
 	return b.String()
 }
 
-// BenchmarkRecovery measures the time from a leader's death to the next commit,
-// as a multiple of the election timeout and in ticks of the simulated clock.
+// BenchmarkRecovery measures the time from a leader's failure to the next commit, as a
+// multiple of the election timeout and in ticks of the simulated clock.
 func BenchmarkRecovery(b *testing.B) {
 	ticks := 0
 	for i := range b.N {
--- a/core/raft/sim_test.go
+++ b/core/raft/sim_test.go
@@ -15,26 +15,26 @@
 	tick      = 3 * time.Millisecond
 )
 
-// disk is what a member has synced.
+// disk is the synced state of a member.
 type disk struct {
 	hard    raft.HardState
 	snap    raft.Snapshot
 	entries []raft.Entry
 }
 
-// host runs one member, which may be down, frozen or cut off.
+// host runs one member, which may be stopped, suspended or partitioned.
 type host struct {
-	id     raft.MemberID
-	node   *raft.Node
-	disk   disk
-	thaw   time.Time
-	rate   float64
-	joined bool
-	gone   bool
-	inbox  []raft.Message
-	state  uint64 // digest of all applied commands
-	last   uint64 // index of the last applied entry
-	role   raft.Role
+	id          raft.MemberID
+	node        *raft.Node
+	disk        disk
+	frozenUntil time.Time
+	rate        float64
+	joined      bool
+	diskLost    bool
+	inbox       []raft.Message
+	state       uint64 // digest of all applied commands
+	last        uint64 // index of the last applied entry
+	role        raft.Role
 }
 
 type packet struct {
@@ -42,38 +42,37 @@
 	msg raft.Message
 }
 
-type readKey struct{ index uint64 }
+type expectedRead struct{ index uint64 }
 
-// sim is a group of members under faults, with the checks of an omniscient
-// observer. A violated check is kept in bad.
+// sim simulates a group of members under faults and checks it with full knowledge of all
+// members. Violated checks are recorded in violations.
 type sim struct {
-	rnd     *rand.Rand
-	now     time.Time
-	hosts   map[raft.MemberID]*host
-	order   []raft.MemberID
-	net     []packet
-	cuts    map[[2]raft.MemberID]bool
-	drop    float64
-	nextID  raft.MemberID
-	leaders map[uint64]raft.MemberID
-	commits map[uint64]raft.Entry
-	seenAt  map[uint64]uint64 // index -> lowest term in which its commit was seen
-	states  map[uint64]uint64 // index -> digest after it
-	top     uint64
-	reads   map[uint64]readKey
-	served  int
-	context uint64
-	bad     []string
-	// founders is the membership at the start.
+	rnd      *rand.Rand
+	now      time.Time
+	hosts    map[raft.MemberID]*host
+	order    []raft.MemberID
+	net      []packet
+	cuts     map[[2]raft.MemberID]bool
+	drop     float64
+	nextID   raft.MemberID
+	leaders  map[uint64]raft.MemberID
+	commits  map[uint64]raft.Entry
+	seenAt   map[uint64]uint64 // index -> lowest term in which its commit was seen
+	states   map[uint64]uint64 // index -> digest after it
+	top      uint64
+	reads    map[uint64]expectedRead
+	served   int
+	context  uint64
+	bad      []string
 	founders raft.Members
-	crash    float64 // chance of a crash inside the handling of a Ready
+	crash    float64 // probability of a crash at each step of processing a Ready
 	compact  float64
 }
 
 func newSim(seed int64, voters int) *sim {
 	s := &sim{rnd: rand.New(rand.NewSource(seed)), now: time.Unix(1_000_000, 0), hosts: map[raft.MemberID]*host{},
 		cuts: map[[2]raft.MemberID]bool{}, leaders: map[uint64]raft.MemberID{}, commits: map[uint64]raft.Entry{},
-		seenAt: map[uint64]uint64{}, states: map[uint64]uint64{1: 0}, reads: map[uint64]readKey{}}
+		seenAt: map[uint64]uint64{}, states: map[uint64]uint64{1: 0}, reads: map[uint64]expectedRead{}}
 	var members raft.Members
 	for i := range voters {
 		members = append(members, raft.Member{ID: raft.MemberID(i + 1), Name: fmt.Sprint("m", i+1), Voter: true})
@@ -96,7 +95,7 @@
 
 func (s *sim) fail(format string, args ...any) { s.bad = append(s.bad, fmt.Sprintf(format, args...)) }
 
-// clock returns a host's own clock, which runs up to 3% fast or slow.
+// clock returns a host's own clock, whose rate is up to 3% fast or slow.
 func (s *sim) clock(h *host) time.Time {
 	base := time.Unix(1_000_000, 0)
 	return base.Add(time.Duration(float64(s.now.Sub(base)) * h.rate))
@@ -122,9 +121,11 @@
 
 func (s *sim) stop(h *host) { h.node = nil }
 
-func (s *sim) running(h *host) bool { return h.node != nil && !h.gone && !s.now.Before(h.thaw) }
+func (s *sim) running(h *host) bool {
+	return h.node != nil && !h.diskLost && !s.now.Before(h.frozenUntil)
+}
 
-// persist mirrors what a write-ahead log would hold after a sync.
+// persist updates the disk as a write-ahead log would after a sync.
 func (h *host) persist(r raft.Ready) {
 	h.disk.hard = r.HardState
 	if r.Snapshot != nil {
@@ -143,11 +144,11 @@
 		}
 		r := h.node.Ready(s.clock(h))
 		if r.Empty() {
-			s.watchRole(h)
+			s.checkNewLeader(h)
 			return
 		}
 		if s.rnd.Float64() < s.crash {
-			s.stop(h) // before the sync: all of it is lost
+			s.stop(h) // before the sync: the whole Ready is lost
 			return
 		}
 		h.persist(r)
@@ -164,10 +165,10 @@
 		}
 		s.apply(h, r)
 		h.node.Advance(s.clock(h), r)
-		s.watchRole(h)
+		s.checkNewLeader(h)
 		s.maybeCompact(h)
 	}
-	s.fail("member %d is never done", h.id)
+	s.fail("member %d has work ready without end", h.id)
 }
 
 func (s *sim) transmit(h *host, m raft.Message) {
@@ -208,7 +209,7 @@
 	h.disk.entries = slices.DeleteFunc(h.disk.entries, func(e raft.Entry) bool { return e.Index < first })
 }
 
-// step lets one tick of time pass everywhere.
+// step advances the time of the whole group by one tick.
 func (s *sim) step() {
 	s.now = s.now.Add(tick)
 	due := s.net
@@ -219,7 +220,7 @@
 			continue
 		}
 		h := s.hosts[p.msg.To]
-		if h != nil && h.node != nil && !h.gone && !s.cuts[[2]raft.MemberID{p.msg.From, p.msg.To}] {
+		if h != nil && h.node != nil && !h.diskLost && !s.cuts[[2]raft.MemberID{p.msg.From, p.msg.To}] {
 			h.inbox = append(h.inbox, p.msg)
 		}
 	}
@@ -263,7 +264,7 @@
 	return best
 }
 
-func (s *sim) until(limit int, ok func() bool) bool {
+func (s *sim) stepUntil(limit int, ok func() bool) bool {
 	for range limit {
 		if len(s.bad) > 0 {
 			return false
@@ -276,10 +277,11 @@
 	return ok()
 }
 
-// propose proposes at the leader and waits until the entry is applied there.
+// propose proposes a command to the leader, retrying until it is committed. It reports
+// success.
 func (s *sim) propose(data string) bool {
 	done := false
-	return s.until(5000, func() bool {
+	return s.stepUntil(5000, func() bool {
 		l := s.leader()
 		if l == nil || done {
 			return done
@@ -289,7 +291,7 @@
 			return false
 		}
 		s.drain(l)
-		s.until(400, func() bool { return s.top >= index })
+		s.stepUntil(400, func() bool { return s.top >= index })
 		e, ok := s.commits[index]
 		done = ok && e.Term == term
 		return done
@@ -298,18 +300,18 @@
 
 func (s *sim) read(h *host) {
 	s.context++
-	s.reads[s.context] = readKey{index: s.top}
+	s.reads[s.context] = expectedRead{index: s.top}
 	_ = h.node.ReadIndex(s.clock(h), s.context)
 	s.drain(h)
 }
 
-func (s *sim) calm() {
+func (s *sim) clearFaults() {
 	s.drop, s.crash = 0, 0
 	clear(s.cuts)
 	for _, id := range s.order {
 		h := s.hosts[id]
-		h.thaw = time.Time{}
-		if h.node == nil && !h.gone {
+		h.frozenUntil = time.Time{}
+		if h.node == nil && !h.diskLost {
 			s.start(h)
 		}
 	}
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -25,18 +25,19 @@
 	}
 }
 
-// held is a beat as one instance keeps it for relaying.
-type held struct {
-	m  registry.Relayed
+// inFlightBeat is a beat that an instance holds for relaying, with the time it was
+// received.
+type inFlightBeat struct {
+	m  registry.RelayedBeat
 	at time.Time
 }
 
-// domain is a few instances that relay the beats of one upstream.
+// domain is a set of instances that relay the beats of one upstream.
 type domain struct {
 	now         time.Time
-	regs        [instances]*registry.Registry
+	registries  [instances]*registry.Registry
 	left        [instances]uint64 // the incarnation whose leave it has seen
-	flying      []held
+	inFlight    []inFlightBeat
 	incarnation uint64
 	sequence    uint64
 	alive       bool
@@ -61,66 +62,66 @@
 		b.Leave = true
 	}
 	to := rapid.IntRange(0, instances-1).Draw(t, "to")
-	d.regs[to].Apply(d.now, b)
-	d.sawLeave(to, b)
-	d.flying = append(d.flying, held{registry.Relayed{Beat: b, Remaining: ttl}, d.now})
+	d.registries[to].Apply(d.now, b)
+	d.recordLeave(to, b)
+	d.inFlight = append(d.inFlight, inFlightBeat{registry.RelayedBeat{Beat: b, Remaining: ttl}, d.now})
 }
 
 func (d *domain) relay(t *rapid.T) {
-	for _, h := range d.flying {
+	for _, h := range d.inFlight {
 		if rapid.IntRange(0, 2).Draw(t, "relay") > 0 {
 			continue
 		}
 		to := rapid.IntRange(0, instances-1).Draw(t, "relay to")
-		m, ok := registry.Aged(h.m, d.now.Sub(h.at))
+		m, ok := registry.WithDelay(h.m, d.now.Sub(h.at))
 		if !ok {
 			continue
 		}
 		outcome := registry.Unknown
-		if b, ok := registry.Shorten(m); ok && rapid.Bool().Draw(t, "brief") {
-			outcome = d.regs[to].ApplyBrief(d.now, b)
+		if b, ok := registry.Compact(m); ok && rapid.Bool().Draw(t, "brief") {
+			outcome = d.registries[to].ApplyCompact(d.now, b)
 		}
 		if outcome == registry.Unknown {
-			outcome = d.regs[to].ApplyRelayed(d.now, m)
+			outcome = d.registries[to].ApplyRelayed(d.now, m)
 		}
 		if outcome == registry.Accepted {
-			d.sawLeave(to, m.Beat)
-			d.flying = append(d.flying, held{m, d.now})
+			d.recordLeave(to, m.Beat)
+			d.inFlight = append(d.inFlight, inFlightBeat{m, d.now})
 		}
 	}
 }
 
-func (d *domain) sawLeave(to int, b announce.Beat) {
+func (d *domain) recordLeave(to int, b announce.Beat) {
 	if b.Leave {
 		d.left[to] = max(d.left[to], b.Incarnation)
 	}
 }
 
 func (d *domain) check(t *rapid.T) {
-	for i, r := range d.regs {
+	for i, r := range d.registries {
 		r.Expire(d.now)
 		u := r.View().Find("e1")
 		if u == nil {
 			continue
 		}
 		if !d.alive && d.now.Sub(d.ended) >= registry.MaxSilence {
-			t.Fatalf("instance %d still uses it %s after its end", i, d.now.Sub(d.ended))
+			t.Fatalf("instance %d still uses the upstream %s after it ended", i, d.now.Sub(d.ended))
 		}
 		if u.Incarnation <= d.left[i] {
-			t.Fatalf("instance %d uses incarnation %d although it knows that %d left", i, u.Incarnation, d.left[i])
+			t.Fatalf("instance %d uses incarnation %d although it knows that incarnation %d left", i, u.Incarnation, d.left[i])
 		}
 	}
 }
 
-// Story: an upstream announces itself to one instance or another, the instances
-// relay the beats to each other, late, doubled and in any order, and then it
-// dies or leaves. If a relayed beat counted like a fresh one, the instances
-// would keep it alive for each other for ever, and requests would go to it.
+// Guards against instances that keep a dead upstream alive for each other: the beats of an
+// upstream are relayed late, duplicated and reordered, and then it dies or leaves. If a
+// relayed beat counted as a fresh one, requests would be sent to the dead upstream without
+// end.
 func TestNothingIsUsableAfterTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := &domain{now: time.Unix(1000, 0), incarnation: 1, alive: true}
-		for i := range d.regs {
-			d.regs[i] = registry.New("hall")
+		for i := range d.registries {
+			d.registries[i] = registry.New("hall")
 		}
 		for range rapid.IntRange(20, 120).Draw(t, "steps") {
 			d.now = d.now.Add(step)
@@ -136,23 +137,23 @@
 	now := time.Unix(1000, 0)
 	r := registry.New("hall")
 	g.Expect(r.Apply(now, beat(1, 2))).To(Equal(registry.Accepted))
-	g.Expect(r.Turns()).To(BeEquivalentTo(1))
+	g.Expect(r.MembershipChanges()).To(BeEquivalentTo(1))
 	g.Expect(r.Apply(now, beat(1, 2))).To(Equal(registry.Stale))
 	g.Expect(r.Apply(now, beat(1, 1))).To(Equal(registry.Stale))
 	leave := beat(1, 3)
 	leave.Leave = true
 	g.Expect(r.Apply(now, leave)).To(Equal(registry.Accepted))
-	g.Expect(r.Turns()).To(BeEquivalentTo(2))
+	g.Expect(r.MembershipChanges()).To(BeEquivalentTo(2))
 	g.Expect(r.View().Find("e1")).To(BeNil())
 	g.Expect(r.Apply(now, beat(1, 4))).To(Equal(registry.Stale), "a leave is final for an incarnation")
 	g.Expect(r.Apply(now, beat(2, 1))).To(Equal(registry.Accepted))
-	g.Expect(r.Turns()).To(BeEquivalentTo(3))
+	g.Expect(r.MembershipChanges()).To(BeEquivalentTo(3))
 	g.Expect(r.Apply(now, beat(2, 2))).To(Equal(registry.Accepted))
-	g.Expect(r.Turns()).To(BeEquivalentTo(3))
+	g.Expect(r.MembershipChanges()).To(BeEquivalentTo(3))
 	g.Expect(r.View().Find("e1")).NotTo(BeNil())
 	other := beat(9, 9)
 	other.Domain = "elsewhere"
-	g.Expect(r.Apply(now, other)).To(Equal(registry.Foreign))
+	g.Expect(r.Apply(now, other)).To(Equal(registry.WrongDomain))
 }
 
 func TestLifetimes(t *testing.T) {
@@ -171,15 +172,16 @@
 	g.Expect(r.Apply(now, long)).To(Equal(registry.Stale))
 
 	long.Sequence++
-	r.ApplyRelayed(now, registry.Relayed{Beat: long, Remaining: time.Hour})
+	r.ApplyRelayed(now, registry.RelayedBeat{Beat: long, Remaining: time.Hour})
 	g.Expect(r.Expire(now.Add(registry.MaxSilence))).To(Equal([]string{"e1"}))
 
 	r.Expire(now.Add(registry.ForgetAfter + time.Minute))
-	g.Expect(r.ApplyRelayed(now, registry.Relayed{Beat: long})).To(Equal(registry.Expired))
+	g.Expect(r.ApplyRelayed(now, registry.RelayedBeat{Beat: long})).To(Equal(registry.Expired))
 }
 
-// Story: an engine evicts a prefix, the event that says so is lost, and requests
-// go on being sent there for it, away from engines that hold it.
+// Guards against requests that are sent to an engine for a prefix that it no longer holds,
+// rather than to engines that hold it, because the event that reported the eviction was
+// lost.
 func TestCacheEventsWithGap(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
@@ -192,12 +194,12 @@
 	}
 	first := apply(1, 1, announce.CacheEvent{Number: 1, Prefix: 10}, announce.CacheEvent{Number: 2, Prefix: 20})
 	second := apply(1, 2, announce.CacheEvent{Number: 2, Prefix: 20}, announce.CacheEvent{Number: 3, Prefix: 10, Dropped: true})
-	g.Expect([]bool{first.Holds(10), first.Holds(20), first.Doubtful}).To(Equal([]bool{true, true, false}))
-	g.Expect([]bool{second.Holds(10), second.Holds(20), second.Doubtful}).To(Equal([]bool{false, true, false}))
+	g.Expect([]bool{first.Holds(10), first.Holds(20), first.Incomplete}).To(Equal([]bool{true, true, false}))
+	g.Expect([]bool{second.Holds(10), second.Holds(20), second.Incomplete}).To(Equal([]bool{false, true, false}))
 	third := apply(1, 3, announce.CacheEvent{Number: 5, Prefix: 30})
-	g.Expect([]bool{third.Holds(20), third.Holds(30), third.Doubtful}).To(Equal([]bool{false, true, true}))
+	g.Expect([]bool{third.Holds(20), third.Holds(30), third.Incomplete}).To(Equal([]bool{false, true, true}))
 	fourth := apply(2, 1)
-	g.Expect([]bool{fourth.Holds(30), fourth.Doubtful}).To(Equal([]bool{false, false}))
+	g.Expect([]bool{fourth.Holds(30), fourth.Incomplete}).To(Equal([]bool{false, false}))
 }
 
 func TestAgeOfLoadReport(t *testing.T) {
@@ -206,7 +208,7 @@
 	r := registry.New("hall")
 	b := beat(1, 1)
 	b.Load = &announce.Load{Running: 3, AgeMillis: 400}
-	r.ApplyRelayed(now, registry.Relayed{Beat: b, Remaining: time.Second, Age: 100 * time.Millisecond})
+	r.ApplyRelayed(now, registry.RelayedBeat{Beat: b, Remaining: time.Second, Age: 100 * time.Millisecond})
 	r.Apply(now, beat(1, 2))
 	u := r.View().Find("e1")
 	g.Expect(u.Load.Running).To(Equal(3))
@@ -221,23 +223,23 @@
 	b.Models = []string{"m1"}
 	b.Load = &announce.Load{Running: 2, TokensPerSecond: 99.6, KVUsed: 0.25, AgeMillis: 40}
 	one.Apply(now, b)
-	relayed := func(b announce.Beat) registry.Brief {
-		short, ok := registry.Shorten(registry.Relayed{Beat: b, Remaining: time.Second})
+	relayed := func(b announce.Beat) registry.CompactBeat {
+		short, ok := registry.Compact(registry.RelayedBeat{Beat: b, Remaining: time.Second})
 		g.Expect(ok).To(BeTrue())
 		return short
 	}
-	g.Expect(two.ApplyBrief(now, relayed(b))).To(Equal(registry.Unknown))
-	whole, ok := one.Whole(now.Add(time.Second), relayed(b).Ref)
+	g.Expect(two.ApplyCompact(now, relayed(b))).To(Equal(registry.Unknown))
+	whole, ok := one.FullBeat(now.Add(time.Second), relayed(b).Ref)
 	g.Expect(ok).To(BeTrue())
 	g.Expect(whole.Remaining).To(Equal(ttl - time.Second))
 	g.Expect(two.ApplyRelayed(now, whole)).To(Equal(registry.Accepted))
 	b.Sequence = 2
-	g.Expect(two.ApplyBrief(now, relayed(b))).To(Equal(registry.Accepted))
+	g.Expect(two.ApplyCompact(now, relayed(b))).To(Equal(registry.Accepted))
 	u := two.View().Find("e1")
 	g.Expect(u.Models).To(Equal([]string{"m1"}))
 	g.Expect(*u.Load).To(Equal(announce.Load{Running: 2, TokensPerSecond: 100, KVUsed: 0.25, AgeMillis: 40}))
 	b.Sequence, b.Models = 3, []string{"m1", "m2"}
-	g.Expect(two.ApplyBrief(now, relayed(b))).To(Equal(registry.Unknown), "the models changed")
+	g.Expect(two.ApplyCompact(now, relayed(b))).To(Equal(registry.Unknown), "the models changed")
 	b.Incarnation, b.Models = 2, []string{"m1"}
-	g.Expect(two.ApplyBrief(now, relayed(b))).To(Equal(registry.Unknown), "a new start may differ in all")
+	g.Expect(two.ApplyCompact(now, relayed(b))).To(Equal(registry.Unknown), "a new incarnation may differ in every field")
 }
--- a/instance/consensus/apply.go
+++ b/instance/consensus/apply.go
@@ -44,7 +44,7 @@
 			s.finish(c, reply{err: unknown("a snapshot has replaced the log, which may hold the command")})
 		}
 	}
-	s.notify(snapshot.Index, control.Entry{Index: snapshot.Index, At: time.Unix(0, snapshot.At).UTC()})
+	s.notify(snapshot.Index, control.Entry{Index: snapshot.Index, At: time.Unix(0, snapshot.Timestamp).UTC()})
 	return nil
 }
 
@@ -54,7 +54,7 @@
 	var result []byte
 	var err error
 	if e.Kind == raft.EntryCommand {
-		command, result, err = s.cfg.Mux.Apply(e.Index, e.At, e.Data)
+		command, result, err = s.cfg.Mux.Apply(e.Index, e.Timestamp, e.Data)
 	} else {
 		s.cfg.Mux.Skip(e.Index)
 	}
--- a/instance/registry/registry.go
+++ b/instance/registry/registry.go
@@ -63,8 +63,8 @@
 
 // batch is one message to the peers.
 type batch struct {
-	Beats  []core.Relayed `codec:"b,omitempty"`
-	Briefs []core.Brief   `codec:"s,omitempty"`
+	Beats  []core.RelayedBeat `codec:"b,omitempty"`
+	Briefs []core.CompactBeat `codec:"s,omitempty"`
 }
 
 // want asks for the whole beats of upstreams that a peer knows.
@@ -73,7 +73,7 @@
 }
 
 type pending struct {
-	m  core.Relayed
+	m  core.RelayedBeat
 	at time.Time
 }
 
@@ -142,12 +142,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch s.state.Apply(now, beat) {
-	case core.Foreign:
+	case core.WrongDomain:
 		return fault.New(fault.Invalid, "domain: %q is not %q, whose instances this one belongs to", beat.Domain, s.cfg.Domain)
 	case core.Full:
 		return fault.New(fault.Overloaded, "%d upstreams are known already", core.MaxUpstreams)
 	case core.Accepted:
-		s.enqueue(pending{core.Relayed{Beat: beat, Remaining: min(beat.TTL(), core.MaxSilence)}, now})
+		s.enqueue(pending{core.RelayedBeat{Beat: beat, Remaining: min(beat.TTL(), core.MaxSilence)}, now})
 		s.publishTurns()
 	}
 	return nil
@@ -167,14 +167,14 @@
 // which come with each beat, wait for the next tick: a snapshot for each of them
 // took a quarter of what a domain of 21 instances spends on control.
 func (s *Service) publishTurns() {
-	if s.state.Turns() != s.turns {
+	if s.state.MembershipChanges() != s.turns {
 		s.hurry = true
 		s.publish()
 	}
 }
 
 func (s *Service) publish() {
-	s.turns = s.state.Turns()
+	s.turns = s.state.MembershipChanges()
 	v := s.state.View()
 	if v == s.view.Load() {
 		return
@@ -215,7 +215,7 @@
 		}
 	}
 	for _, brief := range b.Briefs {
-		if s.state.ApplyBrief(now, brief) == core.Unknown {
+		if s.state.ApplyCompact(now, brief) == core.Unknown {
 			unknown = append(unknown, brief.Ref)
 		}
 	}
@@ -233,7 +233,7 @@
 	now := time.Now()
 	s.mu.Lock()
 	for _, ref := range w.Refs {
-		if r, ok := s.state.Whole(now, ref); ok {
+		if r, ok := s.state.FullBeat(now, ref); ok {
 			b.Beats = append(b.Beats, r)
 		}
 	}
@@ -262,7 +262,7 @@
 	for _, name := range s.state.Expire(now) {
 		s.cfg.Log.Warn().Str("upstream", name).Msg("upstream silent, no new work")
 	}
-	if s.state.Turns() != s.turns {
+	if s.state.MembershipChanges() != s.turns {
 		s.publish()
 	}
 	s.ticks++
@@ -309,11 +309,11 @@
 // packed makes a message of beats that were held.
 func packed(now time.Time, held []pending) (b batch) {
 	for _, p := range held {
-		m, ok := core.Aged(p.m, now.Sub(p.at))
+		m, ok := core.WithDelay(p.m, now.Sub(p.at))
 		if !ok {
 			continue
 		}
-		if brief, ok := core.Shorten(m); ok {
+		if brief, ok := core.Compact(m); ok {
 			b.Briefs = append(b.Briefs, brief)
 			continue
 		}
--- a/instance/spread/ask.go
+++ b/instance/spread/ask.go
@@ -94,11 +94,11 @@
 func (s *Service) ask(ctx context.Context, name string) (bool, error) {
 	s.mu.Lock()
 	s.require()
-	q := question{Question: s.state.Question(time.Now(), name), Start: s.start}
+	q := question{Request: s.state.Request(time.Now(), name), Start: s.start}
 	s.mu.Unlock()
 	leased, err := s.askOnce(ctx, name, q)
 	if fault.CodeOf(err) == fault.Corrupt {
-		q.Question = tree.Question{Acted: q.Acted}
+		q.Request = tree.Request{Applied: q.Applied}
 		leased, err = s.askOnce(ctx, name, q)
 	}
 	if err != nil {
@@ -113,17 +113,17 @@
 	asked := time.Now()
 	var u tree.Update
 	if err := s.cfg.Links.Call(ctx, name, channelAsk, q, &u); err != nil {
-		s.noteLessor(name, asked.Add(maxLease), q.Acted)
+		s.noteLessor(name, asked.Add(maxLease), q.Applied)
 		return false, err
 	}
 	s.mu.Lock()
-	outcome, err := s.state.Offer(asked, u)
+	outcome, err := s.state.ApplyUpdate(asked, u)
 	if err == nil && outcome != tree.Behind {
 		s.parent = name
 	}
 	s.mu.Unlock()
 	if u.LeaseMillis > 0 {
-		s.noteLessor(name, asked.Add(time.Duration(u.LeaseMillis)*time.Millisecond), q.Acted)
+		s.noteLessor(name, asked.Add(time.Duration(u.LeaseMillis)*time.Millisecond), q.Applied)
 	}
 	if outcome == tree.Applied {
 		s.changed()
--- a/instance/spread/spread.go
+++ b/instance/spread/spread.go
@@ -57,7 +57,7 @@
 // question and report are what an instance sends its parents. Start tells the
 // processes of one name apart.
 type question struct {
-	tree.Question
+	tree.Request
 	Start uint64 `codec:"st"`
 }
 
@@ -68,12 +68,12 @@
 
 // Layout is what the tree is made from.
 type Layout struct {
-	Self tree.Node
+	Self tree.Instance
 	// Root is the control leader, or empty while it is not known.
 	Root string
 	// Live are the instances of the failure domain and those of the control
 	// group that are not known to be gone.
-	Live []tree.Node
+	Live []tree.Instance
 }
 
 // Config of a Service.
@@ -194,14 +194,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.state.TakeOver(time.Now(), ttl)
+	s.state.BecomeRoot(time.Now(), ttl)
 }
 
 // Acts reports whether this instance itself acts on a revision or a later one.
 func (s *Service) Acts(revision uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state.ActsOn() >= revision
+	return s.state.AppliedRevision() >= revision
 }
 
 // InForce reports, at the control leader, whether all instances act on a revision
@@ -243,7 +243,7 @@
 // with a lease, which proves it the newest. In a failure domain that is cut off
 // there is none; after startPhase, what is known here has to do.
 func (s *Service) ready() bool {
-	proved := s.state.Proved() || time.Since(s.started) > startPhase
+	proved := s.state.HadLease() || time.Since(s.started) > startPhase
 	return proved && s.state.Ready()
 }
 
@@ -265,7 +265,7 @@
 // needs mu. Later ones are no reason to stop serving: they are on their way.
 func (s *Service) require() {
 	if s.cfg.Floor != nil && !s.state.Ready() {
-		s.state.Require(s.cfg.Floor())
+		s.state.RequireRevision(s.cfg.Floor())
 	}
 }
 
@@ -290,7 +290,7 @@
 		}
 		told = revision
 		s.mu.Lock()
-		s.state.Act(revision)
+		s.state.MarkApplied(revision)
 		s.mu.Unlock()
 		s.report()
 	}
@@ -330,7 +330,7 @@
 	if from == s.parent {
 		// A lease from this instance would be the asking one's own, and while
 		// both were content with it neither would look for a fresh one.
-		return s.state.Inform(q.Question), nil
+		return s.state.AnswerWithoutLease(q.Request), nil
 	}
-	return s.state.Answer(time.Now(), tree.Child{Name: from, Start: q.Start}, q.Question), nil
+	return s.state.Answer(time.Now(), tree.Child{Name: from, Start: q.Start}, q.Request), nil
 }
