--- a/core/balance/admission.go
+++ b/core/balance/admission.go
@@ -39,8 +39,8 @@
 	return 1
 }
 
-// Asked returns how many upstreams all long routes together ask for at the moment.
-func (p *Pools) Asked(now time.Time) (sum float64) {
+// RequiredEngines returns how many upstreams all long routes together ask for at the moment.
+func (p *Pools) RequiredEngines(now time.Time) (sum float64) {
 	p.decay(now)
 	for _, l := range longRoutes(p.all()) {
 		sum += p.engine.asked(&l.load)
--- a/core/balance/pools_test.go
+++ b/core/balance/pools_test.go
@@ -133,7 +133,7 @@
 	part := p.Admitted(now, &report, 15)
 	g.Expect(part).To(BeNumerically("~", 0.35, 0.1))
 	g.Expect(p.Admitted(now, &report, 1)).To(BeNumerically(">", 0.2))
-	g.Expect(p.Asked(now)).To(BeNumerically("~", 100*(3000+9000)/(0.8*60_000), 5), "what operators are told")
+	g.Expect(p.RequiredEngines(now)).To(BeNumerically("~", 100*(3000+9000)/(0.8*60_000), 5), "what operators are told")
 }
 
 // A burst asks for twice what engines can read. Half of the callers ask for prompts that
--- a/instance/relay/split.go
+++ b/instance/relay/split.go
@@ -112,6 +112,6 @@
 	part := p.Admitted(now, &o, able)
 	r.shed = part < 1 && rand.Float64() > part
 	if r.shed {
-		r.admission = admission{part: part, able: able, asked: p.Asked(now), cached: o.Cached}
+		r.admission = admission{part: part, able: able, asked: p.RequiredEngines(now), cached: o.Cached}
 	}
 }
