--- a/core/balance/admission.go
+++ b/core/balance/admission.go
@@ -76,8 +76,8 @@
 	return requestsOf(loads) / e.loadWindow() / e.Count
 }
 
-// TakenPart returns the part of what its peers get that an upstream takes which names a limit.
-func TakenPart(perSecond, each float64) float64 {
+// LimitShare returns the part of what its peers get that an upstream takes which names a limit.
+func LimitShare(perSecond, each float64) float64 {
 	if each <= perSecond {
 		return 1
 	}
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -176,8 +176,8 @@
 	loads := map[string]balance.RouteLoad{"r": {Requests: 120}}
 	each := balance.EachPerSecond(loads, e)
 	g.Expect(each).To(BeNumerically("~", 10, 0.01), "the sum of 3 s, before four upstreams")
-	g.Expect(balance.TakenPart(each/4, each)).To(Equal(0.25))
-	g.Expect(balance.TakenPart(2*each, each)).To(Equal(1.0))
+	g.Expect(balance.LimitShare(each/4, each)).To(Equal(0.25))
+	g.Expect(balance.LimitShare(2*each, each)).To(Equal(1.0))
 	g.Expect(balance.EachPerSecond(loads, &balance.Engine{})).To(BeZero())
-	g.Expect(balance.TakenPart(1, 0)).To(Equal(1.0))
+	g.Expect(balance.LimitShare(1, 0)).To(Equal(1.0))
 }
--- a/instance/relay/limit.go
+++ b/instance/relay/limit.go
@@ -122,7 +122,7 @@
 	if !limited || p == nil {
 		return 0
 	}
-	return balance.TakenPart(perSecond, p.EachPerSecond())
+	return balance.LimitShare(perSecond, p.EachPerSecond())
 }
 
 // queue counts the requests that wait for a right, by service and urgency.
--- a/instance/serving/fleet.go
+++ b/instance/serving/fleet.go
@@ -58,7 +58,7 @@
 			continue
 		}
 		if perSecond, limited := s.Limit(u.Begun); limited {
-			sum += 1 - balance.TakenPart(perSecond, eachPerSecond)
+			sum += 1 - balance.LimitShare(perSecond, eachPerSecond)
 		}
 	}
 	return sum
