--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -18,10 +18,10 @@
 	// Active counts the requests under way there, of all instances as far as is
 	// known, and Slots those that it runs at once.
 	Active, Slots int
-	// Reading is how many prompt tokens wait to be read there, Held how many its
+	// QueuedTokens is how many prompt tokens wait to be read there, Held how many its
 	// requests hold in its memory, which has room for Capacity. They are zero for
 	// upstreams that are no engines.
-	Reading, Held, Capacity int
+	QueuedTokens, Held, Capacity int
 	// Kept is the part of the request's shared tokens that is believed to be there, and
 	// Fetched says that the rest can be taken over from another upstream.
 	Kept    float64
@@ -250,7 +250,7 @@
 	if u.Capacity == 0 || r.Rate <= 0 {
 		return 0
 	}
-	return max(float64(u.Reading)/r.Rate, slotWait(u)) * u.Slowness
+	return max(float64(u.QueuedTokens)/r.Rate, slotWait(u)) * u.Slowness
 }
 
 // slotWait predicts the time until a slot is free for one more request: an engine with all
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -77,9 +77,9 @@
 	r := &balance.Request{Affinity: 7, Shared: 13_000, Own: 3_000, Rate: 60}
 	first := balance.Choose(list, r).Index
 	list[first].Kept = 1
-	list[first].Reading = 12_000
+	list[first].QueuedTokens = 12_000
 	g.Expect(balance.Choose(list, r).Index).To(Equal(first), "a wait is cheaper than reading all anew")
-	list[first].Reading = 120_000
+	list[first].QueuedTokens = 120_000
 	second := balance.Choose(list, r).Index
 	g.Expect(second).NotTo(Equal(first))
 	for draw := range 10 {
@@ -98,20 +98,20 @@
 	for prompt := range uint64(200) {
 		r := &balance.Request{Affinity: prompt + 1, Shared: 13_000, Own: 3000, Rate: 60, Domain: "d0"}
 		for i := range list {
-			list[i].Reading = 0
+			list[i].QueuedTokens = 0
 		}
 		first := balance.Choose(list, r).Index
-		list[first].Reading = 20_000
+		list[first].QueuedTokens = 20_000
 		second := balance.Choose(list, r).Index
-		list[second].Reading = 20_000
+		list[second].QueuedTokens = 20_000
 		third := balance.Choose(list, r).Index
 		g.Expect(first == second || second == third || first == third).To(BeFalse())
-		list[third].Reading = 20_000
+		list[third].QueuedTokens = 20_000
 		g.Expect(balance.Choose(list, r).Index).To(BeElementOf(first, second, third), "not yet elsewhere")
 		for i := range list {
-			list[i].Reading = 0
+			list[i].QueuedTokens = 0
 		}
-		list[first].Reading, list[second].Reading, list[third].Reading = 90_000, 90_000, 90_000
+		list[first].QueuedTokens, list[second].QueuedTokens, list[third].QueuedTokens = 90_000, 90_000, 90_000
 		g.Expect(balance.Choose(list, r).Index).NotTo(BeElementOf(first, second, third))
 		used[first]++
 	}
@@ -125,7 +125,7 @@
 	g := NewWithT(t)
 	list := engines(2)
 	list[0].Held = 590_000
-	list[1].Reading = 10_000
+	list[1].QueuedTokens = 10_000
 	g.Expect(balance.Choose(list, &balance.Request{Shared: 0, Own: 17_000, Rate: 60, Domain: "d0"}).Index).To(Equal(1))
 }
 
@@ -137,9 +137,9 @@
 	list := engines(2)
 	list[0].Kept, list[1].Fetched = 1, true
 	r := &balance.Request{Affinity: 7, Shared: 10_000, Own: 1000, Rate: 50, FetchRate: 400, Domain: "d0"}
-	list[0].Reading = 20_000
+	list[0].QueuedTokens = 20_000
 	g.Expect(balance.Choose(list, r).Index).To(BeZero(), "it waits where it is kept")
-	list[0].Reading = 200_000
+	list[0].QueuedTokens = 200_000
 	c := balance.Choose(list, r)
 	g.Expect(c.Index).To(Equal(1))
 	g.Expect(c.Wait).To(BeNumerically("~", 1000/50+10_000/400, 1))
@@ -149,7 +149,7 @@
 func TestWaitIsPredicted(t *testing.T) {
 	g := NewWithT(t)
 	list := engines(1)
-	list[0].Reading, list[0].Kept, list[0].Slowness = 6000, 0.5, 2
+	list[0].QueuedTokens, list[0].Kept, list[0].Slowness = 6000, 0.5, 2
 	c := balance.Choose(list, &balance.Request{Affinity: 7, Shared: 8000, Own: 2000, Rate: 60, Domain: "d0"})
 	g.Expect(c.Wait).To(BeNumerically("~", 400, 1))
 }
--- a/core/balance/claims_test.go
+++ b/core/balance/claims_test.go
@@ -76,7 +76,7 @@
 		list[i].Slots, list[i].Residence = 12, 2400
 	}
 	list[0].Active = 14
-	list[1].Active, list[1].Reading = 11, 20_000
+	list[1].Active, list[1].QueuedTokens = 11, 20_000
 	r := &balance.Request{Own: 3000, Rate: 100, Domain: "d0"}
 	c := balance.Choose(list, r)
 	g.Expect(c.Index).To(Equal(1))
@@ -93,9 +93,9 @@
 	g := NewWithT(t)
 	list := engines(100)
 	for i := range list {
-		list[i].Reading = 30_000
+		list[i].QueuedTokens = 30_000
 	}
-	list[7].Reading = 0
+	list[7].QueuedTokens = 0
 	drawn := 0
 	for i := range 1000 {
 		r := &balance.Request{Affinity: uint64(1 + i), Shared: 5000, Own: 6600, Rate: 100, Domain: "d0", Draw: float64(i) / 1000, MaxAhead: 3000}
@@ -113,9 +113,9 @@
 	g := NewWithT(t)
 	list := engines(60)
 	for i := range list {
-		list[i].Reading = 90_000
+		list[i].QueuedTokens = 90_000
 	}
-	list[31].Reading = 0
+	list[31].QueuedTokens = 0
 	for i := range 200 {
 		r := &balance.Request{Affinity: uint64(1 + i), Shared: 5000, Own: 6600, Rate: 100, Domain: "d0", Draw: float64(i) / 200, MaxAhead: 500}
 		g.Expect(balance.Choose(list, r).Index).To(Equal(31))
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -140,7 +140,7 @@
 		return nil, r.limited
 	}
 	r.predicted, r.upstream = c.Wait, list[c.Index].id
-	r.unread, r.ahead = int(balance.Unread(&f.scratch[c.Index], q)), f.scratch[c.Index].Reading
+	r.unread, r.ahead = int(balance.Unread(&f.scratch[c.Index], q)), f.scratch[c.Index].QueuedTokens
 	if r.tokens > 0 && len(avoid) == 0 {
 		f.offer(r, q, c, now)
 		if r.shed {
@@ -162,7 +162,7 @@
 		return nil, true
 	}
 	r.predicted, r.nominal = c.Wait, balance.Nominal(&f.scratch[c.Index], q)
-	r.upstream, r.unread, r.ahead = u.id, int(balance.Unread(&f.scratch[c.Index], q)), f.scratch[c.Index].Reading
+	r.upstream, r.unread, r.ahead = u.id, int(balance.Unread(&f.scratch[c.Index], q)), f.scratch[c.Index].QueuedTokens
 	r.fetchFrom = ""
 	if f.scratch[c.Index].Fetched {
 		r.fetchFrom = f.holder.address
@@ -190,7 +190,7 @@
 		b, observed := u.describe(now)
 		if others := f.others[u.begun]; fresh {
 			b.Active += others.Active
-			b.Reading += others.Reading
+			b.QueuedTokens += others.Reading
 			b.Held += others.Held
 			observed.Add(f.observedByOthers[u.begun])
 		}
