--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -18,10 +18,10 @@
 	// Active counts the requests under way there, of all instances as far as is
 	// known, and Slots those that it runs at once.
 	Active, Slots int
-	// QueuedTokens is how many prompt tokens wait to be read there, Held how many its
+	// QueuedTokens is how many prompt tokens wait to be read there, UsedTokens how many its
 	// requests hold in its memory, which has room for Capacity. They are zero for
 	// upstreams that are no engines.
-	QueuedTokens, Held, Capacity int
+	QueuedTokens, UsedTokens, Capacity int
 	// Kept is the part of the request's shared tokens that is believed to be there, and
 	// Fetched says that the rest can be taken over from another upstream.
 	Kept    float64
@@ -303,7 +303,7 @@
 		if u.Kept == 0 && r.Affinity != 0 && !c.isHome(u) {
 			cost += awayFromHome * float64(r.Shared) / r.Rate
 		}
-		if float64(u.Held+r.Shared+r.Own) > memoryLimit*float64(u.Capacity) {
+		if float64(u.UsedTokens+r.Shared+r.Own) > memoryLimit*float64(u.Capacity) {
 			cost *= crowded
 		}
 	}
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -124,7 +124,7 @@
 func TestFullMemoryIsAvoided(t *testing.T) {
 	g := NewWithT(t)
 	list := engines(2)
-	list[0].Held = 590_000
+	list[0].UsedTokens = 590_000
 	list[1].QueuedTokens = 10_000
 	g.Expect(balance.Choose(list, &balance.Request{Shared: 0, Own: 17_000, Rate: 60, Domain: "d0"}).Index).To(Equal(1))
 }
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -191,7 +191,7 @@
 		if others := f.others[u.begun]; fresh {
 			b.Active += others.Active
 			b.QueuedTokens += others.Reading
-			b.Held += others.Held
+			b.UsedTokens += others.Held
 			observed.Add(f.observedByOthers[u.begun])
 		}
 		b.Capacity, b.Takes = r.capacity, f.takes(r, u)
--- a/instance/relay/upstream.go
+++ b/instance/relay/upstream.go
@@ -48,7 +48,7 @@
 // describe returns what is known here of the upstream, and what was observed of its
 // answers. It needs the fleet's mutex.
 func (u *upstream) describe(now time.Time) (balance.Upstream, balance.Observed) {
-	b := balance.Upstream{ID: u.id, Domain: u.domain, Active: u.active, Slots: u.slots, QueuedTokens: u.reading, Held: u.held}
+	b := balance.Upstream{ID: u.id, Domain: u.domain, Active: u.active, Slots: u.slots, QueuedTokens: u.reading, UsedTokens: u.held}
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	b.Suspect = u.failures > 0 && (now.Before(u.until) || u.silent)
