--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -22,9 +22,9 @@
 	// requests hold in its memory, which has room for Capacity. They are zero for
 	// upstreams that are no engines.
 	QueuedTokens, UsedTokens, Capacity int
-	// Kept is the part of the request's shared tokens that is believed to be there, and
+	// CachedShare is the part of the request's shared tokens that is believed to be there, and
 	// Fetched says that the rest can be taken over from another upstream.
-	Kept    float64
+	CachedShare    float64
 	Fetched bool
 	// Residence is for how long a request holds one of its slots, in milliseconds; zero
 	// means that it is not known.
@@ -171,7 +171,7 @@
 // comes in that time to the one that looked idle. So each request weighs those that keep
 // its prompt, the homes of it, and a few drawn by lot.
 func (c *costs) considered(u *Upstream) bool {
-	return u.Capacity == 0 || u.Kept > 0 || c.isHome(u) || rendezvous(c.drawn(), u.ID) >= c.sampleScore
+	return u.Capacity == 0 || u.CachedShare > 0 || c.isHome(u) || rendezvous(c.drawn(), u.ID) >= c.sampleScore
 }
 
 // isHome reports whether an upstream is a home of the request's prompt.
@@ -217,7 +217,7 @@
 
 // wholeUnread is Unread where nothing is taken over from another upstream.
 func wholeUnread(u *Upstream, r *Request) float64 {
-	return float64(r.Own) + (1-u.Kept)*float64(r.Shared)
+	return float64(r.Own) + (1-u.CachedShare)*float64(r.Shared)
 }
 
 // fetching is how long the taking over takes, in milliseconds.
@@ -225,7 +225,7 @@
 	if !u.Fetched {
 		return 0
 	}
-	return (1 - u.Kept) * float64(r.Shared) / r.FetchRate
+	return (1 - u.CachedShare) * float64(r.Shared) / r.FetchRate
 }
 
 // Nominal predicts the time to the first event, in milliseconds, at an upstream that is as
@@ -299,8 +299,8 @@
 		// What could be taken over from another engine counts as if it were read: it takes
 		// memory and moves gigabytes. At its own cost, prompts went wherever least waited:
 		// 1,112 GB moved in a minute of high load for 0.3 of 13 million tokens less to read.
-		cost = ahead(u, r) + wholeUnread(u, r)/r.Rate*u.Slowness + prefillAgain*(1-u.Kept)*float64(r.Shared)/r.Rate
-		if u.Kept == 0 && r.Affinity != 0 && !c.isHome(u) {
+		cost = ahead(u, r) + wholeUnread(u, r)/r.Rate*u.Slowness + prefillAgain*(1-u.CachedShare)*float64(r.Shared)/r.Rate
+		if u.CachedShare == 0 && r.Affinity != 0 && !c.isHome(u) {
 			cost += awayFromHome * float64(r.Shared) / r.Rate
 		}
 		if float64(u.UsedTokens+r.Shared+r.Own) > memoryLimit*float64(u.Capacity) {
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -76,7 +76,7 @@
 	list := engines(6)
 	r := &balance.Request{Affinity: 7, Shared: 13_000, Own: 3_000, Rate: 60}
 	first := balance.Choose(list, r).Index
-	list[first].Kept = 1
+	list[first].CachedShare = 1
 	list[first].QueuedTokens = 12_000
 	g.Expect(balance.Choose(list, r).Index).To(Equal(first), "a wait is cheaper than reading all anew")
 	list[first].QueuedTokens = 120_000
@@ -135,7 +135,7 @@
 func TestPromptIsTakenOverWhereItSpills(t *testing.T) {
 	g := NewWithT(t)
 	list := engines(2)
-	list[0].Kept, list[1].Fetched = 1, true
+	list[0].CachedShare, list[1].Fetched = 1, true
 	r := &balance.Request{Affinity: 7, Shared: 10_000, Own: 1000, Rate: 50, FetchRate: 400, Domain: "d0"}
 	list[0].QueuedTokens = 20_000
 	g.Expect(balance.Choose(list, r).Index).To(BeZero(), "it waits where it is kept")
@@ -149,7 +149,7 @@
 func TestWaitIsPredicted(t *testing.T) {
 	g := NewWithT(t)
 	list := engines(1)
-	list[0].QueuedTokens, list[0].Kept, list[0].Slowness = 6000, 0.5, 2
+	list[0].QueuedTokens, list[0].CachedShare, list[0].Slowness = 6000, 0.5, 2
 	c := balance.Choose(list, &balance.Request{Affinity: 7, Shared: 8000, Own: 2000, Rate: 60, Domain: "d0"})
 	g.Expect(c.Wait).To(BeNumerically("~", 400, 1))
 }
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -215,7 +215,7 @@
 func (f *fleet) describeKept(r *request, list []*upstream, now time.Time) {
 	for i, u := range list {
 		b := &f.scratch[i]
-		b.Kept = u.kept.Part(now, r.affinity)
+		b.CachedShare = u.kept.Part(now, r.affinity)
 		if r.fetchRate > 0 && !b.Suspect && !b.Excluded && (f.holder == nil || u.active < f.holder.active) && u.kept.Ripe(now, r.affinity) {
 			f.holder = u
 		}
@@ -224,7 +224,7 @@
 		return
 	}
 	for i := range f.scratch {
-		f.scratch[i].Fetched = f.scratch[i].Kept == 0
+		f.scratch[i].Fetched = f.scratch[i].CachedShare == 0
 	}
 }
 
