--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -25,7 +25,7 @@
 	// CachedShare is the part of the request's shared tokens that is believed to be there, and
 	// Fetched says that the rest can be taken over from another upstream.
 	CachedShare    float64
-	Fetched bool
+	Fetchable bool
 	// Residence is for how long a request holds one of its slots, in milliseconds; zero
 	// means that it is not known.
 	Residence float64
@@ -209,7 +209,7 @@
 
 // Unread is how many tokens of the request an upstream would have to read.
 func Unread(u *Upstream, r *Request) float64 {
-	if u.Fetched {
+	if u.Fetchable {
 		return float64(r.Own)
 	}
 	return wholeUnread(u, r)
@@ -222,7 +222,7 @@
 
 // fetching is how long the taking over takes, in milliseconds.
 func fetching(u *Upstream, r *Request) float64 {
-	if !u.Fetched {
+	if !u.Fetchable {
 		return 0
 	}
 	return (1 - u.CachedShare) * float64(r.Shared) / r.FetchRate
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -135,7 +135,7 @@
 func TestPromptIsTakenOverWhereItSpills(t *testing.T) {
 	g := NewWithT(t)
 	list := engines(2)
-	list[0].CachedShare, list[1].Fetched = 1, true
+	list[0].CachedShare, list[1].Fetchable = 1, true
 	r := &balance.Request{Affinity: 7, Shared: 10_000, Own: 1000, Rate: 50, FetchRate: 400, Domain: "d0"}
 	list[0].QueuedTokens = 20_000
 	g.Expect(balance.Choose(list, r).Index).To(BeZero(), "it waits where it is kept")
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -164,7 +164,7 @@
 	r.predicted, r.nominal = c.Wait, balance.Nominal(&f.scratch[c.Index], q)
 	r.upstream, r.unread, r.ahead = u.id, int(balance.Unread(&f.scratch[c.Index], q)), f.scratch[c.Index].QueuedTokens
 	r.fetchFrom = ""
-	if f.scratch[c.Index].Fetched {
+	if f.scratch[c.Index].Fetchable {
 		r.fetchFrom = f.holder.address
 	}
 	u.begin(r, now)
@@ -224,7 +224,7 @@
 		return
 	}
 	for i := range f.scratch {
-		f.scratch[i].Fetched = f.scratch[i].CachedShare == 0
+		f.scratch[i].Fetchable = f.scratch[i].CachedShare == 0
 	}
 }
 
--- a/instance/relay/split.go
+++ b/instance/relay/split.go
@@ -93,7 +93,7 @@
 	o := r.offer()
 	chosen := &f.scratch[c.Index]
 	o.Unread = int(balance.Unread(chosen, q))
-	o.Cached = chosen.Fetched || chosen.CachedShare > 0 || r.shared == 0
+	o.Cached = chosen.Fetchable || chosen.CachedShare > 0 || r.shared == 0
 	o.Residence = f.pace(r.service).route(r.route.Name).Duration()
 	p.Note(now, &o)
 	if r.quick {
