--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -26,9 +26,9 @@
 	// Fetched says that the rest can be taken over from another upstream.
 	CachedShare    float64
 	Fetchable bool
-	// Residence is for how long a request holds one of its slots, in milliseconds; zero
+	// SlotTimeMS is for how long a request holds one of its slots, in milliseconds; zero
 	// means that it is not known.
-	Residence float64
+	SlotTimeMS float64
 	// Takes is the part of what its peers take that it takes by a limit that it names; zero
 	// means that it names none.
 	Takes float64
@@ -262,7 +262,7 @@
 	if over <= 0 || u.Slots == 0 {
 		return 0
 	}
-	return float64(over) * u.Residence / float64(u.Slots)
+	return float64(over) * u.SlotTimeMS / float64(u.Slots)
 }
 
 // commonErrors is the smallest part of failed answers among the candidates.
--- a/core/balance/claims_test.go
+++ b/core/balance/claims_test.go
@@ -73,7 +73,7 @@
 	g := NewWithT(t)
 	list := engines(2)
 	for i := range list {
-		list[i].Slots, list[i].Residence = 12, 2400
+		list[i].Slots, list[i].SlotTimeMS = 12, 2400
 	}
 	list[0].Active = 14
 	list[1].Active, list[1].QueuedTokens = 11, 20_000
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -195,7 +195,7 @@
 			observed.Add(f.observedByOthers[u.begun])
 		}
 		b.Capacity, b.Takes = r.capacity, f.takes(r, u)
-		b.Residence = pace.residence(quick[u.id]).MS()
+		b.SlotTimeMS = pace.residence(quick[u.id]).MS()
 		b.Suspect = b.Suspect || u.domain != domain && f.domains.suspect(now, u.domain)
 		b.Elsewhere = pools && quick != nil && quick[u.id] != r.quick
 		b.Excluded = u.active >= u.maxConns || slices.Contains(avoid, u)
