--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -29,9 +29,9 @@
 	// SlotTimeMS is for how long a request holds one of its slots, in milliseconds; zero
 	// means that it is not known.
 	SlotTimeMS float64
-	// Takes is the part of what its peers take that it takes by a limit that it names; zero
+	// LimitShare is the part of what its peers take that it takes by a limit that it names; zero
 	// means that it names none.
-	Takes float64
+	LimitShare float64
 	// Slowness is how much longer than its peers' its answers have taken; 1 is normal.
 	Slowness float64
 	// Errors is the part of its latest answers that failed.
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -194,7 +194,7 @@
 			b.UsedTokens += others.Held
 			observed.Add(f.observedByOthers[u.begun])
 		}
-		b.Capacity, b.Takes = r.capacity, f.takes(r, u)
+		b.Capacity, b.LimitShare = r.capacity, f.takes(r, u)
 		b.SlotTimeMS = pace.residence(quick[u.id]).MS()
 		b.Suspect = b.Suspect || u.domain != domain && f.domains.suspect(now, u.domain)
 		b.Elsewhere = pools && quick != nil && quick[u.id] != r.quick
--- a/instance/relay/split.go
+++ b/instance/relay/split.go
@@ -103,8 +103,8 @@
 	for i := range f.scratch {
 		switch u := &f.scratch[i]; {
 		case u.Elsewhere || u.Suspect:
-		case u.Takes > 0:
-			able += u.Takes / max(1, u.Slowness)
+		case u.LimitShare > 0:
+			able += u.LimitShare / max(1, u.Slowness)
 		case !u.Excluded:
 			able += 1 / max(1, u.Slowness)
 		}
