--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -36,10 +36,10 @@
 	Slowness float64
 	// Errors is the part of its latest answers that failed.
 	Errors float64
-	// Elsewhere says that the upstream is for other requests than this one: it is picked
+	// OtherPool says that the upstream is for other requests than this one: it is picked
 	// when none of the request's own can be used. Suspect upstreams are picked only when
 	// no other is left, Excluded ones never.
-	Elsewhere, Suspect, Excluded bool
+	OtherPool, Suspect, Excluded bool
 }
 
 // preference is how well an upstream suits a request, by what is known of its health and
@@ -59,7 +59,7 @@
 		return unusable
 	case u.Suspect:
 		return suspect
-	case u.Elsewhere:
+	case u.OtherPool:
 		return elsewhere
 	}
 	return own
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -58,7 +58,7 @@
 	g := NewWithT(t)
 	list := engines(4)
 	for i := range list {
-		list[i].Elsewhere = i >= 2
+		list[i].OtherPool = i >= 2
 	}
 	r := &balance.Request{Domain: "d0", Own: 1400, Rate: 50}
 	g.Expect(balance.Choose(list, r).Index).To(BeNumerically("<", 2))
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -197,7 +197,7 @@
 		b.Capacity, b.LimitShare = r.capacity, f.takes(r, u)
 		b.SlotTimeMS = pace.residence(quick[u.id]).MS()
 		b.Suspect = b.Suspect || u.domain != domain && f.domains.suspect(now, u.domain)
-		b.Elsewhere = pools && quick != nil && quick[u.id] != r.quick
+		b.OtherPool = pools && quick != nil && quick[u.id] != r.quick
 		b.Excluded = u.active >= u.maxConns || slices.Contains(avoid, u)
 		f.scratch = append(f.scratch, b)
 		f.observed = append(f.observed, observed)
--- a/instance/relay/split.go
+++ b/instance/relay/split.go
@@ -102,7 +102,7 @@
 	able := 0.0
 	for i := range f.scratch {
 		switch u := &f.scratch[i]; {
-		case u.Elsewhere || u.Suspect:
+		case u.OtherPool || u.Suspect:
 		case u.LimitShare > 0:
 			able += u.LimitShare / max(1, u.Slowness)
 		case !u.Excluded:
