--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -78,9 +78,9 @@
 type Request struct {
 	// Affinity is the hash of what an upstream may have kept; zero for nothing.
 	Affinity uint64
-	// Shared and Own are the prompt tokens that are shared with other requests and
+	// Shared and Unshared are the prompt tokens that are shared with other requests and
 	// those that are not.
-	Shared, Own int
+	Shared, Unshared int
 	// Rate is how many prompt tokens an engine reads in a millisecond, FetchRate how many
 	// it takes over from another one; zero means that it can't.
 	Rate, FetchRate float64
@@ -210,14 +210,14 @@
 // Unread is how many tokens of the request an upstream would have to read.
 func Unread(u *Upstream, r *Request) float64 {
 	if u.Fetchable {
-		return float64(r.Own)
+		return float64(r.Unshared)
 	}
 	return wholeUnread(u, r)
 }
 
 // wholeUnread is Unread where nothing is taken over from another upstream.
 func wholeUnread(u *Upstream, r *Request) float64 {
-	return float64(r.Own) + (1-u.CachedShare)*float64(r.Shared)
+	return float64(r.Unshared) + (1-u.CachedShare)*float64(r.Shared)
 }
 
 // fetching is how long the taking over takes, in milliseconds.
@@ -303,7 +303,7 @@
 		if u.CachedShare == 0 && r.Affinity != 0 && !c.isHome(u) {
 			cost += awayFromHome * float64(r.Shared) / r.Rate
 		}
-		if float64(u.UsedTokens+r.Shared+r.Own) > memoryLimit*float64(u.Capacity) {
+		if float64(u.UsedTokens+r.Shared+r.Unshared) > memoryLimit*float64(u.Capacity) {
 			cost *= crowded
 		}
 	}
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -60,7 +60,7 @@
 	for i := range list {
 		list[i].OtherPool = i >= 2
 	}
-	r := &balance.Request{Domain: "d0", Own: 1400, Rate: 50}
+	r := &balance.Request{Domain: "d0", Unshared: 1400, Rate: 50}
 	g.Expect(balance.Choose(list, r).Index).To(BeNumerically("<", 2))
 	list[0].Suspect, list[1].Suspect = true, true
 	for range 8 {
@@ -74,7 +74,7 @@
 func TestHotPromptSpillsWhenItsEngineIsBusy(t *testing.T) {
 	g := NewWithT(t)
 	list := engines(6)
-	r := &balance.Request{Affinity: 7, Shared: 13_000, Own: 3_000, Rate: 60}
+	r := &balance.Request{Affinity: 7, Shared: 13_000, Unshared: 3_000, Rate: 60}
 	first := balance.Choose(list, r).Index
 	list[first].CachedShare = 1
 	list[first].QueuedTokens = 12_000
@@ -96,7 +96,7 @@
 	list := engines(12)
 	used := map[int]int{}
 	for prompt := range uint64(200) {
-		r := &balance.Request{Affinity: prompt + 1, Shared: 13_000, Own: 3000, Rate: 60, Domain: "d0"}
+		r := &balance.Request{Affinity: prompt + 1, Shared: 13_000, Unshared: 3000, Rate: 60, Domain: "d0"}
 		for i := range list {
 			list[i].QueuedTokens = 0
 		}
@@ -126,7 +126,7 @@
 	list := engines(2)
 	list[0].UsedTokens = 590_000
 	list[1].QueuedTokens = 10_000
-	g.Expect(balance.Choose(list, &balance.Request{Shared: 0, Own: 17_000, Rate: 60, Domain: "d0"}).Index).To(Equal(1))
+	g.Expect(balance.Choose(list, &balance.Request{Shared: 0, Unshared: 17_000, Rate: 60, Domain: "d0"}).Index).To(Equal(1))
 }
 
 // A prompt spills to an engine that does not keep it, and its shared parts are read a
@@ -136,7 +136,7 @@
 	g := NewWithT(t)
 	list := engines(2)
 	list[0].CachedShare, list[1].Fetchable = 1, true
-	r := &balance.Request{Affinity: 7, Shared: 10_000, Own: 1000, Rate: 50, FetchRate: 400, Domain: "d0"}
+	r := &balance.Request{Affinity: 7, Shared: 10_000, Unshared: 1000, Rate: 50, FetchRate: 400, Domain: "d0"}
 	list[0].QueuedTokens = 20_000
 	g.Expect(balance.Choose(list, r).Index).To(BeZero(), "it waits where it is kept")
 	list[0].QueuedTokens = 200_000
@@ -150,7 +150,7 @@
 	g := NewWithT(t)
 	list := engines(1)
 	list[0].QueuedTokens, list[0].CachedShare, list[0].Slowness = 6000, 0.5, 2
-	c := balance.Choose(list, &balance.Request{Affinity: 7, Shared: 8000, Own: 2000, Rate: 60, Domain: "d0"})
+	c := balance.Choose(list, &balance.Request{Affinity: 7, Shared: 8000, Unshared: 2000, Rate: 60, Domain: "d0"})
 	g.Expect(c.Wait).To(BeNumerically("~", 400, 1))
 }
 
