--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -86,8 +86,8 @@
 	Rate, FetchRate float64
 	// Domain is the failure domain of the instance that asks.
 	Domain string
-	// Draw is a number drawn uniformly from [0, 1).
-	Draw float64
+	// Random is a number drawn uniformly from [0, 1).
+	Random float64
 	// MaxAhead is how much may wait before it, in milliseconds; zero means any.
 	MaxAhead float64
 }
@@ -180,13 +180,13 @@
 }
 
 // drawn is the draw as a seed for scores.
-func (c *costs) drawn() uint64 { return math.Float64bits(c.request.Draw) }
+func (c *costs) drawn() uint64 { return math.Float64bits(c.request.Random) }
 
 // pick takes one of the near candidates: the first one in the order of the affinity,
 // or else one in the own failure domain, or else any, in turns.
 func pick(list []Upstream, r *Request, isNear func(*Upstream) bool) int {
 	best, score := None, uint64(0)
-	start := int(r.Draw * float64(len(list)))
+	start := int(r.Random * float64(len(list)))
 	for k := range list {
 		i := (start + k) % len(list)
 		u := &list[i]
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -32,9 +32,9 @@
 		list[i].Active = 5
 	}
 	list[4].Active = 1
-	g.Expect(balance.Choose(list, &balance.Request{Domain: "d1", Draw: 0.9}).Index).To(Equal(4))
+	g.Expect(balance.Choose(list, &balance.Request{Domain: "d1", Random: 0.9}).Index).To(Equal(4))
 	list[4].Excluded = true
-	g.Expect(balance.Choose(list, &balance.Request{Domain: "d1", Draw: 0.1}).Index).To(Equal(1))
+	g.Expect(balance.Choose(list, &balance.Request{Domain: "d1", Random: 0.1}).Index).To(Equal(1))
 }
 
 func TestSuspectsAreTheLastResort(t *testing.T) {
@@ -65,7 +65,7 @@
 	list[0].Suspect, list[1].Suspect = true, true
 	for range 8 {
 		g.Expect(balance.Choose(list, r).Index).To(BeNumerically(">=", 2))
-		r.Draw += 0.12
+		r.Random += 0.12
 	}
 	list[2].Suspect, list[3].Suspect = true, true
 	g.Expect(balance.Choose(list, r).Index).NotTo(Equal(balance.None))
@@ -83,7 +83,7 @@
 	second := balance.Choose(list, r).Index
 	g.Expect(second).NotTo(Equal(first))
 	for draw := range 10 {
-		r.Draw = float64(draw) / 10
+		r.Random = float64(draw) / 10
 		g.Expect(balance.Choose(list, r).Index).To(Equal(second))
 	}
 }
