--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -88,8 +88,8 @@
 	Domain string
 	// Random is a number drawn uniformly from [0, 1).
 	Random float64
-	// MaxAhead is how much may wait before it, in milliseconds; zero means any.
-	MaxAhead float64
+	// MaxQueueMS is how much may wait before it, in milliseconds; zero means any.
+	MaxQueueMS float64
 }
 
 // Choice is an upstream with what is predicted of the request there.
@@ -149,7 +149,7 @@
 	}
 	c.sampleScore = leastOfTop(list, c.drawn(), sample, func(u *Upstream) bool { return candidate(u) && !c.isHome(u) })
 	at := c.cheapest(list, func(u *Upstream) bool { return candidate(u) && c.considered(u) })
-	if r.MaxAhead > 0 && ahead(&list[at], r) > r.MaxAhead {
+	if r.MaxQueueMS > 0 && ahead(&list[at], r) > r.MaxQueueMS {
 		at = c.cheapest(list, candidate)
 	}
 	return Choice{Index: at, Wait: wait(&list[at], r), Ahead: ahead(&list[at], r)}
--- a/core/balance/claims_test.go
+++ b/core/balance/claims_test.go
@@ -98,7 +98,7 @@
 	list[7].QueuedTokens = 0
 	drawn := 0
 	for i := range 1000 {
-		r := &balance.Request{Affinity: uint64(1 + i), Shared: 5000, Unshared: 6600, Rate: 100, Domain: "d0", Random: float64(i) / 1000, MaxAhead: 3000}
+		r := &balance.Request{Affinity: uint64(1 + i), Shared: 5000, Unshared: 6600, Rate: 100, Domain: "d0", Random: float64(i) / 1000, MaxQueueMS: 3000}
 		if balance.Choose(list, r).Index == 7 {
 			drawn++
 		}
@@ -117,7 +117,7 @@
 	}
 	list[31].QueuedTokens = 0
 	for i := range 200 {
-		r := &balance.Request{Affinity: uint64(1 + i), Shared: 5000, Unshared: 6600, Rate: 100, Domain: "d0", Random: float64(i) / 200, MaxAhead: 500}
+		r := &balance.Request{Affinity: uint64(1 + i), Shared: 5000, Unshared: 6600, Rate: 100, Domain: "d0", Random: float64(i) / 200, MaxQueueMS: 500}
 		g.Expect(balance.Choose(list, r).Index).To(Equal(31))
 	}
 }
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -131,7 +131,7 @@
 	list := f.services[r.service]
 	now := time.Now()
 	f.describe(r, list, now, domain, avoid, true)
-	q := &balance.Request{Affinity: r.affinity, Shared: r.shared, Unshared: r.tokens - r.shared, Domain: domain, Random: rand.Float64(), FetchRate: r.fetchRate, MaxAhead: r.maxAhead}
+	q := &balance.Request{Affinity: r.affinity, Shared: r.shared, Unshared: r.tokens - r.shared, Domain: domain, Random: rand.Float64(), FetchRate: r.fetchRate, MaxQueueMS: r.maxAhead}
 	if r.tokens > 0 {
 		q.Rate = f.pace(r.service).rate.PerMS()
 	}
