--- a/core/balance/claims_test.go
+++ b/core/balance/claims_test.go
@@ -80,10 +80,10 @@
 	r := &balance.Request{Unshared: 3000, Rate: 100, Domain: "d0"}
 	c := balance.Choose(list, r)
 	g.Expect(c.Index).To(Equal(1))
-	g.Expect(c.Ahead).To(BeNumerically("~", 200, 1))
+	g.Expect(c.QueueMS).To(BeNumerically("~", 200, 1))
 	list[1].Excluded = true
 	c = balance.Choose(list, r)
-	g.Expect(c.Ahead).To(BeNumerically("~", 600, 1), "three ends at 12 in 2.4 s")
+	g.Expect(c.QueueMS).To(BeNumerically("~", 600, 1), "three ends at 12 in 2.4 s")
 }
 
 // Some engine looks idle in what all instances have heard. If each sent it what comes until
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -147,14 +147,14 @@
 			return nil, true
 		}
 	}
-	if r.quick && c.Ahead > overflowShare*float64(r.route.Target.Milliseconds()) {
+	if r.quick && c.QueueMS > overflowShare*float64(r.route.Target.Milliseconds()) {
 		// A quick request harms nobody elsewhere; a long one among quick ones would.
 		f.describe(r, list, now, domain, avoid, false)
 		if c = f.pick(r, q, list); c.Index == balance.None {
 			return nil, r.limited
 		}
 	}
-	if c.Ahead > r.maxAhead && r.tokens > 0 {
+	if c.QueueMS > r.maxAhead && r.tokens > 0 {
 		return nil, true
 	}
 	u = list[c.Index]
