--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -95,10 +95,10 @@
 // Choice is an upstream with what is predicted of the request there.
 type Choice struct {
 	Index int
-	// Wait is the predicted time to the first event in milliseconds, and QueueMS the
+	// FirstEventMS is the predicted time to the first event in milliseconds, and QueueMS the
 	// part of it for what waits before the request; zero for upstreams that are no
 	// engines.
-	Wait, QueueMS float64
+	FirstEventMS, QueueMS float64
 }
 
 // None is the index when no upstream is left.
@@ -152,7 +152,7 @@
 	if r.MaxQueueMS > 0 && ahead(&list[at], r) > r.MaxQueueMS {
 		at = c.cheapest(list, candidate)
 	}
-	return Choice{Index: at, Wait: wait(&list[at], r), QueueMS: ahead(&list[at], r)}
+	return Choice{Index: at, FirstEventMS: wait(&list[at], r), QueueMS: ahead(&list[at], r)}
 }
 
 // cheapest picks among the near ones of the upstreams that may be taken.
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -142,7 +142,7 @@
 	list[0].QueuedTokens = 200_000
 	c := balance.Choose(list, r)
 	g.Expect(c.Index).To(Equal(1))
-	g.Expect(c.Wait).To(BeNumerically("~", 1000/50+10_000/400, 1))
+	g.Expect(c.FirstEventMS).To(BeNumerically("~", 1000/50+10_000/400, 1))
 	g.Expect(balance.Unread(&list[1], r)).To(Equal(1000.0))
 }
 
@@ -151,7 +151,7 @@
 	list := engines(1)
 	list[0].QueuedTokens, list[0].CachedShare, list[0].Slowness = 6000, 0.5, 2
 	c := balance.Choose(list, &balance.Request{Affinity: 7, Shared: 8000, Unshared: 2000, Rate: 60, Domain: "d0"})
-	g.Expect(c.Wait).To(BeNumerically("~", 400, 1))
+	g.Expect(c.FirstEventMS).To(BeNumerically("~", 400, 1))
 }
 
 // An upstream fails part of its requests while its health check passes. It must get
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -139,7 +139,7 @@
 	if c.Index == balance.None {
 		return nil, r.limited
 	}
-	r.predicted, r.upstream = c.Wait, list[c.Index].id
+	r.predicted, r.upstream = c.FirstEventMS, list[c.Index].id
 	r.unread, r.ahead = int(balance.Unread(&f.scratch[c.Index], q)), f.scratch[c.Index].QueuedTokens
 	if r.tokens > 0 && len(avoid) == 0 {
 		f.offer(r, q, c, now)
@@ -161,7 +161,7 @@
 	if !f.spend(r, u) {
 		return nil, true
 	}
-	r.predicted, r.nominal = c.Wait, balance.Nominal(&f.scratch[c.Index], q)
+	r.predicted, r.nominal = c.FirstEventMS, balance.Nominal(&f.scratch[c.Index], q)
 	r.upstream, r.unread, r.ahead = u.id, int(balance.Unread(&f.scratch[c.Index], q)), f.scratch[c.Index].QueuedTokens
 	r.fetchFrom = ""
 	if f.scratch[c.Index].Fetchable {
