--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -207,8 +207,8 @@
 	return best
 }
 
-// Unread is how many tokens of the request an upstream would have to read.
-func Unread(u *Upstream, r *Request) float64 {
+// UncachedTokens is how many tokens of the request an upstream would have to read.
+func UncachedTokens(u *Upstream, r *Request) float64 {
 	if u.Fetchable {
 		return float64(r.Unshared)
 	}
@@ -241,7 +241,7 @@
 	if u.Capacity == 0 || r.Rate <= 0 {
 		return 0
 	}
-	return ahead(u, r) + Unread(u, r)/r.Rate*u.Slowness + fetching(u, r)
+	return ahead(u, r) + UncachedTokens(u, r)/r.Rate*u.Slowness + fetching(u, r)
 }
 
 // ahead predicts how long the request waits before its prompt is read, in milliseconds:
--- a/core/balance/balance_test.go
+++ b/core/balance/balance_test.go
@@ -143,7 +143,7 @@
 	c := balance.Choose(list, r)
 	g.Expect(c.Index).To(Equal(1))
 	g.Expect(c.FirstEventMS).To(BeNumerically("~", 1000/50+10_000/400, 1))
-	g.Expect(balance.Unread(&list[1], r)).To(Equal(1000.0))
+	g.Expect(balance.UncachedTokens(&list[1], r)).To(Equal(1000.0))
 }
 
 func TestWaitIsPredicted(t *testing.T) {
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -140,7 +140,7 @@
 		return nil, r.limited
 	}
 	r.predicted, r.upstream = c.FirstEventMS, list[c.Index].id
-	r.unread, r.ahead = int(balance.Unread(&f.scratch[c.Index], q)), f.scratch[c.Index].QueuedTokens
+	r.unread, r.ahead = int(balance.UncachedTokens(&f.scratch[c.Index], q)), f.scratch[c.Index].QueuedTokens
 	if r.tokens > 0 && len(avoid) == 0 {
 		f.offer(r, q, c, now)
 		if r.shed {
@@ -162,7 +162,7 @@
 		return nil, true
 	}
 	r.predicted, r.nominal = c.FirstEventMS, balance.Nominal(&f.scratch[c.Index], q)
-	r.upstream, r.unread, r.ahead = u.id, int(balance.Unread(&f.scratch[c.Index], q)), f.scratch[c.Index].QueuedTokens
+	r.upstream, r.unread, r.ahead = u.id, int(balance.UncachedTokens(&f.scratch[c.Index], q)), f.scratch[c.Index].QueuedTokens
 	r.fetchFrom = ""
 	if f.scratch[c.Index].Fetchable {
 		r.fetchFrom = f.holder.address
