--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -228,9 +228,9 @@
 	return (1 - u.CachedShare) * float64(r.Shared) / r.FetchRate
 }
 
-// Nominal predicts the time to the first event, in milliseconds, at an upstream that is as
+// NominalWait predicts the time to the first event, in milliseconds, at an upstream that is as
 // fast as its peers.
-func Nominal(u *Upstream, r *Request) float64 {
+func NominalWait(u *Upstream, r *Request) float64 {
 	peer := *u
 	peer.Slowness = 1
 	return wait(&peer, r)
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -161,7 +161,7 @@
 	if !f.spend(r, u) {
 		return nil, true
 	}
-	r.predicted, r.nominal = c.FirstEventMS, balance.Nominal(&f.scratch[c.Index], q)
+	r.predicted, r.nominal = c.FirstEventMS, balance.NominalWait(&f.scratch[c.Index], q)
 	r.upstream, r.unread, r.ahead = u.id, int(balance.UncachedTokens(&f.scratch[c.Index], q)), f.scratch[c.Index].QueuedTokens
 	r.fetchFrom = ""
 	if f.scratch[c.Index].Fetchable {
