--- a/core/balance/claims.go
+++ b/core/balance/claims.go
@@ -38,8 +38,8 @@
 // Ample if nothing waits and the pauses of quick requests stay short.
 type Need struct{ Least, Ample float64 }
 
-// NeedOf returns what the loads of a service's routes need.
-func NeedOf(loads map[string]RouteLoad, e *Engine) (n Need) {
+// EstimateNeed returns what the loads of a service's routes need.
+func EstimateNeed(loads map[string]RouteLoad, e *Engine) (n Need) {
 	for _, c := range claimsOf(loads, e) {
 		n.Least += c.least
 		n.Ample += c.ample
