--- a/core/balance/observe.go
+++ b/core/balance/observe.go
@@ -96,10 +96,10 @@
 	priorAnswers = 6.0
 )
 
-// Judge sets the Slowness and the Errors of all upstreams of a service from what was
+// ScorePeers sets the Slowness and the Errors of all upstreams of a service from what was
 // observed of each. Slowness is relative to the peers: in a burst all take longer than
 // predicted, which tells nothing about one of them.
-func Judge(list []Upstream, observed []Observed) {
+func ScorePeers(list []Upstream, observed []Observed) {
 	var all Observed
 	for i := range observed {
 		all.Add(observed[i])
--- a/core/balance/observe_test.go
+++ b/core/balance/observe_test.go
@@ -12,7 +12,7 @@
 // judged returns upstreams that are alike but for what was observed of them.
 func judged(observed ...balance.Observed) []balance.Upstream {
 	list := fleet(len(observed))
-	balance.Judge(list, observed)
+	balance.ScorePeers(list, observed)
 	return list
 }
 
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -202,7 +202,7 @@
 		f.scratch = append(f.scratch, b)
 		f.observed = append(f.observed, observed)
 	}
-	balance.Judge(f.scratch, f.observed)
+	balance.ScorePeers(f.scratch, f.observed)
 	f.holder = nil
 	if r.affinity == 0 {
 		return
