--- a/core/balance/learn.go
+++ b/core/balance/learn.go
@@ -84,8 +84,8 @@
 	maxKept = 4096
 )
 
-// Kept remembers which prompts an upstream was sent, by their hashes.
-type Kept struct{ at map[uint64]keptPrompt }
+// PromptCache remembers which prompts an upstream was sent, by their hashes.
+type PromptCache struct{ at map[uint64]keptPrompt }
 
 // keptPrompt is when a prompt was sent for the first and for the last time, and when all
 // instances were told so last.
@@ -101,7 +101,7 @@
 const ripe = 1500 * time.Millisecond
 
 // Note says that the upstream reads a prompt.
-func (k *Kept) Note(now time.Time, prompt uint64) {
+func (k *PromptCache) Note(now time.Time, prompt uint64) {
 	if k.at == nil {
 		k.at = map[uint64]keptPrompt{}
 	}
@@ -118,7 +118,7 @@
 
 // Tell reports whether other instances are to be told that the upstream reads the prompt,
 // and takes it that they are.
-func (k *Kept) Tell(now time.Time, prompt uint64) bool {
+func (k *PromptCache) Tell(now time.Time, prompt uint64) bool {
 	seen, known := k.at[prompt]
 	if !known || now.Sub(seen.told) < tellAgain {
 		return false
@@ -129,7 +129,7 @@
 }
 
 // Hear takes in that another instance told all that the upstream reads a prompt.
-func (k *Kept) Hear(now time.Time, prompt uint64) {
+func (k *PromptCache) Hear(now time.Time, prompt uint64) {
 	k.Note(now, prompt)
 	seen := k.at[prompt]
 	seen.told = now
@@ -137,12 +137,12 @@
 }
 
 // Ripe reports whether the upstream is believed to have read the prompt whole.
-func (k *Kept) Ripe(now time.Time, prompt uint64) bool {
+func (k *PromptCache) Ripe(now time.Time, prompt uint64) bool {
 	seen, known := k.at[prompt]
 	return known && now.Sub(seen.first) > ripe && now.Sub(seen.last) < keptFor
 }
 
-func (k *Kept) forget(now time.Time) {
+func (k *PromptCache) forget(now time.Time) {
 	for name, at := range k.at {
 		if now.Sub(at.last) > keptFor/2 {
 			delete(k.at, name)
@@ -154,7 +154,7 @@
 }
 
 // Part returns which part of the prompt is believed to be kept.
-func (k *Kept) Part(now time.Time, prompt uint64) float64 {
+func (k *PromptCache) Part(now time.Time, prompt uint64) float64 {
 	if at, known := k.at[prompt]; known && now.Sub(at.last) < keptFor {
 		return 1
 	}
--- a/core/balance/learn_test.go
+++ b/core/balance/learn_test.go
@@ -15,7 +15,7 @@
 func TestPromptIsRipeOnceItWasRead(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
-	var k balance.Kept
+	var k balance.PromptCache
 	k.Note(now, 7)
 	g.Expect(k.Part(now, 7)).To(Equal(1.0))
 	g.Expect(k.Ripe(now.Add(time.Second), 7)).To(BeFalse())
@@ -31,7 +31,7 @@
 func TestKeptPromptIsToldOnceInAWhile(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
-	var k, other balance.Kept
+	var k, other balance.PromptCache
 	g.Expect(k.Tell(now, 7)).To(BeFalse())
 	k.Note(now, 7)
 	g.Expect(k.Tell(now, 7)).To(BeTrue())
@@ -63,7 +63,7 @@
 
 func TestKeptPromptsAreForgottenInTime(t *testing.T) {
 	g := NewWithT(t)
-	var k balance.Kept
+	var k balance.PromptCache
 	now := time.Unix(100, 0)
 	g.Expect(k.Part(now, 7)).To(BeZero())
 	k.Note(now, 7)
--- a/instance/relay/upstream.go
+++ b/instance/relay/upstream.go
@@ -25,7 +25,7 @@
 	active  int
 	held    int
 	reading int
-	kept    balance.Kept
+	kept    balance.PromptCache
 
 	mu sync.Mutex
 	// failures counts failures in a row; until is when an upstream that failed may
