--- a/core/balance/learn.go
+++ b/core/balance/learn.go
@@ -136,8 +136,8 @@
 	k.at[prompt] = seen
 }
 
-// Ripe reports whether the upstream is believed to have read the prompt whole.
-func (k *PromptCache) Ripe(now time.Time, prompt uint64) bool {
+// FullyCached reports whether the upstream is believed to have read the prompt whole.
+func (k *PromptCache) FullyCached(now time.Time, prompt uint64) bool {
 	seen, known := k.at[prompt]
 	return known && now.Sub(seen.first) > ripe && now.Sub(seen.last) < keptFor
 }
--- a/core/balance/learn_test.go
+++ b/core/balance/learn_test.go
@@ -18,12 +18,12 @@
 	var k balance.PromptCache
 	k.Note(now, 7)
 	g.Expect(k.Part(now, 7)).To(Equal(1.0))
-	g.Expect(k.Ripe(now.Add(time.Second), 7)).To(BeFalse())
+	g.Expect(k.FullyCached(now.Add(time.Second), 7)).To(BeFalse())
 	k.Note(now.Add(time.Second), 7)
-	g.Expect(k.Ripe(now.Add(2*time.Second), 7)).To(BeTrue(), "counted from the first time")
-	g.Expect(k.Ripe(now.Add(time.Hour), 7)).To(BeFalse())
+	g.Expect(k.FullyCached(now.Add(2*time.Second), 7)).To(BeTrue(), "counted from the first time")
+	g.Expect(k.FullyCached(now.Add(time.Hour), 7)).To(BeFalse())
 	k.Note(now.Add(time.Hour), 7)
-	g.Expect(k.Ripe(now.Add(time.Hour+time.Second), 7)).To(BeFalse(), "and anew after a long pause")
+	g.Expect(k.FullyCached(now.Add(time.Hour+time.Second), 7)).To(BeFalse(), "and anew after a long pause")
 }
 
 // Every request told all instances anew where its prompt is kept. It is told once, and again
