--- a/core/balance/learn.go
+++ b/core/balance/learn.go
@@ -116,9 +116,9 @@
 	k.at[prompt] = seen
 }
 
-// Tell reports whether other instances are to be told that the upstream reads the prompt,
+// TryAnnounce reports whether other instances are to be told that the upstream reads the prompt,
 // and takes it that they are.
-func (k *PromptCache) Tell(now time.Time, prompt uint64) bool {
+func (k *PromptCache) TryAnnounce(now time.Time, prompt uint64) bool {
 	seen, known := k.at[prompt]
 	if !known || now.Sub(seen.told) < tellAgain {
 		return false
--- a/core/balance/learn_test.go
+++ b/core/balance/learn_test.go
@@ -32,19 +32,19 @@
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
 	var k, other balance.PromptCache
-	g.Expect(k.Tell(now, 7)).To(BeFalse())
+	g.Expect(k.TryAnnounce(now, 7)).To(BeFalse())
 	k.Note(now, 7)
-	g.Expect(k.Tell(now, 7)).To(BeTrue())
+	g.Expect(k.TryAnnounce(now, 7)).To(BeTrue())
 	other.Hear(now, 7)
 	for s := range 25 {
 		at := now.Add(time.Duration(s) * time.Second)
 		k.Note(at, 7)
-		if k.Tell(at, 7) {
+		if k.TryAnnounce(at, 7) {
 			other.Hear(at, 7)
 			g.Expect(s).To(BeNumerically(">=", 10))
 		}
 		other.Note(at, 7)
-		g.Expect(other.Tell(at, 7)).To(BeFalse(), "another one has told it")
+		g.Expect(other.TryAnnounce(at, 7)).To(BeFalse(), "another one has told it")
 	}
 	g.Expect(other.Part(now.Add(45*time.Second), 7)).To(Equal(1.0), "told again in time")
 }
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -168,7 +168,7 @@
 		r.fetchFrom = f.holder.address
 	}
 	u.begin(r, now)
-	if r.affinity != 0 && len(f.placed) < maxPlaced && u.kept.Tell(now, r.affinity) {
+	if r.affinity != 0 && len(f.placed) < maxPlaced && u.kept.TryAnnounce(now, r.affinity) {
 		f.placed = append(f.placed, servingsvc.Placed{Prompt: r.affinity, Begun: u.begun})
 	}
 	return u, false
