--- a/core/balance/learn.go
+++ b/core/balance/learn.go
@@ -128,8 +128,8 @@
 	return true
 }
 
-// Hear takes in that another instance told all that the upstream reads a prompt.
-func (k *PromptCache) Hear(now time.Time, prompt uint64) {
+// RecordAnnounced takes in that another instance told all that the upstream reads a prompt.
+func (k *PromptCache) RecordAnnounced(now time.Time, prompt uint64) {
 	k.Note(now, prompt)
 	seen := k.at[prompt]
 	seen.told = now
--- a/core/balance/learn_test.go
+++ b/core/balance/learn_test.go
@@ -35,12 +35,12 @@
 	g.Expect(k.TryAnnounce(now, 7)).To(BeFalse())
 	k.Note(now, 7)
 	g.Expect(k.TryAnnounce(now, 7)).To(BeTrue())
-	other.Hear(now, 7)
+	other.RecordAnnounced(now, 7)
 	for s := range 25 {
 		at := now.Add(time.Duration(s) * time.Second)
 		k.Note(at, 7)
 		if k.TryAnnounce(at, 7) {
-			other.Hear(at, 7)
+			other.RecordAnnounced(at, 7)
 			g.Expect(s).To(BeNumerically(">=", 10))
 		}
 		other.Note(at, 7)
--- a/instance/relay/exchange.go
+++ b/instance/relay/exchange.go
@@ -42,7 +42,7 @@
 	for _, p := range r.Placed {
 		// What was placed at an incarnation that has ended since is kept nowhere.
 		if u := f.byBegun[p.Begun]; u != nil {
-			u.kept.Hear(f.othersAt, p.Prompt)
+			u.kept.RecordAnnounced(f.othersAt, p.Prompt)
 		}
 	}
 	for service, loads := range routes {
