--- a/core/balance/learn.go
+++ b/core/balance/learn.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// Part returns which part of the prompt is believed to be kept.
-func (k *PromptCache) Part(now time.Time, prompt uint64) float64 {
+// CachedShare returns which part of the prompt is believed to be kept.
+func (k *PromptCache) CachedShare(now time.Time, prompt uint64) float64 {
 	if at, known := k.at[prompt]; known && now.Sub(at.last) < keptFor {
 		return 1
 	}
--- a/core/balance/learn_test.go
+++ b/core/balance/learn_test.go
@@ -17,7 +17,7 @@
 	now := time.Unix(100, 0)
 	var k balance.PromptCache
 	k.Note(now, 7)
-	g.Expect(k.Part(now, 7)).To(Equal(1.0))
+	g.Expect(k.CachedShare(now, 7)).To(Equal(1.0))
 	g.Expect(k.FullyCached(now.Add(time.Second), 7)).To(BeFalse())
 	k.Note(now.Add(time.Second), 7)
 	g.Expect(k.FullyCached(now.Add(2*time.Second), 7)).To(BeTrue(), "counted from the first time")
@@ -46,7 +46,7 @@
 		other.Note(at, 7)
 		g.Expect(other.TryAnnounce(at, 7)).To(BeFalse(), "another one has told it")
 	}
-	g.Expect(other.Part(now.Add(45*time.Second), 7)).To(Equal(1.0), "told again in time")
+	g.Expect(other.CachedShare(now.Add(45*time.Second), 7)).To(Equal(1.0), "told again in time")
 }
 
 func TestRateSettlesAtTheUpperQuartile(t *testing.T) {
@@ -65,8 +65,8 @@
 	g := NewWithT(t)
 	var k balance.PromptCache
 	now := time.Unix(100, 0)
-	g.Expect(k.Part(now, 7)).To(BeZero())
+	g.Expect(k.CachedShare(now, 7)).To(BeZero())
 	k.Note(now, 7)
-	g.Expect(k.Part(now, 7)).To(Equal(1.0))
-	g.Expect(k.Part(now.Add(time.Hour), 7)).To(BeZero())
+	g.Expect(k.CachedShare(now, 7)).To(Equal(1.0))
+	g.Expect(k.CachedShare(now.Add(time.Hour), 7)).To(BeZero())
 }
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -215,7 +215,7 @@
 func (f *fleet) describeKept(r *request, list []*upstream, now time.Time) {
 	for i, u := range list {
 		b := &f.scratch[i]
-		b.CachedShare = u.kept.Part(now, r.affinity)
+		b.CachedShare = u.kept.CachedShare(now, r.affinity)
 		if r.fetchRate > 0 && !b.Suspect && !b.Excluded && (f.holder == nil || u.active < f.holder.active) && u.kept.FullyCached(now, r.affinity) {
 			f.holder = u
 		}
