--- a/core/balance/learn.go
+++ b/core/balance/learn.go
@@ -100,8 +100,8 @@
 // one can take it over from there.
 const ripe = 1500 * time.Millisecond
 
-// Note says that the upstream reads a prompt.
-func (k *PromptCache) Note(now time.Time, prompt uint64) {
+// Record says that the upstream reads a prompt.
+func (k *PromptCache) Record(now time.Time, prompt uint64) {
 	if k.at == nil {
 		k.at = map[uint64]keptPrompt{}
 	}
@@ -130,7 +130,7 @@
 
 // RecordAnnounced takes in that another instance told all that the upstream reads a prompt.
 func (k *PromptCache) RecordAnnounced(now time.Time, prompt uint64) {
-	k.Note(now, prompt)
+	k.Record(now, prompt)
 	seen := k.at[prompt]
 	seen.told = now
 	k.at[prompt] = seen
--- a/core/balance/learn_test.go
+++ b/core/balance/learn_test.go
@@ -16,13 +16,13 @@
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
 	var k balance.PromptCache
-	k.Note(now, 7)
+	k.Record(now, 7)
 	g.Expect(k.CachedShare(now, 7)).To(Equal(1.0))
 	g.Expect(k.FullyCached(now.Add(time.Second), 7)).To(BeFalse())
-	k.Note(now.Add(time.Second), 7)
+	k.Record(now.Add(time.Second), 7)
 	g.Expect(k.FullyCached(now.Add(2*time.Second), 7)).To(BeTrue(), "counted from the first time")
 	g.Expect(k.FullyCached(now.Add(time.Hour), 7)).To(BeFalse())
-	k.Note(now.Add(time.Hour), 7)
+	k.Record(now.Add(time.Hour), 7)
 	g.Expect(k.FullyCached(now.Add(time.Hour+time.Second), 7)).To(BeFalse(), "and anew after a long pause")
 }
 
@@ -33,17 +33,17 @@
 	now := time.Unix(100, 0)
 	var k, other balance.PromptCache
 	g.Expect(k.TryAnnounce(now, 7)).To(BeFalse())
-	k.Note(now, 7)
+	k.Record(now, 7)
 	g.Expect(k.TryAnnounce(now, 7)).To(BeTrue())
 	other.RecordAnnounced(now, 7)
 	for s := range 25 {
 		at := now.Add(time.Duration(s) * time.Second)
-		k.Note(at, 7)
+		k.Record(at, 7)
 		if k.TryAnnounce(at, 7) {
 			other.RecordAnnounced(at, 7)
 			g.Expect(s).To(BeNumerically(">=", 10))
 		}
-		other.Note(at, 7)
+		other.Record(at, 7)
 		g.Expect(other.TryAnnounce(at, 7)).To(BeFalse(), "another one has told it")
 	}
 	g.Expect(other.CachedShare(now.Add(45*time.Second), 7)).To(Equal(1.0), "told again in time")
@@ -66,7 +66,7 @@
 	var k balance.PromptCache
 	now := time.Unix(100, 0)
 	g.Expect(k.CachedShare(now, 7)).To(BeZero())
-	k.Note(now, 7)
+	k.Record(now, 7)
 	g.Expect(k.CachedShare(now, 7)).To(Equal(1.0))
 	g.Expect(k.CachedShare(now.Add(time.Hour), 7)).To(BeZero())
 }
--- a/instance/relay/upstream.go
+++ b/instance/relay/upstream.go
@@ -61,7 +61,7 @@
 	u.reading += r.unread
 	u.held += r.tokens
 	if r.affinity != 0 {
-		u.kept.Note(now, r.affinity)
+		u.kept.Record(now, r.affinity)
 	}
 }
 
