--- a/core/balance/pools.go
+++ b/core/balance/pools.go
@@ -176,8 +176,8 @@
 	}
 }
 
-// Own returns what this instance sees, by route.
-func (p *Pools) Own(now time.Time) map[string]*RouteLoad {
+// LocalLoads returns what this instance sees, by route.
+func (p *Pools) LocalLoads(now time.Time) map[string]*RouteLoad {
 	p.decay(now)
 	return p.own
 }
--- a/core/balance/pools_test.go
+++ b/core/balance/pools_test.go
@@ -25,7 +25,7 @@
 		p.Note(now, &question)
 	}
 	loads = map[string]balance.RouteLoad{}
-	for name, l := range p.Own(now) {
+	for name, l := range p.LocalLoads(now) {
 		loads[name] = *l
 	}
 	return p, loads
--- a/instance/relay/exchange.go
+++ b/instance/relay/exchange.go
@@ -115,7 +115,7 @@
 	}
 	for service, p := range f.pools {
 		perMS := f.pace(service).rate.PerMS()
-		for name, l := range p.Own(now) {
+		for name, l := range p.LocalLoads(now) {
 			r.Work.Routes = append(r.Work.Routes, servingsvc.RouteLoadOf(service, name, l, perMS))
 		}
 	}
