--- a/core/balance/pools.go
+++ b/core/balance/pools.go
@@ -182,8 +182,8 @@
 	return p.own
 }
 
-// SetOthers takes what all other instances see, by route.
-func (p *Pools) SetOthers(loads map[string]RouteLoad) {
+// SetRemoteLoads takes what all other instances see, by route.
+func (p *Pools) SetRemoteLoads(loads map[string]RouteLoad) {
 	p.others = loads
 	p.reshare()
 }
--- a/core/balance/pools_test.go
+++ b/core/balance/pools_test.go
@@ -40,14 +40,14 @@
 	now := time.Unix(100, 0)
 	fresh, _ := seen(now, 0, 30)
 	_, others := seen(now, 60, 60)
-	fresh.SetOthers(others)
+	fresh.SetRemoteLoads(others)
 	g.Expect(fresh.Quick(&question, 50)).To(BeTrue())
 	g.Expect(fresh.Quick(&report, 50)).To(BeFalse())
 	fresh.Note(now, &question)
 
 	old, _ := seen(now, 60, 60)
 	_, few := seen(now, 0, 31)
-	old.SetOthers(few)
+	old.SetRemoteLoads(few)
 	old.Note(now, &question)
 	var ids []string
 	for i := range 12 {
@@ -66,7 +66,7 @@
 func TestResidueOfASumIsNoRoute(t *testing.T) {
 	g := NewWithT(t)
 	p, _ := seen(time.Unix(100, 0), 20, 20)
-	p.SetOthers(map[string]balance.RouteLoad{"rest": {Tokens: 60_000, Requests: 0.001, Gap: time.Second}})
+	p.SetRemoteLoads(map[string]balance.RouteLoad{"rest": {Tokens: 60_000, Requests: 0.001, Gap: time.Second}})
 	g.Expect(p.Quick(&report, 50)).To(BeFalse())
 	g.Expect(p.Quick(&question, 50)).To(BeTrue())
 }
--- a/instance/relay/exchange.go
+++ b/instance/relay/exchange.go
@@ -46,11 +46,11 @@
 		}
 	}
 	for service, loads := range routes {
-		f.poolsOf(service).SetOthers(loads)
+		f.poolsOf(service).SetRemoteLoads(loads)
 	}
 	for service, p := range f.pools {
 		if routes[service] == nil {
-			p.SetOthers(nil)
+			p.SetRemoteLoads(nil)
 		}
 	}
 }
