--- a/core/balance/claims_test.go
+++ b/core/balance/claims_test.go
@@ -29,10 +29,10 @@
 	for range 3000 {
 		now = now.Add(10 * time.Millisecond)
 		for range reports / 100 {
-			p.Note(now, &longReport)
+			p.Record(now, &longReport)
 		}
 		for range briefs / 100 {
-			p.Note(now, &brief)
+			p.Record(now, &brief)
 		}
 		p.Split(now, ids)
 	}
--- a/core/balance/pools.go
+++ b/core/balance/pools.go
@@ -134,8 +134,8 @@
 	Rank float64
 }
 
-// Note counts a request.
-func (p *Pools) Note(now time.Time, o *Offer) {
+// Record counts a request.
+func (p *Pools) Record(now time.Time, o *Offer) {
 	p.decay(now)
 	l := p.own[o.Route]
 	if l == nil {
--- a/core/balance/pools_test.go
+++ b/core/balance/pools_test.go
@@ -19,10 +19,10 @@
 func seen(now time.Time, reports, questions int) (p *balance.Pools, loads map[string]balance.RouteLoad) {
 	p = balance.NewPools()
 	for range reports {
-		p.Note(now, &report)
+		p.Record(now, &report)
 	}
 	for range questions {
-		p.Note(now, &question)
+		p.Record(now, &question)
 	}
 	loads = map[string]balance.RouteLoad{}
 	for name, l := range p.LocalLoads(now) {
@@ -43,12 +43,12 @@
 	fresh.SetRemoteLoads(others)
 	g.Expect(fresh.Quick(&question, 50)).To(BeTrue())
 	g.Expect(fresh.Quick(&report, 50)).To(BeFalse())
-	fresh.Note(now, &question)
+	fresh.Record(now, &question)
 
 	old, _ := seen(now, 60, 60)
 	_, few := seen(now, 0, 31)
 	old.SetRemoteLoads(few)
-	old.Note(now, &question)
+	old.Record(now, &question)
 	var ids []string
 	for i := range 12 {
 		ids = append(ids, fmt.Sprint("u", i))
@@ -82,9 +82,9 @@
 	note := func(questions int) {
 		for range 400 {
 			now = now.Add(20 * time.Millisecond)
-			p.Note(now, &balance.Offer{Route: "report", Tokens: 9000, Unread: 9000, Gap: time.Second})
+			p.Record(now, &balance.Offer{Route: "report", Tokens: 9000, Unread: 9000, Gap: time.Second})
 			for range questions {
-				p.Note(now, &balance.Offer{Route: "question", Tokens: 1400, Unread: 1400, Gap: 300 * time.Millisecond})
+				p.Record(now, &balance.Offer{Route: "question", Tokens: 1400, Unread: 1400, Gap: 300 * time.Millisecond})
 			}
 		}
 	}
@@ -108,8 +108,8 @@
 	g := NewWithT(t)
 	p := balance.NewPools()
 	for i := range 100 {
-		p.Note(time.Unix(100, int64(i)), &balance.Offer{Route: "a", Tokens: 3000, Unread: 3000, Gap: time.Second})
-		p.Note(time.Unix(100, int64(i)), &balance.Offer{Route: "b", Tokens: 2500, Unread: 2500, Gap: time.Second})
+		p.Record(time.Unix(100, int64(i)), &balance.Offer{Route: "a", Tokens: 3000, Unread: 3000, Gap: time.Second})
+		p.Record(time.Unix(100, int64(i)), &balance.Offer{Route: "b", Tokens: 2500, Unread: 2500, Gap: time.Second})
 	}
 	g.Expect(p.Split(time.Unix(101, 0), []string{"u", "v"})).To(BeEmpty())
 }
@@ -123,8 +123,8 @@
 	now := time.Unix(100, 0)
 	for range 2000 {
 		now = now.Add(10 * time.Millisecond)
-		p.Note(now, &balance.Offer{Route: "brief", Tokens: 9000, Unread: 3000, Gap: time.Second, Rank: 0})
-		p.Note(now, &balance.Offer{Route: "report", Tokens: 17000, Unread: 9000, Gap: time.Second, Rank: 1})
+		p.Record(now, &balance.Offer{Route: "brief", Tokens: 9000, Unread: 3000, Gap: time.Second, Rank: 0})
+		p.Record(now, &balance.Offer{Route: "report", Tokens: 17000, Unread: 9000, Gap: time.Second, Rank: 1})
 	}
 	p.SetEngine(balance.Engine{PerMS: 60})
 	g.Expect(p.Admitted(now, &balance.Offer{Route: "brief"}, 100)).To(Equal(1.0))
@@ -149,8 +149,8 @@
 	const each = 2000
 	for range each {
 		now = now.Add(10 * time.Millisecond)
-		p.Note(now, &cached)
-		p.Note(now, &uncached)
+		p.Record(now, &cached)
+		p.Record(now, &uncached)
 	}
 	p.SetEngine(balance.Engine{PerMS: 60})
 	g.Expect(p.Admitted(now, &cached, 100)).To(Equal(1.0))
@@ -184,9 +184,9 @@
 		p := balance.NewPools()
 		for k := range 3 {
 			if (i>>k)&1 == 0 {
-				p.Note(now, &balance.Offer{Route: "report", Tokens: 17000, Unread: 17000, Gap: time.Second, Rank: 1})
+				p.Record(now, &balance.Offer{Route: "report", Tokens: 17000, Unread: 17000, Gap: time.Second, Rank: 1})
 			} else {
-				p.Note(now, &balance.Offer{Route: "question", Tokens: 1400, Unread: 1400, Gap: 300 * time.Millisecond})
+				p.Record(now, &balance.Offer{Route: "question", Tokens: 1400, Unread: 1400, Gap: 300 * time.Millisecond})
 			}
 		}
 		n := len(p.Split(now, ids))
@@ -208,9 +208,9 @@
 	run := func(seconds, questions int) int {
 		for range seconds * 20 {
 			now = now.Add(50 * time.Millisecond)
-			p.Note(now, &balance.Offer{Route: "report", Tokens: 17000, Unread: 5000, Gap: time.Second, Rank: 1})
+			p.Record(now, &balance.Offer{Route: "report", Tokens: 17000, Unread: 5000, Gap: time.Second, Rank: 1})
 			for range questions {
-				p.Note(now, &balance.Offer{Route: "question", Tokens: 1400, Unread: 1400, Gap: 300 * time.Millisecond})
+				p.Record(now, &balance.Offer{Route: "question", Tokens: 1400, Unread: 1400, Gap: 300 * time.Millisecond})
 			}
 			p.Split(now, ids)
 		}
