--- a/core/balance/admission.go
+++ b/core/balance/admission.go
@@ -19,10 +19,10 @@
 	leastUncached = 0.1
 )
 
-// Admitted returns which part of a long route's requests like the offered one the
+// AdmittedShare returns which part of a long route's requests like the offered one the
 // upstreams that are not for quick ones can bear. Where it is not all, the most urgent
 // routes come first, and within a route the requests whose shared tokens are cached.
-func (p *Pools) Admitted(now time.Time, o *Offer, upstreams float64) float64 {
+func (p *Pools) AdmittedShare(now time.Time, o *Offer, upstreams float64) float64 {
 	p.decay(now)
 	left := upstreams
 	for _, l := range longRoutes(p.all()) {
--- a/core/balance/claims_test.go
+++ b/core/balance/claims_test.go
@@ -37,7 +37,7 @@
 		p.Split(now, ids)
 	}
 	quick = len(p.Split(now, ids))
-	return quick, p.Admitted(now, &balance.Offer{Route: "report"}, engine.Count-float64(quick))
+	return quick, p.AdmittedShare(now, &balance.Offer{Route: "report"}, engine.Count-float64(quick))
 }
 
 // Engines have 12 slots and read fast. Reports hold theirs for long; checks bring as much
--- a/core/balance/pools_test.go
+++ b/core/balance/pools_test.go
@@ -127,12 +127,12 @@
 		p.Record(now, &balance.Offer{Route: "report", Tokens: 17000, Unread: 9000, Gap: time.Second, Rank: 1})
 	}
 	p.SetEngine(balance.Engine{PerMS: 60})
-	g.Expect(p.Admitted(now, &balance.Offer{Route: "brief"}, 100)).To(Equal(1.0))
-	g.Expect(p.Admitted(now, &report, 100)).To(Equal(1.0))
-	g.Expect(p.Admitted(now, &balance.Offer{Route: "brief"}, 15)).To(Equal(1.0))
-	part := p.Admitted(now, &report, 15)
+	g.Expect(p.AdmittedShare(now, &balance.Offer{Route: "brief"}, 100)).To(Equal(1.0))
+	g.Expect(p.AdmittedShare(now, &report, 100)).To(Equal(1.0))
+	g.Expect(p.AdmittedShare(now, &balance.Offer{Route: "brief"}, 15)).To(Equal(1.0))
+	part := p.AdmittedShare(now, &report, 15)
 	g.Expect(part).To(BeNumerically("~", 0.35, 0.1))
-	g.Expect(p.Admitted(now, &report, 1)).To(BeNumerically(">", 0.2))
+	g.Expect(p.AdmittedShare(now, &report, 1)).To(BeNumerically(">", 0.2))
 	g.Expect(p.RequiredEngines(now)).To(BeNumerically("~", 100*(3000+9000)/(0.8*60_000), 5), "what operators are told")
 }
 
@@ -153,20 +153,20 @@
 		p.Record(now, &uncached)
 	}
 	p.SetEngine(balance.Engine{PerMS: 60})
-	g.Expect(p.Admitted(now, &cached, 100)).To(Equal(1.0))
-	g.Expect(p.Admitted(now, &uncached, 100)).To(Equal(1.0))
+	g.Expect(p.AdmittedShare(now, &cached, 100)).To(Equal(1.0))
+	g.Expect(p.AdmittedShare(now, &uncached, 100)).To(Equal(1.0))
 
 	const engines = 20
-	served := p.Admitted(now, &cached, engines)
-	read := p.Admitted(now, &uncached, engines)
+	served := p.AdmittedShare(now, &cached, engines)
+	read := p.AdmittedShare(now, &uncached, engines)
 	g.Expect(served).To(BeNumerically("~", 1, 1e-9))
 	g.Expect(read).To(BeNumerically("~", 0.3, 0.1))
 	work := served*float64(cached.Unread) + read*float64(uncached.Unread)
 	all := float64(cached.Unread + uncached.Unread)
-	both := p.Admitted(now, &balance.Offer{Route: "none"}, engines)
+	both := p.AdmittedShare(now, &balance.Offer{Route: "none"}, engines)
 	g.Expect(both).To(Equal(1.0), "a route that brings nothing")
 	g.Expect(work/all).To(BeNumerically("<", 0.55), "not more than the engines can read")
-	g.Expect(p.Admitted(now, &uncached, 2)).To(BeNumerically(">=", 0.1), "no prompt is shut out")
+	g.Expect(p.AdmittedShare(now, &uncached, 2)).To(BeNumerically(">=", 0.1), "no prompt is shut out")
 }
 
 // Ninety instances meet their first requests, each some other ones. They must draw
--- a/instance/relay/split.go
+++ b/instance/relay/split.go
@@ -109,7 +109,7 @@
 			able += 1 / max(1, u.Slowness)
 		}
 	}
-	part := p.Admitted(now, &o, able)
+	part := p.AdmittedShare(now, &o, able)
 	r.shed = part < 1 && rand.Float64() > part
 	if r.shed {
 		r.admission = admission{part: part, able: able, asked: p.RequiredEngines(now), cached: o.Cached}
