--- a/core/balance/claims.go
+++ b/core/balance/claims.go
@@ -36,13 +36,13 @@
 
 // Need is how many engines some requests need: Least if these are as busy as they may be,
 // Ample if nothing waits and the pauses of quick requests stay short.
-type Need struct{ Minimum, Ample float64 }
+type Need struct{ Minimum, Comfortable float64 }
 
 // EstimateNeed returns what the loads of a service's routes need.
 func EstimateNeed(loads map[string]RouteLoad, e *Engine) (n Need) {
 	for _, c := range claimsOf(loads, e) {
 		n.Minimum += c.least
-		n.Ample += c.ample
+		n.Comfortable += c.ample
 	}
 	return n
 }
--- a/instance/serving/fleet.go
+++ b/instance/serving/fleet.go
@@ -42,7 +42,7 @@
 		out.Known = told
 		if d, known := demand[v.Name]; known && v.Engine != nil {
 			engine := &balance.Engine{PerMS: d.PerMS, Slots: float64(v.Engine.Slots), Count: float64(ready)}
-			out.Need = balance.EstimateNeed(d.Loads, engine).Ample + s.lack(v.Name, upstreams, balance.EachPerSecond(d.Loads, engine))
+			out.Need = balance.EstimateNeed(d.Loads, engine).Comfortable + s.lack(v.Name, upstreams, balance.EachPerSecond(d.Loads, engine))
 		}
 		list = append(list, out)
 	}
