--- a/core/balance/claims_test.go
+++ b/core/balance/claims_test.go
@@ -124,7 +124,7 @@
 
 func TestResidenceIsTheMeanOfTheLatest(t *testing.T) {
 	g := NewWithT(t)
-	var r balance.Residence
+	var r balance.SlotTime
 	g.Expect(r.Duration()).To(Equal(time.Second), "before one is seen")
 	r.Observe(300 * time.Millisecond)
 	g.Expect(r.Duration()).To(Equal(300 * time.Millisecond))
--- a/core/balance/learn.go
+++ b/core/balance/learn.go
@@ -43,8 +43,8 @@
 	r.perMS = pace
 }
 
-// Residence learns for how long requests hold a slot of an engine.
-type Residence struct {
+// SlotTime learns for how long requests hold a slot of an engine.
+type SlotTime struct {
 	ms   float64
 	seen int
 }
@@ -59,7 +59,7 @@
 )
 
 // MS returns the mean in milliseconds.
-func (r *Residence) MS() float64 {
+func (r *SlotTime) MS() float64 {
 	if r.seen == 0 {
 		return firstResidence
 	}
@@ -67,12 +67,12 @@
 }
 
 // Duration returns the mean.
-func (r *Residence) Duration() time.Duration {
+func (r *SlotTime) Duration() time.Duration {
 	return time.Duration(r.MS() * float64(time.Millisecond))
 }
 
 // Observe takes in for how long a request held its slot.
-func (r *Residence) Observe(took time.Duration) {
+func (r *SlotTime) Observe(took time.Duration) {
 	r.seen = min(r.seen+1, residenceOf)
 	r.ms += (float64(took)/float64(time.Millisecond) - r.ms) / float64(r.seen)
 }
--- a/instance/relay/split.go
+++ b/instance/relay/split.go
@@ -11,12 +11,12 @@
 // for how long requests hold their slots, by what the engines are for and by route.
 type pace struct {
 	rate        balance.Rate
-	quick, long balance.Residence
-	routes      map[string]*balance.Residence
+	quick, long balance.SlotTime
+	routes      map[string]*balance.SlotTime
 }
 
 // residence returns the mean of the engines for quick requests, or of the others.
-func (p *pace) residence(quick bool) *balance.Residence {
+func (p *pace) residence(quick bool) *balance.SlotTime {
 	if quick {
 		return &p.quick
 	}
@@ -24,10 +24,10 @@
 }
 
 // route returns the mean of a route's requests.
-func (p *pace) route(name string) *balance.Residence {
+func (p *pace) route(name string) *balance.SlotTime {
 	r := p.routes[name]
 	if r == nil {
-		r = &balance.Residence{}
+		r = &balance.SlotTime{}
 		p.routes[name] = r
 	}
 	return r
@@ -37,7 +37,7 @@
 func (f *fleet) pace(service string) *pace {
 	p := f.paces[service]
 	if p == nil {
-		p = &pace{routes: map[string]*balance.Residence{}}
+		p = &pace{routes: map[string]*balance.SlotTime{}}
 		f.paces[service] = p
 	}
 	return p
