--- a/core/balance/pools.go
+++ b/core/balance/pools.go
@@ -126,8 +126,8 @@
 	// Cached says that the upstream that it would go to has its shared tokens, or can
 	// fetch them.
 	Cached bool
-	// Residence is for how long it is expected to hold a slot.
-	Residence time.Duration
+	// SlotTime is for how long it is expected to hold a slot.
+	SlotTime time.Duration
 	// Gap is the longest pause that it allows; zero means that it does not say.
 	Gap time.Duration
 	// Rank is how urgent its route is: 0 for the most urgent ones, 1 for the least.
@@ -145,9 +145,9 @@
 	l.Tokens += float64(o.Tokens)
 	l.Unread += float64(o.Unread)
 	l.Requests++
-	l.SlotTime += o.Residence.Seconds()
+	l.SlotTime += o.SlotTime.Seconds()
 	l.Recent += float64(o.Unread) + answering
-	l.RecentSlots += o.Residence.Seconds()
+	l.RecentSlots += o.SlotTime.Seconds()
 	if o.Cached {
 		l.RecentCached += float64(o.Unread) + answering
 	}
--- a/instance/relay/split.go
+++ b/instance/relay/split.go
@@ -94,7 +94,7 @@
 	chosen := &f.scratch[c.Index]
 	o.Unread = int(balance.UncachedTokens(chosen, q))
 	o.Cached = chosen.Fetchable || chosen.CachedShare > 0 || r.shared == 0
-	o.Residence = f.pace(r.service).route(r.route.Name).Duration()
+	o.SlotTime = f.pace(r.service).route(r.route.Name).Duration()
 	p.Record(now, &o)
 	if r.quick {
 		return
