--- a/core/pick/filters.go
+++ b/core/pick/filters.go
@@ -6,7 +6,7 @@
 type HoldsModel struct{}
 
 // Keep implements Filter.
-func (HoldsModel) Keep(_ *Request, c *Candidate) bool { return c.Holds }
+func (HoldsModel) Keep(_ *Request, c *Candidate) bool { return c.HasModel }
 
 // NotExcluded drops upstreams at which the request was tried before.
 type NotExcluded struct{}
--- a/core/pick/pick.go
+++ b/core/pick/pick.go
@@ -11,8 +11,8 @@
 // Candidate is what is known about one upstream at the moment of a choice.
 type Candidate struct {
 	Name string
-	// Holds says that the upstream holds the request's model.
-	Holds bool
+	// HasModel says that the upstream holds the request's model.
+	HasModel bool
 	// Excluded says that the request was tried there before.
 	Excluded bool
 	Draining bool
--- a/core/pick/pick_test.go
+++ b/core/pick/pick_test.go
@@ -11,7 +11,7 @@
 )
 
 func candidate(name string) pick.Candidate {
-	return pick.Candidate{Name: name, Holds: true, Slots: 10, Free: 10}
+	return pick.Candidate{Name: name, HasModel: true, Slots: 10, Free: 10}
 }
 
 func choose(t *testing.T, r pick.Request, list ...pick.Candidate) string {
@@ -26,7 +26,7 @@
 func TestRequiredFiltersAlwaysHold(t *testing.T) {
 	g := NewWithT(t)
 	change := []func(*pick.Candidate){
-		func(c *pick.Candidate) { c.Holds = false },
+		func(c *pick.Candidate) { c.HasModel = false },
 		func(c *pick.Candidate) { c.Excluded = true },
 		func(c *pick.Candidate) { c.Draining = true },
 		func(c *pick.Candidate) { c.Free = 0 },
--- a/core/pick/scorers.go
+++ b/core/pick/scorers.go
@@ -87,7 +87,7 @@
 	sum, n := 0.0, 0
 	for i := range candidates {
 		c := &candidates[i]
-		if !c.Holds {
+		if !c.HasModel {
 			continue
 		}
 		n++
--- a/core/sched/engine.go
+++ b/core/sched/engine.go
@@ -149,7 +149,7 @@
 	backlog := e.promptsNow(now)
 	return pick.Candidate{
 		Name:       e.Name,
-		Holds:      true,
+		HasModel:      true,
 		Excluded:   contains(i.Excluded, e.Name),
 		Draining:   e.Draining || e.gone,
 		Slots:      e.slots,
