--- a/core/pick/pick.go
+++ b/core/pick/pick.go
@@ -22,9 +22,9 @@
 	Slots, InFlight, Free int
 	// Unstarted counts requests that were sent and have no first token yet.
 	Unstarted int
-	// Prefix is the share of the prompt, in [0,1], that the upstream's prefix
+	// CachedShare is the share of the prompt, in [0,1], that the upstream's prefix
 	// cache is believed to hold.
-	Prefix float64
+	CachedShare float64
 	// Prefill is how many prompt tokens the upstream has to work through: those
 	// that were sent of late and are not cached, with the request's own.
 	Prefill float64
--- a/core/pick/pick_test.go
+++ b/core/pick/pick_test.go
@@ -77,7 +77,7 @@
 	for n := range list {
 		list[n] = candidate("e")
 	}
-	list[3].Prefix = 1
+	list[3].CachedShare = 1
 	h := pick.Default(pick.Best{})
 	rnd := rand.New(rand.NewSource(1))
 	for range 40 {
--- a/core/pick/scorers.go
+++ b/core/pick/scorers.go
@@ -49,7 +49,7 @@
 	if c.InFlight > 0 && oneMore > bound {
 		return 0
 	}
-	return clamp(c.Prefix)
+	return clamp(c.CachedShare)
 }
 
 // TokenRate prefers upstreams that generate fast; one at the median or unknown
--- a/core/sched/dispatch.go
+++ b/core/sched/dispatch.go
@@ -179,7 +179,7 @@
 		return false
 	}
 	e := s.holders[choice.Index]
-	prefix := s.candidates[choice.Index].Prefix
+	prefix := s.candidates[choice.Index].CachedShare
 	s.account(now, i, floor)
 	s.dequeue(i)
 	s.send(now, i, e)
--- a/core/sched/engine.go
+++ b/core/sched/engine.go
@@ -156,7 +156,7 @@
 		InFlight:   e.used(now),
 		Free:       e.free(now, i.class.Protected, headroom),
 		Unstarted:  len(e.unstarted),
-		Prefix:     prefix,
+		CachedShare:     prefix,
 		Prefill:    backlog + float64(i.PromptTokens)*(1-prefix),
 		Backlog:    backlog,
 		Paced:      e.pacedFlight > 0,
