--- a/core/pick/filters.go
+++ b/core/pick/filters.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// HoldsModel keeps upstreams that hold the request's model.
-type HoldsModel struct{}
+// HasModel keeps upstreams that hold the request's model.
+type HasModel struct{}
 
 // Keep implements Filter.
-func (HoldsModel) Keep(_ *Request, c *Candidate) bool { return c.HasModel }
+func (HasModel) Keep(_ *Request, c *Candidate) bool { return c.HasModel }
 
 // NotExcluded drops upstreams at which the request was tried before.
 type NotExcluded struct{}
@@ -20,11 +20,11 @@
 // Keep implements Filter.
 func (NotDraining) Keep(_ *Request, c *Candidate) bool { return !c.Draining }
 
-// HasRoom drops upstreams without a slot for the request's class.
-type HasRoom struct{}
+// HasFreeSlot drops upstreams without a slot for the request's class.
+type HasFreeSlot struct{}
 
 // Keep implements Filter.
-func (HasRoom) Keep(_ *Request, c *Candidate) bool { return c.Free > 0 }
+func (HasFreeSlot) Keep(_ *Request, c *Candidate) bool { return c.Free > 0 }
 
 // NoStraggler guards against an engine that still answers, only several times
 // slower than its peers: requests sent to it miss their level while it looks
@@ -77,6 +77,6 @@
 
 // Keep implements Filter.
 func (SparesPaced) Keep(r *Request, c *Candidate) bool {
-	own := c.Prefill - c.Backlog
+	own := c.PrefillTokens - c.Backlog
 	return r.Pace > 0 || !c.Paced || own <= shortPrompt || c.Backlog+min(own, promptRoom)/2 < promptRoom
 }
--- a/core/pick/pick.go
+++ b/core/pick/pick.go
@@ -25,9 +25,9 @@
 	// CachedShare is the share of the prompt, in [0,1], that the upstream's prefix
 	// cache is believed to hold.
 	CachedShare float64
-	// Prefill is how many prompt tokens the upstream has to work through: those
+	// PrefillTokens is how many prompt tokens the upstream has to work through: those
 	// that were sent of late and are not cached, with the request's own.
-	Prefill float64
+	PrefillTokens float64
 	// Backlog is the part of Prefill that was sent before.
 	Backlog float64
 	// Paced says that requests with a target between tokens run there.
@@ -121,7 +121,7 @@
 // most, because they apply to each request.
 func Default(p Picker) *Chain {
 	return &Chain{
-		Required:  []Filter{HoldsModel{}, NotExcluded{}, NotDraining{}, HasRoom{}, SparesPaced{}},
+		Required:  []Filter{HasModel{}, NotExcluded{}, NotDraining{}, HasFreeSlot{}, SparesPaced{}},
 		Preferred: []Filter{NoStraggler{}, InTime{}},
 		Scorers: []Weighted{
 			{Scorer: LeastLoad{}, Weight: 2},
--- a/core/pick/scorers.go
+++ b/core/pick/scorers.go
@@ -77,7 +77,7 @@
 
 // Score implements Scorer.
 func (LeastPrefill) Score(_ *Request, _ *Domain, c *Candidate) float64 {
-	return clamp(1 - c.Prefill/heavyPrefill)
+	return clamp(1 - c.PrefillTokens/heavyPrefill)
 }
 
 // Summarise works out what scores are relative to.
--- a/core/sched/engine.go
+++ b/core/sched/engine.go
@@ -157,7 +157,7 @@
 		Free:       e.free(now, i.class.Protected, headroom),
 		Unstarted:  len(e.unstarted),
 		CachedShare:     prefix,
-		Prefill:    backlog + float64(i.PromptTokens)*(1-prefix),
+		PrefillTokens:    backlog + float64(i.PromptTokens)*(1-prefix),
 		Backlog:    backlog,
 		Paced:      e.pacedFlight > 0,
 		FirstToken: seconds(first),
