--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -1,8 +1,7 @@
-// Package balance chooses the upstream for a request, as a chain of small steps:
-// filters take out what can't be used, a model of each candidate says what the
-// request would cost there, and a picker takes the cheapest one, or among equally
-// cheap ones the first in the order of the request's affinity. It knows nothing of
-// connections.
+// Package balance chooses the upstream for a request in three steps: filters remove unusable
+// upstreams, a cost model estimates what the request costs at each remaining candidate, and a picker
+// takes the cheapest. Among candidates of nearly equal cost it takes the first in the rendezvous
+// order of the request's affinity. The package handles no connections.
 package balance
 
 import (
@@ -11,44 +10,43 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Upstream is what is known of one upstream.
+// Upstream is the state of one upstream as far as it is known.
 type Upstream struct {
 	ID     string
 	Domain string
-	// Active counts the requests under way there, of all instances as far as is
-	// known, and Slots those that it runs at once.
+	// Active is the number of requests in flight there from all known instances, and Slots the
+	// number that it runs concurrently.
 	Active, Slots int
-	// QueuedTokens is how many prompt tokens wait to be read there, UsedTokens how many its
-	// requests hold in its memory, which has room for Capacity. They are zero for
-	// upstreams that are no engines.
+	// QueuedTokens is the number of prompt tokens waiting for prefill, and UsedTokens the number
+	// that its requests hold in KV memory, out of Capacity. All three are zero for upstreams that
+	// are not model engines.
 	QueuedTokens, UsedTokens, Capacity int
-	// CachedShare is the part of the request's shared tokens that is believed to be there, and
-	// Fetched says that the rest can be taken over from another upstream.
-	CachedShare    float64
-	Fetchable bool
-	// SlotTimeMS is for how long a request holds one of its slots, in milliseconds; zero
-	// means that it is not known.
+	// CachedShare is the share of the request's shared tokens that the upstream is believed to have
+	// cached. Fetchable says that the rest can be fetched from another upstream.
+	CachedShare float64
+	Fetchable   bool
+	// SlotTimeMS is the mean time for which a request holds a slot, in milliseconds; zero if
+	// unknown.
 	SlotTimeMS float64
-	// LimitShare is the part of what its peers take that it takes by a limit that it names; zero
-	// means that it names none.
+	// LimitShare is the share of its peers' request rate that the upstream accepts under the rate
+	// limit it announced; zero if it announced none.
 	LimitShare float64
-	// Slowness is how much longer than its peers' its answers have taken; 1 is normal.
+	// Slowness is the upstream's response time relative to its peers; 1 is normal.
 	Slowness float64
-	// Errors is the part of its latest answers that failed.
+	// Errors is the share of its recent answers that failed.
 	Errors float64
-	// OtherPool says that the upstream is for other requests than this one: it is picked
-	// when none of the request's own can be used. Suspect upstreams are picked only when
-	// no other is left, Excluded ones never.
+	// OtherPool says that the upstream belongs to the pool for another type of request; it is used
+	// only when no upstream of the request's own pool is usable. Suspect upstreams are used only
+	// when no other is left, Excluded ones never.
 	OtherPool, Suspect, Excluded bool
 }
 
-// preference is how well an upstream suits a request, by what is known of its health and
-// of what it is for; lower is better.
+// preference ranks upstreams by health and pool membership for a request; lower is better.
 type preference int
 
 const (
-	own preference = iota
-	elsewhere
+	preferred preference = iota
+	otherPool
 	suspect
 	unusable
 )
@@ -60,12 +58,13 @@
 	case u.Suspect:
 		return suspect
 	case u.OtherPool:
-		return elsewhere
+		return otherPool
 	}
-	return own
+	return preferred
 }
 
-// bestPreference is that of the candidates among which the choice is made.
+// bestPreference returns the lowest preference present in the list; only upstreams with this
+// preference are candidates.
 func bestPreference(list []Upstream) preference {
 	best := unusable
 	for i := range list {
@@ -74,116 +73,122 @@
 	return best
 }
 
-// Request is what is known of a request.
+// Request holds the properties of a request that affect the choice.
 type Request struct {
-	// Affinity is the hash of what an upstream may have kept; zero for nothing.
+	// Affinity is the hash of the prompt prefix that an upstream may have cached; zero if there is
+	// none.
 	Affinity uint64
-	// Shared and Unshared are the prompt tokens that are shared with other requests and
-	// those that are not.
+	// Shared is the number of prompt tokens that other requests have in common with this one, and
+	// Unshared the number that they do not.
 	Shared, Unshared int
-	// Rate is how many prompt tokens an engine reads in a millisecond, FetchRate how many
-	// it takes over from another one; zero means that it can't.
+	// Rate is an engine's prefill rate, and FetchRate the rate at which it fetches cached tokens
+	// from another engine, both in tokens per millisecond. Zero means that fetching is not
+	// supported.
 	Rate, FetchRate float64
-	// Domain is the failure domain of the instance that asks.
+	// Domain is the failure domain of the instance that sends the request.
 	Domain string
-	// Random is a number drawn uniformly from [0, 1).
+	// Random is a random number drawn uniformly from [0, 1).
 	Random float64
-	// MaxQueueMS is how much may wait before it, in milliseconds; zero means any.
+	// MaxQueueMS is the longest queueing time that the request tolerates, in milliseconds; zero
+	// means no limit.
 	MaxQueueMS float64
 }
 
-// Choice is an upstream with what is predicted of the request there.
+// Choice is the chosen upstream with the predicted latency there.
 type Choice struct {
 	Index int
-	// FirstEventMS is the predicted time to the first event in milliseconds, and QueueMS the
-	// part of it for what waits before the request; zero for upstreams that are no
-	// engines.
+	// FirstEventMS is the predicted time to the first event in milliseconds, and QueueMS the part of
+	// it spent queueing. Both are zero for upstreams that are not model engines.
 	FirstEventMS, QueueMS float64
 }
 
-// None is the index when no upstream is left.
+// None is the Index of a Choice when no upstream is usable.
 const None = -1
 
 const (
-	// otherDomain is what a way to another failure domain costs, in milliseconds:
-	// bytes between domains have a price, and such a way is cut more often.
-	otherDomain = 4.0
-	// prefillAgain weighs what a request makes an engine read that another one keeps,
-	// beside its own wait: it delays the others there and pushes out what they share.
-	prefillAgain = 6.0
-	// near is up to which cost above the lowest one candidates count as equal, as a
-	// part and in milliseconds. Picking the very lowest would send all instances,
-	// which see the same numbers a moment late, to the same upstream.
-	near, nearMS = 0.15, 6.0
-	// memoryLimit is the part of an engine's memory that requests may hold before
-	// more of them push each other and what is kept out.
-	memoryLimit = 0.85
-	// crowded multiplies the cost of an engine without free memory.
-	crowded = 6.0
-	// sample is how many upstreams are weighed besides those that keep the prompt and its
-	// homes. See considered.
-	sample = 2
-	// homes is how many upstreams a prompt that nobody keeps may well go to, and awayFromHome
-	// weighs what it costs to read it anywhere else.
-	homes        = 3
-	awayFromHome = 2.0
-	// failing multiplies the cost of an upstream, by what part more of its requests
-	// fail than of its peers'. Failures that all have alike are the requests' own.
-	failing = 25.0
-	// tolerated is what the share of failures may differ by chance.
-	tolerated = 0.12
-	// slotMS is the cost of a busy slot at an upstream that is no engine.
-	slotMS = 60.0
+	// crossDomainCostMS is the cost of a route to another failure domain, in milliseconds: traffic
+	// between domains is billed, and such connections fail more often.
+	crossDomainCostMS = 4.0
+	// duplicatePrefillWeight weighs the cost, beyond the request's own wait, of prefilling tokens
+	// that another engine has cached: it delays other requests on the engine and evicts their shared
+	// prefixes.
+	duplicatePrefillWeight = 6.0
+	// Candidates whose cost exceeds the lowest by no more than equalCostShare (relative) plus
+	// equalCostMS (in milliseconds) count as equal. Always picking the lowest would send all
+	// instances, which see the same slightly stale loads, to the same upstream.
+	equalCostShare, equalCostMS = 0.15, 6.0
+	// memoryHighWater is the share of an engine's KV memory that requests may hold before further
+	// ones preempt running requests and evict cached prefixes.
+	memoryHighWater = 0.85
+	// fullMemoryFactor multiplies the cost of an engine above memoryHighWater.
+	fullMemoryFactor = 6.0
+	// sampleSize is the number of randomly drawn upstreams that are considered besides those that
+	// cache the prompt and its home upstreams. See isCandidate.
+	sampleSize = 2
+	// homeCount is the number of home upstreams for a prompt that no upstream has cached, and
+	// nonHomeWeight weighs the cost of prefilling it elsewhere.
+	homeCount     = 3
+	nonHomeWeight = 2.0
+	// failureWeight multiplies the cost of an upstream by its failure share in excess of the lowest
+	// among the candidates. Failures common to all candidates are attributed to the requests.
+	failureWeight = 25.0
+	// failureTolerance is the difference in failure shares that is attributed to chance.
+	failureTolerance = 0.12
+	// fullOccupancyCostMS is the cost of a fully occupied upstream that is not a model engine, in
+	// milliseconds.
+	busySlotCostMS = 60.0
 )
 
-// Choose picks the upstream to use.
+// Choose returns the upstream to use for the request.
 func Choose(list []Upstream, r *Request) Choice {
 	best := bestPreference(list)
 	if best == unusable {
 		return Choice{Index: None}
 	}
 	candidate := func(u *Upstream) bool { return u.preference() == best }
-	c := costs{request: r, common: commonErrors(list, best)}
+	c := costs{request: r, baselineErrors: minErrorShare(list, best)}
 	if r.Affinity != 0 {
-		c.homeScore = leastOfTop(list, r.Affinity, homes, candidate)
+		c.homeScore = kthHighestScore(list, r.Affinity, homeCount, candidate)
 	}
-	c.sampleScore = leastOfTop(list, c.drawn(), sample, func(u *Upstream) bool { return candidate(u) && !c.isHome(u) })
-	at := c.cheapest(list, func(u *Upstream) bool { return candidate(u) && c.considered(u) })
-	if r.MaxQueueMS > 0 && ahead(&list[at], r) > r.MaxQueueMS {
+	c.sampleScore = kthHighestScore(list, c.sampleSeed(), sampleSize, func(u *Upstream) bool { return candidate(u) && !c.isHome(u) })
+	at := c.cheapest(list, func(u *Upstream) bool { return candidate(u) && c.isCandidate(u) })
+	if r.MaxQueueMS > 0 && queueMS(&list[at], r) > r.MaxQueueMS {
 		at = c.cheapest(list, candidate)
 	}
-	return Choice{Index: at, FirstEventMS: wait(&list[at], r), QueueMS: ahead(&list[at], r)}
+	return Choice{Index: at, FirstEventMS: firstEventMS(&list[at], r), QueueMS: queueMS(&list[at], r)}
 }
 
-// cheapest picks among the near ones of the upstreams that may be taken.
+// cheapest picks an upstream for which may returns true, among those whose cost is nearly the
+// lowest.
 func (c *costs) cheapest(list []Upstream, may func(*Upstream) bool) int {
 	lowest := math.Inf(1)
 	for i := range list {
 		if may(&list[i]) {
-			lowest = min(lowest, c.of(&list[i]))
+			lowest = min(lowest, c.estimate(&list[i]))
 		}
 	}
-	return pick(list, c.request, func(u *Upstream) bool { return may(u) && c.of(u) <= lowest*(1+near)+nearMS })
+	return pick(list, c.request, func(u *Upstream) bool { return may(u) && c.estimate(u) <= lowest*(1+equalCostShare)+equalCostMS })
 }
 
-// considered reports whether an engine is weighed at all. All instances see the same
-// loads some hundred milliseconds late; if all weighed all engines, all would send what
-// comes in that time to the one that looked idle. So each request weighs those that keep
-// its prompt, the homes of it, and a few drawn by lot.
-func (c *costs) considered(u *Upstream) bool {
-	return u.Capacity == 0 || u.CachedShare > 0 || c.isHome(u) || rendezvous(c.drawn(), u.ID) >= c.sampleScore
+// isCandidate reports whether an engine's cost is considered. All instances see the same loads,
+// delayed by some hundred milliseconds; if all of them considered every engine, all would send the
+// requests of that interval to the one that looked idle. Each request therefore considers only the
+// engines that cache its prompt, its home upstreams and a few random ones.
+func (c *costs) isCandidate(u *Upstream) bool {
+	return u.Capacity == 0 || u.CachedShare > 0 || c.isHome(u) || rendezvous(c.sampleSeed(), u.ID) >= c.sampleScore
 }
 
-// isHome reports whether an upstream is a home of the request's prompt.
+// isHome reports whether the upstream is one of the prompt's home upstreams.
 func (c *costs) isHome(u *Upstream) bool {
 	return c.request.Affinity != 0 && rendezvous(c.request.Affinity, u.ID) >= c.homeScore
 }
 
-// drawn is the draw as a seed for scores.
-func (c *costs) drawn() uint64 { return math.Float64bits(c.request.Random) }
+// sampleSeed returns the random number of the request as a seed for rendezvous scores.
+func (c *costs) sampleSeed() uint64 { return math.Float64bits(c.request.Random) }
 
-// pick takes one of the near candidates: the first one in the order of the affinity,
-// or else one in the own failure domain, or else any, in turns.
+// pick chooses among the near-cheapest candidates: the first in the rendezvous order of the affinity
+// or, without one, a candidate in the local failure domain, else any. Ties rotate with the random
+// start.
 func pick(list []Upstream, r *Request, isNear func(*Upstream) bool) int {
 	best, score := None, uint64(0)
 	start := int(r.Random * float64(len(list)))
@@ -207,57 +212,56 @@
 	return best
 }
 
-// UncachedTokens is how many tokens of the request an upstream would have to read.
+// UncachedTokens returns how many of the request's tokens the upstream would have to prefill.
 func UncachedTokens(u *Upstream, r *Request) float64 {
 	if u.Fetchable {
 		return float64(r.Unshared)
 	}
-	return wholeUnread(u, r)
+	return uncachedWithoutFetch(u, r)
 }
 
-// wholeUnread is Unread where nothing is taken over from another upstream.
-func wholeUnread(u *Upstream, r *Request) float64 {
+// uncachedWithoutFetch is UncachedTokens without fetching from another upstream.
+func uncachedWithoutFetch(u *Upstream, r *Request) float64 {
 	return float64(r.Unshared) + (1-u.CachedShare)*float64(r.Shared)
 }
 
-// fetching is how long the taking over takes, in milliseconds.
-func fetching(u *Upstream, r *Request) float64 {
+// fetchMS returns how long fetching the cached tokens from another upstream takes, in milliseconds.
+func fetchMS(u *Upstream, r *Request) float64 {
 	if !u.Fetchable {
 		return 0
 	}
 	return (1 - u.CachedShare) * float64(r.Shared) / r.FetchRate
 }
 
-// NominalWait predicts the time to the first event, in milliseconds, at an upstream that is as
-// fast as its peers.
+// NominalWait predicts the time to the first event, in milliseconds, at an upstream that is as fast
+// as its peers.
 func NominalWait(u *Upstream, r *Request) float64 {
 	peer := *u
 	peer.Slowness = 1
-	return wait(&peer, r)
+	return firstEventMS(&peer, r)
 }
 
-// wait predicts the time to the first event, in milliseconds.
-func wait(u *Upstream, r *Request) float64 {
+// firstEventMS predicts the time to the first event, in milliseconds.
+func firstEventMS(u *Upstream, r *Request) float64 {
 	if u.Capacity == 0 || r.Rate <= 0 {
 		return 0
 	}
-	return ahead(u, r) + UncachedTokens(u, r)/r.Rate*u.Slowness + fetching(u, r)
+	return queueMS(u, r) + UncachedTokens(u, r)/r.Rate*u.Slowness + fetchMS(u, r)
 }
 
-// ahead predicts how long the request waits before its prompt is read, in milliseconds:
-// for what is to be read before it, or for a slot, whichever is longer.
-func ahead(u *Upstream, r *Request) float64 {
+// queueMS predicts how long the request queues before its prefill starts, in milliseconds: for the
+// prefill queued before it or for a free slot, whichever takes longer.
+func queueMS(u *Upstream, r *Request) float64 {
 	if u.Capacity == 0 || r.Rate <= 0 {
 		return 0
 	}
-	return max(float64(u.QueuedTokens)/r.Rate, slotWait(u)) * u.Slowness
+	return max(float64(u.QueuedTokens)/r.Rate, slotWaitMS(u)) * u.Slowness
 }
 
-// slotWait predicts the time until a slot is free for one more request: an engine with all
-// slots taken frees them at the pace at which requests end. Where engines have 12 slots,
-// requests that found 8 more than that on the way waited for a second and more beside
-// engines with free ones.
-func slotWait(u *Upstream) float64 {
+// slotWaitMS predicts the time until a slot is free for one more request, in milliseconds: a full
+// engine frees slots at the rate at which requests end. On engines with 12 slots, requests that
+// found 8 more than that in flight waited for over a second while other engines had free slots.
+func slotWaitMS(u *Upstream) float64 {
 	over := u.Active + 1 - u.Slots
 	if over <= 0 || u.Slots == 0 {
 		return 0
@@ -265,8 +269,8 @@
 	return float64(over) * u.SlotTimeMS / float64(u.Slots)
 }
 
-// commonErrors is the smallest part of failed answers among the candidates.
-func commonErrors(list []Upstream, best preference) float64 {
+// minErrorShare returns the lowest failure share among the candidates.
+func minErrorShare(list []Upstream, best preference) float64 {
 	common := 1.0
 	for i := range list {
 		if list[i].preference() == best {
@@ -276,48 +280,49 @@
 	return common
 }
 
-// costs works out what a request costs at each candidate.
+// costs estimates the cost of a request at each candidate.
 type costs struct {
 	request *Request
-	// common is the smallest part of failed answers among the candidates. homeScore is the
-	// least score of the homes of the request's prompt: the first upstreams in its order.
-	// Instances that meet a new prompt in the same moment don't know of each other;
-	// choosing among the same few, they mostly choose the same one.
-	common    float64
-	homeScore uint64
-	// sampleScore is the least score of the upstreams that are drawn.
+	// baselineErrors is the lowest failure share among the candidates. homeScore is the lowest score
+	// of the prompt's home upstreams, which are the first upstreams in its rendezvous order.
+	// Instances that see a new prompt at the same moment do not know of each other; choosing among
+	// the same few upstreams, they mostly agree.
+	baselineErrors float64
+	homeScore      uint64
+	// sampleScore is the lowest score of the randomly drawn upstreams.
 	sampleScore uint64
 }
 
-// of returns the cost at an upstream, in milliseconds.
-func (c *costs) of(u *Upstream) float64 {
+// estimate returns the cost of the request at an upstream, in milliseconds.
+func (c *costs) estimate(u *Upstream) float64 {
 	r := c.request
 	cost := 0.0
 	if u.Capacity == 0 || r.Rate <= 0 {
-		cost = slotMS * float64(u.Active+1) / float64(max(1, u.Slots)) * u.Slowness
+		cost = busySlotCostMS * float64(u.Active+1) / float64(max(1, u.Slots)) * u.Slowness
 	} else {
-		// What could be taken over from another engine counts as if it were read: it takes
-		// memory and moves gigabytes. At its own cost, prompts went wherever least waited:
-		// 1,112 GB moved in a minute of high load for 0.3 of 13 million tokens less to read.
-		cost = ahead(u, r) + wholeUnread(u, r)/r.Rate*u.Slowness + prefillAgain*(1-u.CachedShare)*float64(r.Shared)/r.Rate
+		// Tokens that could be fetched from another engine cost as much as prefilled ones, since
+		// fetching uses memory and moves gigabytes. When they cost only the fetch itself, prompts
+		// went wherever the queue was shortest: 1,112 GB were moved in a minute of high load to save
+		// 0.3 of 13 million prefilled tokens.
+		cost = queueMS(u, r) + uncachedWithoutFetch(u, r)/r.Rate*u.Slowness + duplicatePrefillWeight*(1-u.CachedShare)*float64(r.Shared)/r.Rate
 		if u.CachedShare == 0 && r.Affinity != 0 && !c.isHome(u) {
-			cost += awayFromHome * float64(r.Shared) / r.Rate
+			cost += nonHomeWeight * float64(r.Shared) / r.Rate
 		}
-		if float64(u.UsedTokens+r.Shared+r.Unshared) > memoryLimit*float64(u.Capacity) {
-			cost *= crowded
+		if float64(u.UsedTokens+r.Shared+r.Unshared) > memoryHighWater*float64(u.Capacity) {
+			cost *= fullMemoryFactor
 		}
 	}
-	cost *= 1 + failing*max(0, u.Errors-c.common-tolerated)
+	cost *= 1 + failureWeight*max(0, u.Errors-c.baselineErrors-failureTolerance)
 	if u.Domain != r.Domain {
-		cost += otherDomain
+		cost += crossDomainCostMS
 	}
 	return cost
 }
 
-// leastOfTop returns the least of the k highest scores that a seed gives the candidates;
-// zero if there are not as many.
-func leastOfTop(list []Upstream, seed uint64, k int, candidate func(*Upstream) bool) uint64 {
-	var top [homes]uint64
+// kthHighestScore returns the k-th highest rendezvous score of the candidates for a seed; zero if
+// there are fewer than k.
+func kthHighestScore(list []Upstream, seed uint64, k int, candidate func(*Upstream) bool) uint64 {
+	var top [homeCount]uint64
 	for i := range list {
 		if !candidate(&list[i]) {
 			continue
@@ -332,6 +337,7 @@
 	return top[k-1]
 }
 
+// rendezvous returns the rendezvous hashing score of an upstream for an affinity.
 func rendezvous(affinity uint64, id string) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(affinity)
--- a/core/balance/claims_test.go
+++ b/core/balance/demand_test.go
@@ -16,9 +16,9 @@
 	check        = balance.Offer{Route: "check", Tokens: 2400, Unread: 1800, SlotTime: 100 * time.Millisecond, Gap: 250 * time.Millisecond}
 )
 
-// steady plays a steady load of so many reports and quick requests a second, and returns
-// how many of the engines are for quick ones and which part of the reports is admitted.
-func steady(engine balance.Engine, reports int, brief balance.Offer, briefs int) (quick int, admitted float64) {
+// simulateSteadyLoad simulates a steady load of the given numbers of reports and quick requests per
+// second, and returns the size of the quick pool and the admitted share of the reports.
+func simulateSteadyLoad(engine balance.Engine, reports int, brief balance.Offer, briefs int) (quick int, admitted float64) {
 	p := balance.NewPools()
 	p.SetEngine(engine)
 	now := time.Unix(100, 0)
@@ -40,38 +40,37 @@
 	return quick, p.AdmittedShare(now, &balance.Offer{Route: "report"}, engine.Count-float64(quick))
 }
 
-// Engines have 12 slots and read fast. Reports hold theirs for long; checks bring as much
-// reading and are done at once. By the reading alone more than half of the engines would
-// idle with checks while reports wait for slots.
+// Guards against sizing the pools by prefill alone. On fast engines with 12 slots, reports hold
+// theirs for long, while checks bring as much prefill and end at once. By prefill alone, more than
+// half of the engines would idle with checks while reports wait for slots.
 func TestPoolsGoBySlotsWhereTheseRunOut(t *testing.T) {
 	g := NewWithT(t)
-	few, admitted := steady(balance.Engine{PerMS: 100, Slots: 12, Count: 120}, 400, check, 600)
-	many, _ := steady(balance.Engine{PerMS: 100, Slots: 1000, Count: 120}, 400, check, 600)
-	g.Expect(many).To(BeNumerically("~", 69, 6), "with slots in plenty only the reading counts")
+	few, admitted := simulateSteadyLoad(balance.Engine{PerMS: 100, Slots: 12, Count: 120}, 400, check, 600)
+	many, _ := simulateSteadyLoad(balance.Engine{PerMS: 100, Slots: 1000, Count: 120}, 400, check, 600)
+	g.Expect(many).To(BeNumerically("~", 69, 6), "with ample slots only prefill counts")
 	g.Expect(few).To(BeNumerically("~", 49, 6))
 	g.Expect(admitted).To(Equal(1.0))
 }
 
-// Twice as many reports come as engines have slots for. Questions are more urgent: they
-// keep what they need, and reports are admitted as far as the rest goes, never below the
-// part that each route gets in any case.
+// With twice as many reports as engines have slots for, the more urgent questions keep the engines
+// that they need. Reports are admitted as far as the rest suffices, but never below the share that
+// every route gets.
 func TestScarceEnginesGoToTheUrgentFirst(t *testing.T) {
 	g := NewWithT(t)
 	engine := balance.Engine{PerMS: 100, Slots: 12, Count: 100}
-	quick, admitted := steady(engine, 1000, longQuestion, 300)
+	quick, admitted := simulateSteadyLoad(engine, 1000, longQuestion, 300)
 	g.Expect(quick).To(BeNumerically("~", 25, 4), "300 questions hold 25 engines' slots")
 	g.Expect(admitted).To(BeNumerically("~", 0.45, 0.12))
-	quick, admitted = steady(engine, 8000, longQuestion, 300)
-	g.Expect(quick).To(BeNumerically(">=", 10), "nobody is left without engines")
-	g.Expect(admitted).To(BeNumerically("~", 0.25, 0.01), "nor shut out")
+	quick, admitted = simulateSteadyLoad(engine, 8000, longQuestion, 300)
+	g.Expect(quick).To(BeNumerically(">=", 10), "quick requests keep some engines")
+	g.Expect(admitted).To(BeNumerically("~", 0.25, 0.01), "the minimum share is admitted")
 }
 
-// All slots of an engine are taken and more requests wait for one. The next one waits for
-// as many ends as there are requests before it; an engine that reads a little but has a
-// free slot answers sooner.
+// A request for a full engine waits for as many requests to end as are queued before it. An engine
+// with some prefill queued but a free slot answers sooner.
 func TestFullSlotsAreWaitedFor(t *testing.T) {
 	g := NewWithT(t)
-	list := engines(2)
+	list := newEngines(2)
 	for i := range list {
 		list[i].Slots, list[i].SlotTimeMS = 12, 2400
 	}
@@ -83,15 +82,15 @@
 	g.Expect(c.QueueMS).To(BeNumerically("~", 200, 1))
 	list[1].Excluded = true
 	c = balance.Choose(list, r)
-	g.Expect(c.QueueMS).To(BeNumerically("~", 600, 1), "three ends at 12 in 2.4 s")
+	g.Expect(c.QueueMS).To(BeNumerically("~", 600, 1), "three requests end, at 12 per 2.4 s")
 }
 
-// Some engine looks idle in what all instances have heard. If each sent it what comes until
-// the next news, it would get it all: of 1,000 requests in that time only a few may go to
-// any one engine, other than those that it keeps the prompts of.
+// Guards against a herd on one engine that looks idle to all instances: if each sent it all requests
+// until the next load report, it would be flooded. Of 1,000 requests only a few may go to any one
+// engine that has not cached their prompts.
 func TestOneIdleEngineDoesNotDrawAll(t *testing.T) {
 	g := NewWithT(t)
-	list := engines(100)
+	list := newEngines(100)
 	for i := range list {
 		list[i].QueuedTokens = 30_000
 	}
@@ -103,15 +102,15 @@
 			drawn++
 		}
 	}
-	g.Expect(drawn).To(BeNumerically("<", 80), "five of a hundred are weighed")
+	g.Expect(drawn).To(BeNumerically("<", 80), "five of a hundred are considered")
 	g.Expect(drawn).To(BeNumerically(">", 20))
 }
 
-// Everything that is weighed has more waiting than the request may have before it. Before
-// it is refused, all others are looked at.
+// If every sampled engine exceeds the request's queueing limit, all engines must be considered
+// before the request is refused.
 func TestAllAreLookedAtBeforeARefusal(t *testing.T) {
 	g := NewWithT(t)
-	list := engines(60)
+	list := newEngines(60)
 	for i := range list {
 		list[i].QueuedTokens = 90_000
 	}
@@ -122,10 +121,10 @@
 	}
 }
 
-func TestResidenceIsTheMeanOfTheLatest(t *testing.T) {
+func TestSlotTimeIsMovingMean(t *testing.T) {
 	g := NewWithT(t)
 	var r balance.SlotTime
-	g.Expect(r.Duration()).To(Equal(time.Second), "before one is seen")
+	g.Expect(r.Duration()).To(Equal(time.Second), "before the first observation")
 	r.Observe(300 * time.Millisecond)
 	g.Expect(r.Duration()).To(Equal(300 * time.Millisecond))
 	for range 400 {
--- a/core/balance/learn.go
+++ b/core/balance/learn.go
@@ -3,35 +3,36 @@
 import "time"
 
 const (
-	// firstRate is taken for an engine's pace until some requests have shown it, in
-	// prompt tokens a millisecond.
-	firstRate = 50.0
-	// rateUp and rateDown are by what part one observation moves the pace. They are
-	// unequal so that it settles at the upper quartile: much makes a first event late
-	// that is not known here, and little makes one early.
+	// initialRate is the prefill rate assumed before the first observation, in prompt tokens per
+	// millisecond.
+	initialRate = 50.0
+	// rateUp and rateDown are the relative steps by which one observation moves the estimate. They
+	// are unequal so that it settles at the upper quartile: many unobserved effects delay a first
+	// event, few make it early.
 	rateUp, rateDown = 0.03, 0.01
-	// leastTokens is how many tokens an observation must be made on, and setupMS what
-	// a first event takes beside the reading.
-	leastTokens = 1500
-	setupMS     = 12.0
+	// minSampleTokens is the smallest prefill from which the rate is estimated, and
+	// firstEventOverheadMS the part of the time to the first event that is not prefill, in
+	// milliseconds.
+	minSampleTokens      = 1500
+	firstEventOverheadMS = 12.0
 )
 
-// Rate learns how many prompt tokens the engines of a service read in a millisecond.
+// Rate estimates the prefill rate of a service's engines, in prompt tokens per millisecond.
 type Rate struct{ perMS float64 }
 
-// PerMS returns the pace.
+// PerMS returns the estimated rate in prompt tokens per millisecond.
 func (r *Rate) PerMS() float64 {
 	if r.perMS == 0 {
-		return firstRate
+		return initialRate
 	}
 	return r.perMS
 }
 
-// Observe takes in that a request for which so many tokens were to be read, with
-// those that waited before it, had its first event after a time.
+// Observe records the time to the first event of a request. tokens counts its uncached prompt tokens
+// and those queued before it.
 func (r *Rate) Observe(tokens float64, took time.Duration) {
-	ms := float64(took)/float64(time.Millisecond) - setupMS
-	if tokens < leastTokens || ms <= 0 {
+	ms := float64(took)/float64(time.Millisecond) - firstEventOverheadMS
+	if tokens < minSampleTokens || ms <= 0 {
 		return
 	}
 	pace := r.PerMS()
@@ -43,25 +44,25 @@
 	r.perMS = pace
 }
 
-// SlotTime learns for how long requests hold a slot of an engine.
+// SlotTime estimates the mean time for which a request holds an engine's slot.
 type SlotTime struct {
 	ms   float64
 	seen int
 }
 
 const (
-	// firstResidence is taken until a request has shown it, in milliseconds: an answer of
-	// some hundred tokens.
-	firstResidence = 1000.0
-	// residenceOf is how many requests the mean is over: enough that answers of any length
-	// are among them.
-	residenceOf = 50
+	// initialSlotTimeMS is the mean assumed before the first observation, in milliseconds: the
+	// duration of an answer of some hundred tokens.
+	initialSlotTimeMS = 1000.0
+	// maxSlotTimeSamples is the number of requests in the moving mean: enough to include answers of
+	// all lengths.
+	maxSlotTimeSamples = 50
 )
 
 // MS returns the mean in milliseconds.
 func (r *SlotTime) MS() float64 {
 	if r.seen == 0 {
-		return firstResidence
+		return initialSlotTimeMS
 	}
 	return r.ms
 }
@@ -71,91 +72,92 @@
 	return time.Duration(r.MS() * float64(time.Millisecond))
 }
 
-// Observe takes in for how long a request held its slot.
+// Observe records how long a request held its slot.
 func (r *SlotTime) Observe(took time.Duration) {
-	r.seen = min(r.seen+1, residenceOf)
+	r.seen = min(r.seen+1, maxSlotTimeSamples)
 	r.ms += (float64(took)/float64(time.Millisecond) - r.ms) / float64(r.seen)
 }
 
 const (
-	// keptFor is for how long a prompt that was read is believed to be kept.
-	keptFor = 30 * time.Second
-	// maxKept bounds the prompts that are remembered of one upstream.
-	maxKept = 4096
+	// cacheLifetime is how long a prompt is assumed to stay cached after its last use.
+	cacheLifetime = 30 * time.Second
+	// maxCachedPrompts bounds the prompts tracked for one upstream.
+	maxCachedPrompts = 4096
 )
 
-// PromptCache remembers which prompts an upstream was sent, by their hashes.
-type PromptCache struct{ at map[uint64]keptPrompt }
+// PromptCache tracks which prompts an upstream is believed to have cached, by their hashes.
+type PromptCache struct{ at map[uint64]cachedPrompt }
 
-// keptPrompt is when a prompt was sent for the first and for the last time, and when all
-// instances were told so last.
-type keptPrompt struct{ first, last, told time.Time }
+// cachedPrompt holds when a prompt was first and last sent to the upstream, and when this was last
+// announced to the other instances.
+type cachedPrompt struct{ first, last, announced time.Time }
 
-// tellAgain is after what time it is told again that an upstream keeps a prompt that goes
-// on being sent there: well before others forget it. Told with each request, these notes
-// were most of the bytes between instances.
-const tellAgain = keptFor / 3
+// announceInterval is the time between two announcements of a prompt that is still in use, well
+// before other instances expire it. When every request was announced, the announcements made up most
+// of the traffic between instances.
+const announceInterval = cacheLifetime / 3
 
-// ripe is after what time an upstream is believed to have read a prompt, so that another
-// one can take it over from there.
-const ripe = 1500 * time.Millisecond
+// prefillDelay is the time after which an upstream is assumed to have finished the prefill of a
+// prompt, so that another upstream can fetch it.
+const prefillDelay = 1500 * time.Millisecond
 
-// Record says that the upstream reads a prompt.
+// Record notes that a request with the prompt was sent to the upstream.
 func (k *PromptCache) Record(now time.Time, prompt uint64) {
 	if k.at == nil {
-		k.at = map[uint64]keptPrompt{}
+		k.at = map[uint64]cachedPrompt{}
 	}
-	if len(k.at) >= maxKept {
-		k.forget(now)
+	if len(k.at) >= maxCachedPrompts {
+		k.evict(now)
 	}
 	seen := k.at[prompt]
-	if now.Sub(seen.last) > keptFor {
+	if now.Sub(seen.last) > cacheLifetime {
 		seen.first = now
 	}
 	seen.last = now
 	k.at[prompt] = seen
 }
 
-// TryAnnounce reports whether other instances are to be told that the upstream reads the prompt,
-// and takes it that they are.
+// TryAnnounce reports whether the prompt is due to be announced to the other instances, and if so
+// marks it as announced.
 func (k *PromptCache) TryAnnounce(now time.Time, prompt uint64) bool {
 	seen, known := k.at[prompt]
-	if !known || now.Sub(seen.told) < tellAgain {
+	if !known || now.Sub(seen.announced) < announceInterval {
 		return false
 	}
-	seen.told = now
+	seen.announced = now
 	k.at[prompt] = seen
 	return true
 }
 
-// RecordAnnounced takes in that another instance told all that the upstream reads a prompt.
+// RecordAnnounced records a prompt that another instance announced to all.
 func (k *PromptCache) RecordAnnounced(now time.Time, prompt uint64) {
 	k.Record(now, prompt)
 	seen := k.at[prompt]
-	seen.told = now
+	seen.announced = now
 	k.at[prompt] = seen
 }
 
-// FullyCached reports whether the upstream is believed to have read the prompt whole.
+// FullyCached reports whether the upstream is believed to have finished the prompt's prefill.
 func (k *PromptCache) FullyCached(now time.Time, prompt uint64) bool {
 	seen, known := k.at[prompt]
-	return known && now.Sub(seen.first) > ripe && now.Sub(seen.last) < keptFor
+	return known && now.Sub(seen.first) > prefillDelay && now.Sub(seen.last) < cacheLifetime
 }
 
-func (k *PromptCache) forget(now time.Time) {
+// evict removes prompts that were not used recently, and all prompts if that frees no space.
+func (k *PromptCache) evict(now time.Time) {
 	for name, at := range k.at {
-		if now.Sub(at.last) > keptFor/2 {
+		if now.Sub(at.last) > cacheLifetime/2 {
 			delete(k.at, name)
 		}
 	}
-	if len(k.at) >= maxKept {
+	if len(k.at) >= maxCachedPrompts {
 		clear(k.at)
 	}
 }
 
-// CachedShare returns which part of the prompt is believed to be kept.
+// CachedShare returns the share of the prompt that is believed to be cached.
 func (k *PromptCache) CachedShare(now time.Time, prompt uint64) float64 {
-	if at, known := k.at[prompt]; known && now.Sub(at.last) < keptFor {
+	if at, known := k.at[prompt]; known && now.Sub(at.last) < cacheLifetime {
 		return 1
 	}
 	return 0
--- a/core/balance/learn_test.go
+++ b/core/balance/learn_test.go
@@ -10,9 +10,9 @@
 	"github.com/comfreyladder/comfreyladder/core/balance"
 )
 
-// A prompt is taken over from an engine that has only begun to read it: nothing is there
-// yet, and it is read twice after all.
-func TestPromptIsRipeOnceItWasRead(t *testing.T) {
+// Guards against fetching a prompt from an engine that has only started its prefill: nothing is
+// cached there yet, so the prompt is prefilled twice.
+func TestFullyCachedAfterPrefill(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
 	var k balance.PromptCache
@@ -20,14 +20,15 @@
 	g.Expect(k.CachedShare(now, 7)).To(Equal(1.0))
 	g.Expect(k.FullyCached(now.Add(time.Second), 7)).To(BeFalse())
 	k.Record(now.Add(time.Second), 7)
-	g.Expect(k.FullyCached(now.Add(2*time.Second), 7)).To(BeTrue(), "counted from the first time")
+	g.Expect(k.FullyCached(now.Add(2*time.Second), 7)).To(BeTrue(), "counted from the first request")
 	g.Expect(k.FullyCached(now.Add(time.Hour), 7)).To(BeFalse())
 	k.Record(now.Add(time.Hour), 7)
-	g.Expect(k.FullyCached(now.Add(time.Hour+time.Second), 7)).To(BeFalse(), "and anew after a long pause")
+	g.Expect(k.FullyCached(now.Add(time.Hour+time.Second), 7)).To(BeFalse(), "counted again after expiry")
 }
 
-// Every request told all instances anew where its prompt is kept. It is told once, and again
-// before the others forget it, whoever told it; one that was never sent is not told.
+// Guards against announcing a cached prompt to all instances with every request. It is announced
+// once, and again by any instance before the others expire it; a prompt that was never sent is not
+// announced.
 func TestKeptPromptIsToldOnceInAWhile(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
@@ -44,9 +45,9 @@
 			g.Expect(s).To(BeNumerically(">=", 10))
 		}
 		other.Record(at, 7)
-		g.Expect(other.TryAnnounce(at, 7)).To(BeFalse(), "another one has told it")
+		g.Expect(other.TryAnnounce(at, 7)).To(BeFalse(), "another instance has announced it")
 	}
-	g.Expect(other.CachedShare(now.Add(45*time.Second), 7)).To(Equal(1.0), "told again in time")
+	g.Expect(other.CachedShare(now.Add(45*time.Second), 7)).To(Equal(1.0), "announced again before expiry")
 }
 
 func TestRateSettlesAtTheUpperQuartile(t *testing.T) {
@@ -61,7 +62,7 @@
 	g.Expect(r.PerMS()).To(BeNumerically("~", 88, 8))
 }
 
-func TestKeptPromptsAreForgottenInTime(t *testing.T) {
+func TestCachedPromptsExpire(t *testing.T) {
 	g := NewWithT(t)
 	var k balance.PromptCache
 	now := time.Unix(100, 0)
--- a/core/balance/observe.go
+++ b/core/balance/observe.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// With 200 instances before 80 engines, an instance gets one answer of an engine in ten
-// seconds: by its own answers it finds a slow or failing one after all its callers have
-// paid for it. So instances tell each other what they observe, as counts and sums, which
-// add up whoever saw what, and each goes by the total.
+// With 200 instances and 80 engines, an instance gets one answer from a given engine in ten seconds.
+// From its own answers alone it would detect a slow or failing engine only after all its callers had
+// been delayed. Instances therefore exchange their observations as counts and sums, which can be
+// added regardless of origin, and each acts on the totals.
 
-// observedFor is the time constant of observations: long enough that an engine with some
-// answers a second is told from its peers, short enough that one that recovers is tried
-// again after some seconds.
-const observedFor = 3 * time.Second
+// observationWindow is the time constant of the decay of observations: long enough to distinguish an
+// engine with some answers per second from its peers, short enough that a recovered one is tried
+// again after a few seconds.
+const observationWindow = 3 * time.Second
 
-// Observed is what answers of an upstream have shown, in sums that decay with observedFor.
+// Observed holds the observed results of an upstream as sums that decay with observationWindow.
 type Observed struct {
-	// Answers counts ended attempts, Failures those of them that failed.
+	// Answers counts finished attempts, and Failures the failed ones among them.
 	Answers, Failures float64
-	// Predicted and Took are sums of times to the first event, in milliseconds.
+	// Predicted and Took are sums of predicted and actual times to the first event, in milliseconds.
 	Predicted, Took float64
 }
 
-// Add adds what others observed.
+// Add adds the observations of another instance.
 func (o *Observed) Add(other Observed) {
 	o.Answers += other.Answers
 	o.Failures += other.Failures
@@ -31,8 +31,8 @@
 	o.Took += other.Took
 }
 
-// Subtract takes off what one instance observed. A sum that was made before its latest
-// report may lack something of it, so nothing falls below zero.
+// Subtract removes the observations of one instance from a sum. The sum may predate part of that
+// instance's latest report, so no value falls below zero.
 func (o *Observed) Subtract(part Observed) {
 	o.Answers = max(0, o.Answers-part.Answers)
 	o.Failures = max(0, o.Failures-part.Failures)
@@ -40,19 +40,19 @@
 	o.Took = max(0, o.Took-part.Took)
 }
 
-// Observer sums up what one instance observes of an upstream. It is not safe for
-// concurrent use.
+// Observer accumulates one instance's observations of an upstream. It is not safe for concurrent
+// use.
 type Observer struct {
 	sums Observed
 	at   time.Time
 }
 
-// Sums returns what was observed, as of now.
+// Sums returns the observations, decayed to the given time.
 func (s *Observer) Sums(now time.Time) Observed {
 	if s.at.IsZero() {
 		return Observed{}
 	}
-	f := math.Exp(-now.Sub(s.at).Seconds() / observedFor.Seconds())
+	f := math.Exp(-now.Sub(s.at).Seconds() / observationWindow.Seconds())
 	o := s.sums
 	return Observed{Answers: f * o.Answers, Failures: f * o.Failures, Predicted: f * o.Predicted, Took: f * o.Took}
 }
@@ -62,43 +62,42 @@
 	s.sums.Add(o)
 }
 
-// mostSlowness bounds what a single answer can show, leastSlowness what all can.
-const leastSlowness, mostSlowness = 0.7, 8.0
+// maxSlowness also bounds the effect of a single answer; minSlowness applies only to the result.
+const minSlowness, maxSlowness = 0.7, 8.0
 
-// FirstEvent takes in a first event that was predicted to take a time and took another,
-// both in milliseconds.
+// FirstEvent records the predicted and actual times to a first event, in milliseconds.
 func (s *Observer) FirstEvent(now time.Time, predicted, took float64) {
 	if predicted <= 0 {
 		return
 	}
-	s.add(now, Observed{Predicted: predicted, Took: min(took, mostSlowness*predicted)})
+	s.add(now, Observed{Predicted: predicted, Took: min(took, maxSlowness*predicted)})
 }
 
-// hardFailure is how many failures one counts as that shows that the process is gone or
-// can't be reached.
-const hardFailure = 4
+// hardFailureWeight is the number of ordinary failures that equal one that shows the process to be
+// gone or unreachable.
+const hardFailureWeight = 4
 
-// Succeeded takes in an attempt that got its answer.
+// Succeeded records a successful attempt.
 func (s *Observer) Succeeded(now time.Time) { s.add(now, Observed{Answers: 1}) }
 
-// Failed takes in an attempt that failed, by the upstream's fault or the request's own.
+// Failed records a failed attempt, whether the upstream or the request caused it.
 func (s *Observer) Failed(now time.Time) { s.add(now, Observed{Answers: 1, Failures: 1}) }
 
-// FailedHard takes in an attempt that found the upstream gone.
+// FailedHard records an attempt that found the upstream gone.
 func (s *Observer) FailedHard(now time.Time) {
-	s.add(now, Observed{Answers: hardFailure, Failures: hardFailure})
+	s.add(now, Observed{Answers: hardFailureWeight, Failures: hardFailureWeight})
 }
 
 const (
-	// priorMS is how much of its peers' times, in milliseconds, an upstream's own times are
-	// mixed with, and priorAnswers how many of their answers: a few answers prove little.
+	// priorMS and priorAnswers are the amounts of the peers' time, in milliseconds, and of the
+	// peers' answers that are mixed into an upstream's own, because a few answers are weak evidence.
 	priorMS      = 400.0
 	priorAnswers = 6.0
 )
 
-// ScorePeers sets the Slowness and the Errors of all upstreams of a service from what was
-// observed of each. Slowness is relative to the peers: in a burst all take longer than
-// predicted, which tells nothing about one of them.
+// ScorePeers sets the Slowness and Errors of a service's upstreams from the observations of each.
+// Slowness is relative to the peers: in a burst all upstreams exceed the prediction, which does not
+// make any one of them slow.
 func ScorePeers(list []Upstream, observed []Observed) {
 	var all Observed
 	for i := range observed {
@@ -109,7 +108,7 @@
 		o := &observed[i]
 		peers := (all.Took - o.Took + priorMS) / (all.Predicted - o.Predicted + priorMS)
 		slowness := (o.Took/peers + priorMS) / (o.Predicted + priorMS)
-		list[i].Slowness = min(mostSlowness, max(leastSlowness, slowness))
+		list[i].Slowness = min(maxSlowness, max(minSlowness, slowness))
 		list[i].Errors = (o.Failures + priorAnswers*errors) / (o.Answers + priorAnswers)
 	}
 }
--- a/core/balance/observe_test.go
+++ b/core/balance/observe_test.go
@@ -9,20 +9,20 @@
 	"github.com/comfreyladder/comfreyladder/core/balance"
 )
 
-// judged returns upstreams that are alike but for what was observed of them.
-func judged(observed ...balance.Observed) []balance.Upstream {
-	list := fleet(len(observed))
+// scored returns upstreams that differ only in their observations.
+func scored(observed ...balance.Observed) []balance.Upstream {
+	list := newUpstreams(len(observed))
 	balance.ScorePeers(list, observed)
 	return list
 }
 
-// An upstream turns slow while its probes stay good. It must cost more soon, and be
-// tried again some time later.
-func TestSlownessIsLearntAndForgotten(t *testing.T) {
+// An upstream that slows down while its health checks pass must soon cost more, and must be tried
+// again some time later.
+func TestSlownessIsDetectedAndDecays(t *testing.T) {
 	g := NewWithT(t)
 	var slow, peer balance.Observer
 	now := time.Unix(100, 0)
-	slowness := func() float64 { return judged(slow.Sums(now), peer.Sums(now), peer.Sums(now))[0].Slowness }
+	slowness := func() float64 { return scored(slow.Sums(now), peer.Sums(now), peer.Sums(now))[0].Slowness }
 	g.Expect(slowness()).To(Equal(1.0))
 	for range 8 {
 		slow.FirstEvent(now, 100, 500)
@@ -33,10 +33,10 @@
 	g.Expect(slowness()).To(BeNumerically("~", 1, 0.01))
 }
 
-// A fifth of 80 engines turns slow under 200 instances. Each instance gets an answer of a
-// slow one every ten seconds, so by its own answers it sends there as before, and callers
-// are late for as long as it lasts. One answer each, added up, must show it.
-func TestOneAnswerAtEachInstanceShowsASlowUpstream(t *testing.T) {
+// A fifth of 80 engines slows down under 200 instances, and each instance gets one answer from a
+// slow engine in ten seconds. From its own answers alone no instance would notice; the sum of one
+// answer per instance must show it.
+func TestSumOfSingleAnswersShowsSlowUpstream(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
 	var slow, peer balance.Observed
@@ -47,33 +47,33 @@
 		slow.Add(a.Sums(now))
 		peer.Add(b.Sums(now))
 	}
-	list := judged(slow, peer, peer, peer, peer)
+	list := scored(slow, peer, peer, peer, peer)
 	g.Expect(list[0].Slowness).To(BeNumerically(">", 2))
 	g.Expect(list[1].Slowness).To(BeNumerically("<", 1))
 }
 
-// In a burst all engines take three times as long as predicted. None of them is slow
-// beside its peers: taking all for slow would refuse what they can bear.
-func TestABurstMakesNoUpstreamSlow(t *testing.T) {
+// In a burst all engines take three times as long as predicted. None is slow relative to its peers,
+// and treating all as slow would refuse requests that they can serve.
+func TestBurstMakesNoUpstreamSlow(t *testing.T) {
 	g := NewWithT(t)
 	var o balance.Observer
 	now := time.Unix(100, 0)
 	for range 50 {
 		o.FirstEvent(now, 100, 300)
 	}
-	for _, u := range judged(o.Sums(now), o.Sums(now), o.Sums(now)) {
+	for _, u := range scored(o.Sums(now), o.Sums(now), o.Sums(now)) {
 		g.Expect(u.Slowness).To(BeNumerically("~", 1, 0.15))
 	}
 }
 
-// One upstream fails a third of its answers. A few answers may fail by chance or for the
-// requests' own sake; many tell it from its peers, whose own failures count for all alike.
-func TestFailuresTellOnceTheyAreMany(t *testing.T) {
+// An upstream fails a third of its answers. A few failures may be chance or caused by the requests;
+// many distinguish it from its peers. Failures common to all must not count.
+func TestManyFailuresAreSignificant(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
 	var bad, good balance.Observer
 	errors := func() float64 {
-		list := judged(bad.Sums(now), good.Sums(now), good.Sums(now))
+		list := scored(bad.Sums(now), good.Sums(now), good.Sums(now))
 		return list[0].Errors - list[1].Errors
 	}
 	bad.Failed(now)
@@ -91,5 +91,5 @@
 		good.FailedHard(now)
 		bad.FailedHard(now)
 	}
-	g.Expect(errors()).To(BeNumerically("<", 0.2), "what all have alike")
+	g.Expect(errors()).To(BeNumerically("<", 0.2), "failures common to all")
 }
--- a/core/balance/pools_test.go
+++ b/core/balance/pools_test.go
@@ -15,8 +15,9 @@
 	question = balance.Offer{Route: "question", Tokens: 1400, Unread: 1400, Gap: 250 * time.Millisecond}
 )
 
-// seen returns what an instance sees of so many reports and questions.
-func seen(now time.Time, reports, questions int) (p *balance.Pools, loads map[string]balance.RouteLoad) {
+// poolsWithLoad returns pools that have seen the given numbers of reports and questions, and their
+// loads.
+func poolsWithLoad(now time.Time, reports, questions int) (p *balance.Pools, loads map[string]balance.RouteLoad) {
 	p = balance.NewPools()
 	for range reports {
 		p.Record(now, &report)
@@ -31,41 +32,40 @@
 	return p, loads
 }
 
-// Short questions sit among long prompts in the first seconds of a day, and after each
-// restart of an instance: it has met none of the long ones yet and takes its questions
-// for the longest there are. It must go by the others' sums, and before there are any,
-// by the request itself.
-func TestInstanceThatHasSeenLittleGoesByTheOthers(t *testing.T) {
+// Guards against short questions joining the long prompts at the start and after each restart of an
+// instance: before it has seen long prompts, it takes its questions for the longest ones. It must
+// use the totals of the others and, before there are any, the request itself.
+func TestNewInstanceUsesRemoteLoads(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
-	fresh, _ := seen(now, 0, 30)
-	_, others := seen(now, 60, 60)
+	fresh, _ := poolsWithLoad(now, 0, 30)
+	_, others := poolsWithLoad(now, 60, 60)
 	fresh.SetRemoteLoads(others)
 	g.Expect(fresh.Quick(&question, 50)).To(BeTrue())
 	g.Expect(fresh.Quick(&report, 50)).To(BeFalse())
 	fresh.Record(now, &question)
 
-	old, _ := seen(now, 60, 60)
-	_, few := seen(now, 0, 31)
+	old, _ := poolsWithLoad(now, 60, 60)
+	_, few := poolsWithLoad(now, 0, 31)
 	old.SetRemoteLoads(few)
 	old.Record(now, &question)
 	var ids []string
 	for i := range 12 {
 		ids = append(ids, fmt.Sprint("u", i))
 	}
-	g.Expect(len(fresh.Split(now, ids))).To(Equal(len(old.Split(now, ids))), "all draw the same line")
+	g.Expect(len(fresh.Split(now, ids))).To(Equal(len(old.Split(now, ids))), "all size the pools alike")
 
 	empty := balance.NewPools()
 	g.Expect(empty.Quick(&question, 50)).To(BeTrue())
 	g.Expect(empty.Quick(&report, 50)).To(BeFalse())
 }
 
-// All requests are taken for quick ones for a moment, reports among them: the sum of the
-// others is a moment older than the own part that was taken off it, and some tokens of
-// hardly any request are left, as of a prompt that is longer than any.
-func TestResidueOfASumIsNoRoute(t *testing.T) {
+// Guards against all requests, reports included, being classified as quick for a moment: the sum of
+// the others is slightly older than the local part subtracted from it, which may leave some tokens
+// with hardly any request, like a prompt longer than any real one.
+func TestResidueOfSumIsIgnored(t *testing.T) {
 	g := NewWithT(t)
-	p, _ := seen(time.Unix(100, 0), 20, 20)
+	p, _ := poolsWithLoad(time.Unix(100, 0), 20, 20)
 	p.SetRemoteLoads(map[string]balance.RouteLoad{"rest": {Tokens: 60_000, Requests: 0.001, Gap: time.Second}})
 	g.Expect(p.Quick(&report, 50)).To(BeFalse())
 	g.Expect(p.Quick(&question, 50)).To(BeTrue())
@@ -100,11 +100,11 @@
 	many := p.Split(now, ids)
 	g.Expect(len(many)).To(BeNumerically(">", len(few)))
 	for id := range few {
-		g.Expect(many).To(HaveKey(id), "those that were set apart stay so")
+		g.Expect(many).To(HaveKey(id), "pool members stay")
 	}
 }
 
-func TestAlikeRequestsShareAllUpstreams(t *testing.T) {
+func TestSimilarRoutesShareAllUpstreams(t *testing.T) {
 	g := NewWithT(t)
 	p := balance.NewPools()
 	for i := range 100 {
@@ -114,10 +114,10 @@
 	g.Expect(p.Split(time.Unix(101, 0), []string{"u", "v"})).To(BeEmpty())
 }
 
-// More is asked than engines can read. If all were taken, engines would read all the
-// time, streams would crawl, and most would be cut at their deadlines. The least
-// urgent part is not taken, and no route is shut out.
-func TestOnlyWhatCanBeReadIsAdmitted(t *testing.T) {
+// Under overload, engines that admitted everything would spend all their time on prefill, and most
+// streams would miss their deadlines. The least urgent requests are refused in part, but no route is
+// refused completely.
+func TestAdmitsOnlyWhatEnginesCanPrefill(t *testing.T) {
 	g := NewWithT(t)
 	p := balance.NewPools()
 	now := time.Unix(100, 0)
@@ -133,13 +133,13 @@
 	part := p.AdmittedShare(now, &report, 15)
 	g.Expect(part).To(BeNumerically("~", 0.35, 0.1))
 	g.Expect(p.AdmittedShare(now, &report, 1)).To(BeNumerically(">", 0.2))
-	g.Expect(p.RequiredEngines(now)).To(BeNumerically("~", 100*(3000+9000)/(0.8*60_000), 5), "what operators are told")
+	g.Expect(p.RequiredEngines(now)).To(BeNumerically("~", 100*(3000+9000)/(0.8*60_000), 5), "the value reported to operators")
 }
 
-// A burst asks for twice what engines can read. Half of the callers ask for prompts that
-// are cached and cost a fifth; when all are refused by the same lot, engines spend the
-// burst on the others, and most callers get nothing. The cached ones must come first, and
-// the others must not be shut out, or their prompts would never be cached.
+// A burst asks for twice the capacity of the engines, and half of the prompts are cached and cost a
+// fifth. With uniform refusals engines would spend the burst on the others, and most callers would
+// get nothing. Cached prompts are admitted first; some uncached ones must be admitted too, or they
+// would never be cached.
 func TestCachedPromptsAreAdmittedFirst(t *testing.T) {
 	g := NewWithT(t)
 	p := balance.NewPools()
@@ -164,15 +164,14 @@
 	work := served*float64(cached.Unread) + read*float64(uncached.Unread)
 	all := float64(cached.Unread + uncached.Unread)
 	both := p.AdmittedShare(now, &balance.Offer{Route: "none"}, engines)
-	g.Expect(both).To(Equal(1.0), "a route that brings nothing")
-	g.Expect(work/all).To(BeNumerically("<", 0.55), "not more than the engines can read")
-	g.Expect(p.AdmittedShare(now, &uncached, 2)).To(BeNumerically(">=", 0.1), "no prompt is shut out")
+	g.Expect(both).To(Equal(1.0), "a route without load")
+	g.Expect(work/all).To(BeNumerically("<", 0.55), "no more than the engines can prefill")
+	g.Expect(p.AdmittedShare(now, &uncached, 2)).To(BeNumerically(">=", 0.1), "some uncached prompts are admitted")
 }
 
-// Ninety instances meet their first requests, each some other ones. They must draw
-// about the same line, or what one of them has kept at an engine the next one looks
-// for elsewhere.
-func TestInstancesDrawTheSameLineFromTheStart(t *testing.T) {
+// Many instances see their first few requests, each a different mix. They must size the pools almost
+// alike, or a prompt cached by one instance is looked for elsewhere by the next.
+func TestInstancesAgreeOnPoolSizeFromStart(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
 	var ids []string
@@ -195,9 +194,9 @@
 	g.Expect(most - least).To(BeNumerically("<=", 4))
 }
 
-// The load changes for good. The line must be where it belongs within seconds also
-// where there are many upstreams.
-func TestLineFollowsInSecondsAlsoAmongMany(t *testing.T) {
+// After a lasting change of the load, the pools must have the right size within seconds, even with
+// many upstreams.
+func TestManyUpstreamsAreResizedWithinSeconds(t *testing.T) {
 	g := NewWithT(t)
 	p := balance.NewPools()
 	now := time.Unix(100, 0)
