--- a/core/pick/filters.go
+++ b/core/pick/filters.go
@@ -77,6 +77,6 @@
 
 // Keep implements Filter.
 func (SparesPaced) Keep(r *Request, c *Candidate) bool {
-	own := c.PrefillTokens - c.Backlog
-	return r.Pace > 0 || !c.Paced || own <= shortPrompt || c.Backlog+min(own, promptRoom)/2 < promptRoom
+	own := c.PrefillTokens - c.QueuedTokens
+	return r.Pace > 0 || !c.Paced || own <= shortPrompt || c.QueuedTokens+min(own, promptRoom)/2 < promptRoom
 }
--- a/core/pick/pick.go
+++ b/core/pick/pick.go
@@ -28,8 +28,8 @@
 	// PrefillTokens is how many prompt tokens the upstream has to work through: those
 	// that were sent of late and are not cached, with the request's own.
 	PrefillTokens float64
-	// Backlog is the part of Prefill that was sent before.
-	Backlog float64
+	// QueuedTokens is the part of Prefill that was sent before.
+	QueuedTokens float64
 	// Paced says that requests with a target between tokens run there.
 	Paced bool
 	// FirstToken is the smoothed time to the first token; 0 means unknown.
--- a/core/sched/engine.go
+++ b/core/sched/engine.go
@@ -158,7 +158,7 @@
 		Unstarted:  len(e.unstarted),
 		CachedShare:     prefix,
 		PrefillTokens:    backlog + float64(i.PromptTokens)*(1-prefix),
-		Backlog:    backlog,
+		QueuedTokens:    backlog,
 		Paced:      e.pacedFlight > 0,
 		FirstToken: seconds(first),
 		TokenRate:  rate,
