--- a/core/pick/filters.go
+++ b/core/pick/filters.go
@@ -78,5 +78,5 @@
 // Keep implements Filter.
 func (SparesPaced) Keep(r *Request, c *Candidate) bool {
 	own := c.PrefillTokens - c.QueuedTokens
-	return r.Pace > 0 || !c.Paced || own <= shortPrompt || c.QueuedTokens+min(own, promptRoom)/2 < promptRoom
+	return r.Pace > 0 || !c.HasPacedStreams || own <= shortPrompt || c.QueuedTokens+min(own, promptRoom)/2 < promptRoom
 }
--- a/core/pick/pick.go
+++ b/core/pick/pick.go
@@ -30,8 +30,8 @@
 	PrefillTokens float64
 	// QueuedTokens is the part of Prefill that was sent before.
 	QueuedTokens float64
-	// Paced says that requests with a target between tokens run there.
-	Paced bool
+	// HasPacedStreams says that requests with a target between tokens run there.
+	HasPacedStreams bool
 	// FirstToken is the smoothed time to the first token; 0 means unknown.
 	FirstToken time.Duration
 	// TokenRate is the smoothed rate of one stream in tokens a second; 0 means
--- a/core/sched/engine.go
+++ b/core/sched/engine.go
@@ -159,7 +159,7 @@
 		CachedShare:     prefix,
 		PrefillTokens:    backlog + float64(i.PromptTokens)*(1-prefix),
 		QueuedTokens:    backlog,
-		Paced:      e.pacedFlight > 0,
+		HasPacedStreams:      e.pacedFlight > 0,
 		FirstToken: seconds(first),
 		TokenRate:  rate,
 		LastRate:   e.lastRate(now),
