--- a/core/pick/filters.go
+++ b/core/pick/filters.go
@@ -34,7 +34,7 @@
 
 // Keep implements Filter.
 func (NoStraggler) Keep(r *Request, c *Candidate) bool {
-	return !c.Aside || mayProbe(r, c)
+	return !c.Straggler || mayProbe(r, c)
 }
 
 // mayProbe reports whether the request may find out whether a straggler has
--- a/core/pick/pick.go
+++ b/core/pick/pick.go
@@ -39,9 +39,9 @@
 	TokenRate float64
 	// LastRate is the last known rate even if it has grown old; 0 means unknown.
 	LastRate float64
-	// Aside says that the upstream is a straggler; ProbeDue that one request
+	// Straggler says that the upstream is a straggler; ProbeDue that one request
 	// may be sent to it to see whether it recovered.
-	Aside, ProbeDue bool
+	Straggler, ProbeDue bool
 	// Down says that it is aside because nothing came from it.
 	Down bool
 }
@@ -157,7 +157,7 @@
 // it would never be chosen, and its recovery never seen.
 func probe(r *Request, candidates []Candidate, kept []int) int {
 	for _, i := range kept {
-		if c := &candidates[i]; c.Aside && mayProbe(r, c) {
+		if c := &candidates[i]; c.Straggler && mayProbe(r, c) {
 			return i
 		}
 	}
--- a/core/pick/pick_test.go
+++ b/core/pick/pick_test.go
@@ -43,7 +43,7 @@
 func TestStragglersAreLastResortAndProbed(t *testing.T) {
 	g := NewWithT(t)
 	slow, good := candidate("slow"), candidate("good")
-	slow.Aside = true
+	slow.Straggler = true
 	good.InFlight = 9
 	g.Expect(choose(t, pick.Request{}, slow, good)).To(Equal("good"))
 	g.Expect(choose(t, pick.Request{Protected: true}, slow)).To(Equal("slow"))
--- a/core/sched/engine.go
+++ b/core/sched/engine.go
@@ -163,7 +163,7 @@
 		FirstToken: seconds(first),
 		TokenRate:  rate,
 		LastRate:   e.lastRate(now),
-		Aside:      e.aside,
+		Straggler:      e.aside,
 		Down:       e.down,
 		ProbeDue:   e.aside && !now.Before(e.nextProbe),
 	}
