--- a/core/pick/filters.go
+++ b/core/pick/filters.go
@@ -41,7 +41,7 @@
 // recovered: one without a target between tokens, as it would miss that on a
 // slow engine, while a down engine costs it only another attempt.
 func mayProbe(r *Request, c *Candidate) bool {
-	return c.ProbeDue && !r.Protected && (c.Down || r.Pace == 0)
+	return c.ProbeDue && !r.Protected && (c.Unresponsive || r.Pace == 0)
 }
 
 // InTime drops upstreams that are too slow for the request's own level, as far
--- a/core/pick/pick.go
+++ b/core/pick/pick.go
@@ -42,8 +42,8 @@
 	// Straggler says that the upstream is a straggler; ProbeDue that one request
 	// may be sent to it to see whether it recovered.
 	Straggler, ProbeDue bool
-	// Down says that it is aside because nothing came from it.
-	Down bool
+	// Unresponsive says that it is aside because nothing came from it.
+	Unresponsive bool
 }
 
 // Request is what the choice depends on besides the candidates.
--- a/core/sched/engine.go
+++ b/core/sched/engine.go
@@ -164,7 +164,7 @@
 		TokenRate:  rate,
 		LastRate:   e.lastRate(now),
 		Straggler:      e.aside,
-		Down:       e.down,
+		Unresponsive:       e.down,
 		ProbeDue:   e.aside && !now.Before(e.nextProbe),
 	}
 }
