--- a/core/pick/filters.go
+++ b/core/pick/filters.go
@@ -41,7 +41,7 @@
 // recovered: one without a target between tokens, as it would miss that on a
 // slow engine, while a down engine costs it only another attempt.
 func mayProbe(r *Request, c *Candidate) bool {
-	return c.ProbeDue && !r.Protected && (c.Unresponsive || r.Pace == 0)
+	return c.ProbeDue && !r.Protected && (c.Unresponsive || r.TokenInterval == 0)
 }
 
 // InTime drops upstreams that are too slow for the request's own level, as far
@@ -55,7 +55,7 @@
 		return true
 	}
 	gap := time.Duration(float64(time.Second) / c.LastRate)
-	if r.Pace > 0 && gap > r.Pace {
+	if r.TokenInterval > 0 && gap > r.TokenInterval {
 		return false
 	}
 	return r.Left <= 0 || time.Duration(r.Tokens*float64(gap)) < r.Left
@@ -78,5 +78,5 @@
 // Keep implements Filter.
 func (SparesPaced) Keep(r *Request, c *Candidate) bool {
 	own := c.PrefillTokens - c.QueuedTokens
-	return r.Pace > 0 || !c.HasPacedStreams || own <= shortPrompt || c.QueuedTokens+min(own, promptRoom)/2 < promptRoom
+	return r.TokenInterval > 0 || !c.HasPacedStreams || own <= shortPrompt || c.QueuedTokens+min(own, promptRoom)/2 < promptRoom
 }
--- a/core/pick/pick.go
+++ b/core/pick/pick.go
@@ -50,8 +50,8 @@
 type Request struct {
 	// Protected requests are not used to probe stragglers.
 	Protected bool
-	// Pace is the wanted time between tokens; 0 means none.
-	Pace time.Duration
+	// TokenInterval is the wanted time between tokens; 0 means none.
+	TokenInterval time.Duration
 	// Tokens is the expected length of the answer, and Left the time to the
 	// target for its end; 0 means none.
 	Tokens float64
--- a/core/sched/dispatch.go
+++ b/core/sched/dispatch.go
@@ -201,7 +201,7 @@
 // on has missed its level already.
 func (s *Scheduler) request(now time.Time, i *item) *pick.Request {
 	c := &i.class.Class
-	r := &pick.Request{Protected: c.Protected, Pace: c.BetweenTokens, Tokens: i.tokensExpected}
+	r := &pick.Request{Protected: c.Protected, TokenInterval: c.BetweenTokens, Tokens: i.tokensExpected}
 	if c.Total > 0 {
 		r.Left = max(i.Arrived.Add(c.Total).Sub(now), 1)
 	}
