--- a/core/pick/filters.go
+++ b/core/pick/filters.go
@@ -58,7 +58,7 @@
 	if r.TokenInterval > 0 && gap > r.TokenInterval {
 		return false
 	}
-	return r.Left <= 0 || time.Duration(r.Tokens*float64(gap)) < r.Left
+	return r.Remaining <= 0 || time.Duration(r.Tokens*float64(gap)) < r.Remaining
 }
 
 const (
--- a/core/pick/pick.go
+++ b/core/pick/pick.go
@@ -55,7 +55,7 @@
 	// Tokens is the expected length of the answer, and Left the time to the
 	// target for its end; 0 means none.
 	Tokens float64
-	Left   time.Duration
+	Remaining   time.Duration
 	// Patient says that the request can still wait for a candidate that the
 	// preferred filters keep.
 	Patient bool
--- a/core/sched/dispatch.go
+++ b/core/sched/dispatch.go
@@ -203,7 +203,7 @@
 	c := &i.class.Class
 	r := &pick.Request{Protected: c.Protected, TokenInterval: c.BetweenTokens, Tokens: i.tokensExpected}
 	if c.Total > 0 {
-		r.Left = max(i.Arrived.Add(c.Total).Sub(now), 1)
+		r.Remaining = max(i.Arrived.Add(c.Total).Sub(now), 1)
 	}
 	r.Patient = c.BetweenTokens > 0 && c.FirstToken > 0 && now.Sub(i.Arrived) < c.FirstToken*patientShare/4
 	return r
