--- a/core/pick/pick.go
+++ b/core/pick/pick.go
@@ -56,9 +56,9 @@
 	// target for its end; 0 means none.
 	Tokens float64
 	Remaining   time.Duration
-	// Patient says that the request can still wait for a candidate that the
+	// MayWait says that the request can still wait for a candidate that the
 	// preferred filters keep.
-	Patient bool
+	MayWait bool
 }
 
 // Domain sums up all candidates, for scores relative to the others.
@@ -172,7 +172,7 @@
 		}
 	}
 	for n := len(h.Preferred); n > 0; n-- {
-		if h.prefer(h.Preferred[:n], r, candidates) || r.Patient {
+		if h.prefer(h.Preferred[:n], r, candidates) || r.MayWait {
 			return
 		}
 	}
@@ -188,7 +188,7 @@
 			kept++
 		}
 	}
-	if kept > 0 || r.Patient {
+	if kept > 0 || r.MayWait {
 		h.kept = h.kept[:kept]
 	}
 	return kept > 0
--- a/core/sched/dispatch.go
+++ b/core/sched/dispatch.go
@@ -205,7 +205,7 @@
 	if c.Total > 0 {
 		r.Remaining = max(i.Arrived.Add(c.Total).Sub(now), 1)
 	}
-	r.Patient = c.BetweenTokens > 0 && c.FirstToken > 0 && now.Sub(i.Arrived) < c.FirstToken*patientShare/4
+	r.MayWait = c.BetweenTokens > 0 && c.FirstToken > 0 && now.Sub(i.Arrived) < c.FirstToken*patientShare/4
 	return r
 }
 
