--- a/core/pick/pick.go
+++ b/core/pick/pick.go
@@ -110,8 +110,8 @@
 type Choice struct {
 	// Index is the position of the chosen candidate in the slice given to Pick.
 	Index int
-	// Kept is how many candidates passed the filters.
-	Kept int
+	// Eligible is how many candidates passed the filters.
+	Eligible int
 	// Score is the chosen candidate's weighted mean score, in [0,1].
 	Score float64
 }
@@ -142,7 +142,7 @@
 		return Choice{}, false
 	}
 	if i := probe(r, candidates, h.kept); i >= 0 {
-		return Choice{Index: i, Kept: len(h.kept)}, true
+		return Choice{Index: i, Eligible: len(h.kept)}, true
 	}
 	d := Summarise(candidates)
 	h.scores = h.scores[:0]
@@ -150,7 +150,7 @@
 		h.scores = append(h.scores, h.score(r, &d, &candidates[i]))
 	}
 	at := h.Picker.Pick(h.scores, rnd)
-	return Choice{Index: h.kept[at], Kept: len(h.kept), Score: h.scores[at]}, true
+	return Choice{Index: h.kept[at], Eligible: len(h.kept), Score: h.scores[at]}, true
 }
 
 // probe returns a kept straggler that is due for a probe, or -1. By its scores
--- a/core/sched/dispatch.go
+++ b/core/sched/dispatch.go
@@ -187,7 +187,7 @@
 		ID: i.ID, Instance: i.Instance, Upstream: e.Name, Address: e.Address, Priority: i.class.Tier,
 		Explain: Explain{
 			Waited: now.Sub(i.Arrived), Expected: i.expected, Floor: floor,
-			Candidates: choice.Kept, Score: choice.Score, Prefix: prefix,
+			Candidates: choice.Eligible, Score: choice.Score, Prefix: prefix,
 			InFlight: e.inFlight, Slots: e.Slots,
 		},
 	}
