--- a/core/pick/pick.go
+++ b/core/pick/pick.go
@@ -61,8 +61,8 @@
 	MayWait bool
 }
 
-// Domain sums up all candidates, for scores relative to the others.
-type Domain struct {
+// Summary sums up all candidates, for scores relative to the others.
+type Summary struct {
 	MedianFirstToken time.Duration
 	MedianTokenRate  float64
 	// MeanLoad is the mean of InFlight/Slots.
@@ -76,7 +76,7 @@
 
 // Scorer rates a candidate from 0 (worst) to 1 (best).
 type Scorer interface {
-	Score(r *Request, d *Domain, c *Candidate) float64
+	Score(r *Request, d *Summary, c *Candidate) float64
 }
 
 // Picker takes one of the kept candidates; both slices have equal lengths above
@@ -203,7 +203,7 @@
 	return true
 }
 
-func (h *Chain) score(r *Request, d *Domain, c *Candidate) float64 {
+func (h *Chain) score(r *Request, d *Summary, c *Candidate) float64 {
 	sum, weights := 0.0, 0.0
 	for _, s := range h.Scorers {
 		sum += s.Weight * s.Scorer.Score(r, d, c)
--- a/core/pick/scorers.go
+++ b/core/pick/scorers.go
@@ -14,7 +14,7 @@
 type LeastLoad struct{}
 
 // Score implements Scorer.
-func (LeastLoad) Score(_ *Request, _ *Domain, c *Candidate) float64 {
+func (LeastLoad) Score(_ *Request, _ *Summary, c *Candidate) float64 {
 	return clamp(1 - load(c))
 }
 
@@ -24,7 +24,7 @@
 type ShortWait struct{}
 
 // Score implements Scorer.
-func (ShortWait) Score(_ *Request, d *Domain, c *Candidate) float64 {
+func (ShortWait) Score(_ *Request, d *Summary, c *Candidate) float64 {
 	if d.MedianFirstToken <= 0 {
 		return 1 / float64(1+c.Unstarted)
 	}
@@ -43,7 +43,7 @@
 type PrefixAffinity struct{}
 
 // Score implements Scorer.
-func (PrefixAffinity) Score(_ *Request, d *Domain, c *Candidate) float64 {
+func (PrefixAffinity) Score(_ *Request, d *Summary, c *Candidate) float64 {
 	bound := d.MeanLoad * affinityHeadroom
 	oneMore := float64(c.InFlight+1) / float64(max(c.Slots, 1))
 	if c.InFlight > 0 && oneMore > bound {
@@ -57,7 +57,7 @@
 type TokenRate struct{}
 
 // Score implements Scorer.
-func (TokenRate) Score(_ *Request, d *Domain, c *Candidate) float64 {
+func (TokenRate) Score(_ *Request, d *Summary, c *Candidate) float64 {
 	if d.MedianTokenRate <= 0 || c.TokenRate <= 0 {
 		return 0.5
 	}
@@ -76,12 +76,12 @@
 type LeastPrefill struct{}
 
 // Score implements Scorer.
-func (LeastPrefill) Score(_ *Request, _ *Domain, c *Candidate) float64 {
+func (LeastPrefill) Score(_ *Request, _ *Summary, c *Candidate) float64 {
 	return clamp(1 - c.PrefillTokens/heavyPrefill)
 }
 
 // Summarise works out what scores are relative to.
-func Summarise(candidates []Candidate) Domain {
+func Summarise(candidates []Candidate) Summary {
 	var firsts []time.Duration
 	var rates []float64
 	sum, n := 0.0, 0
@@ -99,7 +99,7 @@
 			rates = append(rates, c.TokenRate)
 		}
 	}
-	d := Domain{MedianFirstToken: Median(firsts), MedianTokenRate: Median(rates)}
+	d := Summary{MedianFirstToken: Median(firsts), MedianTokenRate: Median(rates)}
 	if n > 0 {
 		d.MeanLoad = sum / float64(n)
 	}
