--- a/core/route/route.go
+++ b/core/route/route.go
@@ -43,8 +43,8 @@
 // Digest returns the digest of a key.
 func Digest(key []byte) KeyDigest { return sha256.Sum256(key) }
 
-// Backend is one service of a route, with its share of the requests.
-type Backend struct {
+// WeightedService is one service of a route, with its share of the requests.
+type WeightedService struct {
 	Service string `codec:"s"`
 	Weight  int    `codec:"w"`
 }
@@ -56,7 +56,7 @@
 	// Prefix begins and ends with a slash.
 	Prefix   string    `codec:"p"`
 	Kind     Kind      `codec:"k"`
-	Backends []Backend `codec:"b"`
+	Backends []WeightedService `codec:"b"`
 	// Timeout bounds the wait for the final answer.
 	Timeout time.Duration `codec:"t"`
 	// Target is the latency objective, for streams up to the first event. Gap is
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -15,9 +15,9 @@
 		Version: 1,
 		Routes: []route.Route{
 			{Name: "outer", Host: "a.example", Prefix: "/x/", Kind: route.Idempotent, Timeout: time.Second,
-				Backends: []route.Backend{{Service: "s", Weight: 9}, {Service: "t", Weight: 1}}},
+				Backends: []route.WeightedService{{Service: "s", Weight: 9}, {Service: "t", Weight: 1}}},
 			{Name: "inner", Host: "a.example", Prefix: "/x/y/", Kind: route.Streaming, Timeout: time.Second,
-				Backends: []route.Backend{{Service: "s", Weight: 1}}},
+				Backends: []route.WeightedService{{Service: "s", Weight: 1}}},
 		},
 		Services:      []route.Service{{Name: "s"}, {Name: "t"}},
 		Organisations: []route.Organisation{{Name: "o", Keys: []route.KeyDigest{route.Digest([]byte("k")), route.Digest([]byte("l"))}}},
--- a/instance/relay/suite_test.go
+++ b/instance/relay/suite_test.go
@@ -180,7 +180,7 @@
 const bodyRoom = 24 << 20
 
 func routes() *route.Table {
-	to := []route.Backend{{Service: "s", Weight: 1}}
+	to := []route.WeightedService{{Service: "s", Weight: 1}}
 	return &route.Table{
 		Version: 1,
 		Routes: []route.Route{
