--- a/core/route/index.go
+++ b/core/route/index.go
@@ -117,14 +117,14 @@
 // Pick returns the service of a route for a number drawn uniformly from [0, 1).
 func (r *Route) Pick(draw float64) string {
 	sum := 0
-	for _, b := range r.Backends {
+	for _, b := range r.Services {
 		sum += b.Weight
 	}
 	at := int(draw * float64(sum))
-	for _, b := range r.Backends {
+	for _, b := range r.Services {
 		if at -= b.Weight; at < 0 {
 			return b.Service
 		}
 	}
-	return r.Backends[len(r.Backends)-1].Service
+	return r.Services[len(r.Services)-1].Service
 }
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -56,7 +56,7 @@
 	// Prefix begins and ends with a slash.
 	Prefix   string    `codec:"p"`
 	Kind     Kind      `codec:"k"`
-	Backends []WeightedService `codec:"b"`
+	Services []WeightedService `codec:"b"`
 	// Timeout bounds the wait for the final answer.
 	Timeout time.Duration `codec:"t"`
 	// Target is the latency objective, for streams up to the first event. Gap is
@@ -181,7 +181,7 @@
 		return fault.New(fault.Invalid, "route %q: the timeout must be greater than zero", r.Name)
 	}
 	sum := 0
-	for _, b := range r.Backends {
+	for _, b := range r.Services {
 		if !services[b.Service] {
 			return fault.New(fault.Invalid, "route %q: unknown service %q", r.Name, b.Service)
 		}
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -15,9 +15,9 @@
 		Version: 1,
 		Routes: []route.Route{
 			{Name: "outer", Host: "a.example", Prefix: "/x/", Kind: route.Idempotent, Timeout: time.Second,
-				Backends: []route.WeightedService{{Service: "s", Weight: 9}, {Service: "t", Weight: 1}}},
+				Services: []route.WeightedService{{Service: "s", Weight: 9}, {Service: "t", Weight: 1}}},
 			{Name: "inner", Host: "a.example", Prefix: "/x/y/", Kind: route.Streaming, Timeout: time.Second,
-				Backends: []route.WeightedService{{Service: "s", Weight: 1}}},
+				Services: []route.WeightedService{{Service: "s", Weight: 1}}},
 		},
 		Services:      []route.Service{{Name: "s"}, {Name: "t"}},
 		Organisations: []route.Organisation{{Name: "o", Keys: []route.KeyDigest{route.Digest([]byte("k")), route.Digest([]byte("l"))}}},
@@ -49,11 +49,11 @@
 // with a word on where it is, or a table nobody meant would be in force.
 func TestFaultyTablesAreRefused(t *testing.T) {
 	for name, spoil := range map[string]func(*route.Table){
-		"unknown service": func(t *route.Table) { t.Routes[0].Backends[0].Service = "u" },
+		"unknown service": func(t *route.Table) { t.Routes[0].Services[0].Service = "u" },
 		"same place":      func(t *route.Table) { t.Routes[1].Prefix = "/x/" },
-		"no weight":       func(t *route.Table) { t.Routes[1].Backends[0].Weight = 0 },
-		"no backend":      func(t *route.Table) { t.Routes[1].Backends = nil },
-		"negative weight": func(t *route.Table) { t.Routes[0].Backends[1].Weight = -1 },
+		"no weight":       func(t *route.Table) { t.Routes[1].Services[0].Weight = 0 },
+		"no backend":      func(t *route.Table) { t.Routes[1].Services = nil },
+		"negative weight": func(t *route.Table) { t.Routes[0].Services[1].Weight = -1 },
 		"no timeout":      func(t *route.Table) { t.Routes[0].Timeout = 0 },
 		"no kind":         func(t *route.Table) { t.Routes[0].Kind = 0 },
 		"open prefix":     func(t *route.Table) { t.Routes[0].Prefix = "/x" },
--- a/instance/relay/suite_test.go
+++ b/instance/relay/suite_test.go
@@ -184,11 +184,11 @@
 	return &route.Table{
 		Version: 1,
 		Routes: []route.Route{
-			{Name: "idem", Host: "h", Prefix: "/idem/", Kind: route.Idempotent, Backends: to, Timeout: limit, Target: 100 * time.Millisecond, MaxAttempts: 2},
-			{Name: "once", Host: "h", Prefix: "/once/", Kind: route.NonIdempotent, Backends: to, Timeout: limit, Target: 100 * time.Millisecond, MaxAttempts: 2},
-			{Name: "stream", Host: "h", Prefix: "/stream/", Kind: route.Streaming, Resumable: true, Backends: to, Timeout: limit, Target: 100 * time.Millisecond, MaxAttempts: 2},
-			{Name: "brief", Host: "h", Prefix: "/brief/", Kind: route.Streaming, Backends: to, Timeout: limit, Target: 100 * time.Millisecond, MaxAttempts: 2},
-			{Name: "open", Host: "h", Prefix: "/open/", Kind: route.Idempotent, Backends: to, Timeout: limit, MaxAttempts: 1, Anonymous: true},
+			{Name: "idem", Host: "h", Prefix: "/idem/", Kind: route.Idempotent, Services: to, Timeout: limit, Target: 100 * time.Millisecond, MaxAttempts: 2},
+			{Name: "once", Host: "h", Prefix: "/once/", Kind: route.NonIdempotent, Services: to, Timeout: limit, Target: 100 * time.Millisecond, MaxAttempts: 2},
+			{Name: "stream", Host: "h", Prefix: "/stream/", Kind: route.Streaming, Resumable: true, Services: to, Timeout: limit, Target: 100 * time.Millisecond, MaxAttempts: 2},
+			{Name: "brief", Host: "h", Prefix: "/brief/", Kind: route.Streaming, Services: to, Timeout: limit, Target: 100 * time.Millisecond, MaxAttempts: 2},
+			{Name: "open", Host: "h", Prefix: "/open/", Kind: route.Idempotent, Services: to, Timeout: limit, MaxAttempts: 1, Anonymous: true},
 		},
 		Services:      []route.Service{{Name: "s"}},
 		Organisations: []route.Organisation{{Name: "org", Keys: []route.KeyDigest{route.Digest([]byte("k"))}}},
@@ -282,7 +282,7 @@
 	t.Services[0].Engine = &route.Engine{Slots: 8, KVTokens: 500_000, Stride: 3, FetchPerMS: 400}
 	for i, name := range []string{"urgent", "last"} {
 		t.Routes = append(t.Routes, route.Route{
-			Name: name, Host: "h", Prefix: "/" + name + "/", Kind: route.Idempotent, Backends: t.Routes[0].Backends, Timeout: limit,
+			Name: name, Host: "h", Prefix: "/" + name + "/", Kind: route.Idempotent, Services: t.Routes[0].Services, Timeout: limit,
 			Target: time.Second, MaxAttempts: 1, Priority: i, Sticky: true,
 		})
 	}
--- a/instance/serving/group_test.go
+++ b/instance/serving/group_test.go
@@ -182,7 +182,7 @@
 func table(version uint64) *route.Table {
 	return &route.Table{
 		Version:  version,
-		Routes:   []route.Route{{Name: "r", Host: "h", Prefix: "/a/", Kind: route.Idempotent, Backends: []route.WeightedService{{Service: "s", Weight: 1}}, Timeout: time.Second, MaxAttempts: 1}},
+		Routes:   []route.Route{{Name: "r", Host: "h", Prefix: "/a/", Kind: route.Idempotent, Services: []route.WeightedService{{Service: "s", Weight: 1}}, Timeout: time.Second, MaxAttempts: 1}},
 		Services: []route.Service{{Name: "s"}},
 		Limits:   route.DefaultLimits,
 	}
