--- a/core/route/route.go
+++ b/core/route/route.go
@@ -62,7 +62,7 @@
 	// Target is the latency objective, for streams up to the first event. Gap is
 	// the longest pause between two events; zero when it is not declared.
 	Target time.Duration `codec:"g"`
-	Gap    time.Duration `codec:"e"`
+	MaxPause    time.Duration `codec:"e"`
 	// Priority is the rank of the route's requests; 0 is the highest.
 	Priority int `codec:"r"`
 	// MaxAttempts bounds the upstreams to which one request is sent.
--- a/instance/relay/load_test.go
+++ b/instance/relay/load_test.go
@@ -273,11 +273,11 @@
 // 12 slots serve with half of these.
 func threeKinds(engines float64) []kind {
 	return []kind{
-		{route: route.Route{Name: "report", Target: 1200 * time.Millisecond, Gap: 600 * time.Millisecond}, rank: 1,
+		{route: route.Route{Name: "report", Target: 1200 * time.Millisecond, MaxPause: 600 * time.Millisecond}, rank: 1,
 			perSecond: 2.3 * engines, shared: 5000, own: 6600, topics: 60, generates: 1800 * time.Millisecond},
-		{route: route.Route{Name: "question", Target: 200 * time.Millisecond, Gap: 150 * time.Millisecond},
+		{route: route.Route{Name: "question", Target: 200 * time.Millisecond, MaxPause: 150 * time.Millisecond},
 			perSecond: 1.5 * engines, shared: 200, own: 630, topics: 60, generates: 900 * time.Millisecond},
-		{route: route.Route{Name: "check", Target: 300 * time.Millisecond, Gap: 250 * time.Millisecond}, rank: 0.5,
+		{route: route.Route{Name: "check", Target: 300 * time.Millisecond, MaxPause: 250 * time.Millisecond}, rank: 0.5,
 			perSecond: 3 * engines, shared: 570, own: 1800, topics: 60, generates: 100 * time.Millisecond},
 	}
 }
--- a/instance/relay/stream.go
+++ b/instance/relay/stream.go
@@ -101,7 +101,7 @@
 func (a *attempt) setStreamDeadline() {
 	left := a.r.left(clock.Now())
 	if a.r.route.Resumable && a.r.sent+1 < a.r.route.MaxAttempts && a.begunEvents && a.r.shared < stallShared {
-		left = min(left, max(stall, stallGaps*a.r.route.Gap))
+		left = min(left, max(stall, stallGaps*a.r.route.MaxPause))
 	}
 	_ = a.conn.nc.SetReadDeadline(time.Now().Add(left))
 }
