--- a/core/route/route.go
+++ b/core/route/route.go
@@ -84,8 +84,8 @@
 type Engine struct {
 	Slots    int `codec:"s"`
 	KVTokens int `codec:"k"`
-	// Stride is how many tokens an event of a stream holds.
-	Stride int `codec:"t"`
+	// TokensPerEvent is how many tokens an event of a stream holds.
+	TokensPerEvent int `codec:"t"`
 	// FetchPerMS is how many tokens of a prompt an engine takes over from another one in a
 	// millisecond; zero means that it can't.
 	FetchPerMS float64 `codec:"f,omitempty"`
--- a/instance/relay/suite_test.go
+++ b/instance/relay/suite_test.go
@@ -279,7 +279,7 @@
 // engines makes the service one of engines, with routes of unlike urgency to it.
 func (b *bed) engines() {
 	t := routes()
-	t.Services[0].Engine = &route.Engine{Slots: 8, KVTokens: 500_000, Stride: 3, FetchPerMS: 400}
+	t.Services[0].Engine = &route.Engine{Slots: 8, KVTokens: 500_000, TokensPerEvent: 3, FetchPerMS: 400}
 	for i, name := range []string{"urgent", "last"} {
 		t.Routes = append(t.Routes, route.Route{
 			Name: name, Host: "h", Prefix: "/" + name + "/", Kind: route.Idempotent, Services: t.Routes[0].Services, Timeout: limit,
