--- a/core/route/route.go
+++ b/core/route/route.go
@@ -109,8 +109,8 @@
 	// Min and Max bound the upstreams in a failure domain, of both kinds together.
 	Min int `codec:"m"`
 	Max int `codec:"x"`
-	// Boot is how long one takes to serve after it was ordered.
-	Boot time.Duration `codec:"b"`
+	// BootTime is how long one takes to serve after it was ordered.
+	BootTime time.Duration `codec:"b"`
 	// PreemptiblePrice is the price of an upstream that may be taken back, as a part of
 	// that of the others; zero where there are none. Prices are those of a second of an
 	// upstream, by failure domain.
--- a/instance/serving/limits_test.go
+++ b/instance/serving/limits_test.go
@@ -39,7 +39,7 @@
 func TestWhatLimitedUpstreamsDoNotTakeIsAskedForBesides(t *testing.T) {
 	g := newGroup(t, 3)
 	table := &route.Table{Version: 2, Services: []route.Service{{
-		Name: "s", Engine: &route.Engine{Slots: 4, KVTokens: 1000}, Scaling: &route.Scaling{Min: 1, Max: 9, Boot: time.Second, Prices: map[string]float64{"north": 1}},
+		Name: "s", Engine: &route.Engine{Slots: 4, KVTokens: 1000}, Scaling: &route.Scaling{Min: 1, Max: 9, BootTime: time.Second, Prices: map[string]float64{"north": 1}},
 	}}}
 	g.Expect(g.nodes["m0"].serving.Put(t.Context(), table, []byte("x"))).To(Succeed())
 	for _, id := range []string{"a", "b"} {
