--- a/core/ratelimit/book.go
+++ b/core/ratelimit/book.go
@@ -35,18 +35,18 @@
 	ended time.Time
 }
 
-// Book holds the limits that upstreams name. Answers overtake each other, and an answer is
+// Tracker holds the limits that upstreams name. Answers overtake each other, and an answer is
 // older than its arrival by an unknown part of its way; so a limit is over only when an answer
 // names none to a request that was sent after the limit was last heard. It is not safe for
 // concurrent use.
-type Book struct{ limits map[uint64]*limit }
+type Tracker struct{ limits map[uint64]*limit }
 
 // NewBook returns an empty book.
-func NewBook() *Book { return &Book{limits: map[uint64]*limit{}} }
+func NewBook() *Tracker { return &Tracker{limits: map[uint64]*limit{}} }
 
 // Note takes in an answer to a request that was sent and answered at two times, and reports
 // whether the limit in force has changed by it.
-func (b *Book) Note(upstream uint64, perSecond float64, sent, heard time.Time) bool {
+func (b *Tracker) Note(upstream uint64, perSecond float64, sent, heard time.Time) bool {
 	before, _ := b.Limit(upstream)
 	if perSecond > 0 {
 		b.name(upstream, perSecond, sent, heard)
@@ -57,7 +57,7 @@
 	return before != after
 }
 
-func (b *Book) name(upstream uint64, perSecond float64, sent, heard time.Time) {
+func (b *Tracker) name(upstream uint64, perSecond float64, sent, heard time.Time) {
 	l := b.limits[upstream]
 	switch {
 	case l == nil:
@@ -74,14 +74,14 @@
 	}
 }
 
-func (b *Book) end(upstream uint64, sent time.Time) {
+func (b *Tracker) end(upstream uint64, sent time.Time) {
 	if l := b.limits[upstream]; l != nil && l.ended.Before(sent) && !sent.Before(l.heard) {
 		l.ended = sent
 	}
 }
 
 // Limit returns the limit of an upstream, if it names one.
-func (b *Book) Limit(upstream uint64) (perSecond float64, limited bool) {
+func (b *Tracker) Limit(upstream uint64) (perSecond float64, limited bool) {
 	l := b.limits[upstream]
 	if l == nil || !l.ended.IsZero() {
 		return 0, false
@@ -90,10 +90,10 @@
 }
 
 // Empty reports whether no limit is known, nor the end of one.
-func (b *Book) Empty() bool { return len(b.limits) == 0 }
+func (b *Tracker) Empty() bool { return len(b.limits) == 0 }
 
 // Limited returns the upstreams that name a limit, in order.
-func (b *Book) Limited() (list []uint64) {
+func (b *Tracker) Limited() (list []uint64) {
 	for upstream, l := range b.limits {
 		if l.ended.IsZero() {
 			list = append(list, upstream)
@@ -107,7 +107,7 @@
 const endedMemory = 10 * time.Second
 
 // Keep forgets upstreams that are gone, and ends that all have heard of.
-func (b *Book) Keep(now time.Time, there func(upstream uint64) bool) {
+func (b *Tracker) Keep(now time.Time, there func(upstream uint64) bool) {
 	for upstream, l := range b.limits {
 		if !there(upstream) || !l.ended.IsZero() && now.Sub(l.ended) > endedMemory {
 			delete(b.limits, upstream)
@@ -116,7 +116,7 @@
 }
 
 // Statements returns what the book holds, for others.
-func (b *Book) Statements(now time.Time) []Statement {
+func (b *Tracker) Statements(now time.Time) []Statement {
 	list := make([]Statement, 0, len(b.limits))
 	for upstream, l := range b.limits {
 		s := Statement{Upstream: upstream, PerSecond: l.perSecond, SentMS: now.Sub(l.heard).Milliseconds(), HeardMS: now.Sub(l.heard).Milliseconds()}
@@ -134,7 +134,7 @@
 const echo = 250 * time.Millisecond
 
 // Take takes in what another book holds. An end of a limit that is not known says nothing.
-func (b *Book) Take(now time.Time, list []Statement) {
+func (b *Tracker) Take(now time.Time, list []Statement) {
 	for i := range list {
 		s := &list[i]
 		ago := func(ms int64) time.Time { return now.Add(-time.Duration(ms) * time.Millisecond) }
--- a/core/ratelimit/book_test.go
+++ b/core/ratelimit/book_test.go
@@ -16,7 +16,7 @@
 
 const upstream = 7
 
-func limitOf(b *ratelimit.Book) float64 {
+func limitOf(b *ratelimit.Tracker) float64 {
 	perSecond, _ := b.Limit(upstream)
 	return perSecond
 }
--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -70,7 +70,7 @@
 	known atomic.Bool
 
 	mu     sync.Mutex
-	book   *ratelimit.Book
+	book   *ratelimit.Tracker
 	wallet *ratelimit.Wallet
 	// alone hands out this instance's part while no member answers; unanswered is since when
 	// that is, zero while one does.
@@ -259,12 +259,12 @@
 
 // part is a part of the limits of a book.
 type part struct {
-	*ratelimit.Book
+	*ratelimit.Tracker
 	of float64
 }
 
 // Limit implements ratelimit.Limits.
 func (p part) Limit(upstream uint64) (perSecond float64, limited bool) {
-	perSecond, limited = p.Book.Limit(upstream)
+	perSecond, limited = p.Tracker.Limit(upstream)
 	return perSecond / p.of, limited
 }
--- a/instance/serving/limits.go
+++ b/instance/serving/limits.go
@@ -9,7 +9,7 @@
 )
 
 // limitBook holds the limits that upstreams name, as instances and members tell of them.
-type limitBook struct{ *ratelimit.Book }
+type limitBook struct{ *ratelimit.Tracker }
 
 func newLimitBook() limitBook { return limitBook{ratelimit.NewBook()} }
 
