--- a/core/ratelimit/book.go
+++ b/core/ratelimit/book.go
@@ -41,8 +41,8 @@
 // concurrent use.
 type Tracker struct{ limits map[uint64]*limit }
 
-// NewBook returns an empty book.
-func NewBook() *Tracker { return &Tracker{limits: map[uint64]*limit{}} }
+// NewTracker returns an empty book.
+func NewTracker() *Tracker { return &Tracker{limits: map[uint64]*limit{}} }
 
 // Note takes in an answer to a request that was sent and answered at two times, and reports
 // whether the limit in force has changed by it.
--- a/core/ratelimit/book_test.go
+++ b/core/ratelimit/book_test.go
@@ -24,7 +24,7 @@
 // Guards against a limit that is taken for over since an older answer came late.
 func TestLateAnswerDoesNotEndALimit(t *testing.T) {
 	g := NewWithT(t)
-	b := ratelimit.NewBook()
+	b := ratelimit.NewTracker()
 	g.Expect(b.Note(upstream, 2, at(100), at(120))).To(BeTrue())
 	g.Expect(b.Note(upstream, 0, at(110), at(500))).To(BeFalse(), "it was sent before the limit was heard")
 	g.Expect(limitOf(b)).To(Equal(2.0))
@@ -36,7 +36,7 @@
 // Guards against a limit that comes back since an older answer came late.
 func TestLateAnswerDoesNotBringALimitBack(t *testing.T) {
 	g := NewWithT(t)
-	b := ratelimit.NewBook()
+	b := ratelimit.NewTracker()
 	b.Note(upstream, 2, at(100), at(120))
 	b.Note(upstream, 0, at(200), at(220))
 	b.Note(upstream, 2, at(90), at(190))
@@ -48,7 +48,7 @@
 // Guards against the higher of two limits where it can't be told which is the newer one.
 func TestLowerOfTwoLimitsHoldsUntilOneIsNewer(t *testing.T) {
 	g := NewWithT(t)
-	b := ratelimit.NewBook()
+	b := ratelimit.NewTracker()
 	b.Note(upstream, 2, at(100), at(200))
 	b.Note(upstream, 5, at(150), at(250))
 	g.Expect(limitOf(b)).To(Equal(2.0))
@@ -61,7 +61,7 @@
 // Guards against limits of upstreams that are gone, and ends that are told for ever.
 func TestBookForgets(t *testing.T) {
 	g := NewWithT(t)
-	b := ratelimit.NewBook()
+	b := ratelimit.NewTracker()
 	b.Note(upstream, 2, at(0), at(1))
 	b.Note(8, 2, at(0), at(1))
 	b.Keep(at(60_000), func(u uint64) bool { return u == upstream })
@@ -77,7 +77,7 @@
 // another order, or by way of others.
 func TestBooksAgreeAfterAnExchange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := ratelimit.NewBook(), ratelimit.NewBook()
+		a, b := ratelimit.NewTracker(), ratelimit.NewTracker()
 		for range rapid.IntRange(1, 12).Draw(t, "answers") {
 			sent := rapid.IntRange(0, 1000).Draw(t, "sent")
 			heard := sent + rapid.IntRange(1, 200).Draw(t, "took")
--- a/instance/serving/limits.go
+++ b/instance/serving/limits.go
@@ -11,7 +11,7 @@
 // limitBook holds the limits that upstreams name, as instances and members tell of them.
 type limitBook struct{ *ratelimit.Tracker }
 
-func newLimitBook() limitBook { return limitBook{ratelimit.NewBook()} }
+func newLimitBook() limitBook { return limitBook{ratelimit.NewTracker()} }
 
 // statements returns what is known; nil for nothing.
 func (b limitBook) statements(now time.Time) []ratelimit.Statement {
