--- a/core/ratelimit/book.go
+++ b/core/ratelimit/book.go
@@ -44,9 +44,9 @@
 // NewTracker returns an empty book.
 func NewTracker() *Tracker { return &Tracker{limits: map[uint64]*limit{}} }
 
-// Note takes in an answer to a request that was sent and answered at two times, and reports
+// Record takes in an answer to a request that was sent and answered at two times, and reports
 // whether the limit in force has changed by it.
-func (b *Tracker) Note(upstream uint64, perSecond float64, sent, heard time.Time) bool {
+func (b *Tracker) Record(upstream uint64, perSecond float64, sent, heard time.Time) bool {
 	before, _ := b.Limit(upstream)
 	if perSecond > 0 {
 		b.name(upstream, perSecond, sent, heard)
@@ -141,6 +141,6 @@
 		if l := b.limits[s.Upstream]; l != nil && l.ended.IsZero() && s.PerSecond == l.perSecond && ago(s.HeardMS).Sub(l.heard) < echo {
 			continue
 		}
-		b.Note(s.Upstream, s.PerSecond, ago(s.SentMS), ago(s.HeardMS))
+		b.Record(s.Upstream, s.PerSecond, ago(s.SentMS), ago(s.HeardMS))
 	}
 }
--- a/core/ratelimit/book_test.go
+++ b/core/ratelimit/book_test.go
@@ -25,10 +25,10 @@
 func TestLateAnswerDoesNotEndALimit(t *testing.T) {
 	g := NewWithT(t)
 	b := ratelimit.NewTracker()
-	g.Expect(b.Note(upstream, 2, at(100), at(120))).To(BeTrue())
-	g.Expect(b.Note(upstream, 0, at(110), at(500))).To(BeFalse(), "it was sent before the limit was heard")
+	g.Expect(b.Record(upstream, 2, at(100), at(120))).To(BeTrue())
+	g.Expect(b.Record(upstream, 0, at(110), at(500))).To(BeFalse(), "it was sent before the limit was heard")
 	g.Expect(limitOf(b)).To(Equal(2.0))
-	g.Expect(b.Note(upstream, 0, at(120), at(150))).To(BeTrue())
+	g.Expect(b.Record(upstream, 0, at(120), at(150))).To(BeTrue())
 	g.Expect(limitOf(b)).To(BeZero())
 	g.Expect(b.Limited()).To(BeEmpty())
 }
@@ -37,11 +37,11 @@
 func TestLateAnswerDoesNotBringALimitBack(t *testing.T) {
 	g := NewWithT(t)
 	b := ratelimit.NewTracker()
-	b.Note(upstream, 2, at(100), at(120))
-	b.Note(upstream, 0, at(200), at(220))
-	b.Note(upstream, 2, at(90), at(190))
+	b.Record(upstream, 2, at(100), at(120))
+	b.Record(upstream, 0, at(200), at(220))
+	b.Record(upstream, 2, at(90), at(190))
 	g.Expect(limitOf(b)).To(BeZero())
-	b.Note(upstream, 3, at(230), at(240))
+	b.Record(upstream, 3, at(230), at(240))
 	g.Expect(limitOf(b)).To(Equal(3.0))
 }
 
@@ -49,12 +49,12 @@
 func TestLowerOfTwoLimitsHoldsUntilOneIsNewer(t *testing.T) {
 	g := NewWithT(t)
 	b := ratelimit.NewTracker()
-	b.Note(upstream, 2, at(100), at(200))
-	b.Note(upstream, 5, at(150), at(250))
+	b.Record(upstream, 2, at(100), at(200))
+	b.Record(upstream, 5, at(150), at(250))
 	g.Expect(limitOf(b)).To(Equal(2.0))
-	b.Note(upstream, 5, at(250), at(260))
+	b.Record(upstream, 5, at(250), at(260))
 	g.Expect(limitOf(b)).To(Equal(5.0))
-	b.Note(upstream, 1, at(100), at(255))
+	b.Record(upstream, 1, at(100), at(255))
 	g.Expect(limitOf(b)).To(Equal(5.0))
 }
 
@@ -62,11 +62,11 @@
 func TestBookForgets(t *testing.T) {
 	g := NewWithT(t)
 	b := ratelimit.NewTracker()
-	b.Note(upstream, 2, at(0), at(1))
-	b.Note(8, 2, at(0), at(1))
+	b.Record(upstream, 2, at(0), at(1))
+	b.Record(8, 2, at(0), at(1))
 	b.Keep(at(60_000), func(u uint64) bool { return u == upstream })
 	g.Expect(b.Limited()).To(Equal([]uint64{upstream}))
-	b.Note(upstream, 0, at(60_000), at(60_001))
+	b.Record(upstream, 0, at(60_000), at(60_001))
 	b.Keep(at(60_500), func(uint64) bool { return true })
 	g.Expect(b.Statements(at(60_500))).To(HaveLen(1))
 	b.Keep(at(75_000), func(uint64) bool { return true })
@@ -86,7 +86,7 @@
 			if rapid.Bool().Draw(t, "at b") {
 				to = b
 			}
-			to.Note(upstream, rate, at(sent), at(heard))
+			to.Record(upstream, rate, at(sent), at(heard))
 		}
 		for range 3 {
 			a.Take(at(3000), b.Statements(at(3000)))
--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -108,7 +108,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.book.Note(upstream, perSecond, sent, heard) {
+	if c.book.Record(upstream, perSecond, sent, heard) {
 		now, _ := c.book.Limit(upstream)
 		c.cfg.Log.Event("upstream_limit").Str("upstream", name).Float("per_second", now).End()
 	}
