--- a/core/ratelimit/book.go
+++ b/core/ratelimit/book.go
@@ -106,8 +106,8 @@
 // endedMemory is for how long the end of a limit is told to others.
 const endedMemory = 10 * time.Second
 
-// Keep forgets upstreams that are gone, and ends that all have heard of.
-func (b *Tracker) Keep(now time.Time, there func(upstream uint64) bool) {
+// Prune forgets upstreams that are gone, and ends that all have heard of.
+func (b *Tracker) Prune(now time.Time, there func(upstream uint64) bool) {
 	for upstream, l := range b.limits {
 		if !there(upstream) || !l.ended.IsZero() && now.Sub(l.ended) > endedMemory {
 			delete(b.limits, upstream)
--- a/core/ratelimit/book_test.go
+++ b/core/ratelimit/book_test.go
@@ -64,12 +64,12 @@
 	b := ratelimit.NewTracker()
 	b.Record(upstream, 2, at(0), at(1))
 	b.Record(8, 2, at(0), at(1))
-	b.Keep(at(60_000), func(u uint64) bool { return u == upstream })
+	b.Prune(at(60_000), func(u uint64) bool { return u == upstream })
 	g.Expect(b.Limited()).To(Equal([]uint64{upstream}))
 	b.Record(upstream, 0, at(60_000), at(60_001))
-	b.Keep(at(60_500), func(uint64) bool { return true })
+	b.Prune(at(60_500), func(uint64) bool { return true })
 	g.Expect(b.Statements(at(60_500))).To(HaveLen(1))
-	b.Keep(at(75_000), func(uint64) bool { return true })
+	b.Prune(at(75_000), func(uint64) bool { return true })
 	g.Expect(b.Empty()).To(BeTrue())
 }
 
--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -210,7 +210,7 @@
 func (c *Client) forget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.book.Keep(clock.Now(), c.cfg.There)
+	c.book.Prune(clock.Now(), c.cfg.There)
 	c.known.Store(!c.book.Empty())
 }
 
--- a/instance/serving/limits.go
+++ b/instance/serving/limits.go
@@ -50,5 +50,5 @@
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limits.Keep(now, func(upstream uint64) bool { return there[upstream] })
+	s.limits.Prune(now, func(upstream uint64) bool { return there[upstream] })
 }
