--- a/core/ratelimit/book.go
+++ b/core/ratelimit/book.go
@@ -133,8 +133,8 @@
 // come back with what its way took.
 const echo = 250 * time.Millisecond
 
-// Take takes in what another book holds. An end of a limit that is not known says nothing.
-func (b *Tracker) Take(now time.Time, list []Statement) {
+// Merge takes in what another book holds. An end of a limit that is not known says nothing.
+func (b *Tracker) Merge(now time.Time, list []Statement) {
 	for i := range list {
 		s := &list[i]
 		ago := func(ms int64) time.Time { return now.Add(-time.Duration(ms) * time.Millisecond) }
--- a/core/ratelimit/book_test.go
+++ b/core/ratelimit/book_test.go
@@ -89,8 +89,8 @@
 			to.Record(upstream, rate, at(sent), at(heard))
 		}
 		for range 3 {
-			a.Take(at(3000), b.Statements(at(3000)))
-			b.Take(at(3000), a.Statements(at(3000)))
+			a.Merge(at(3000), b.Statements(at(3000)))
+			b.Merge(at(3000), a.Statements(at(3000)))
 		}
 		_, limitedA := a.Limit(upstream)
 		_, limitedB := b.Limit(upstream)
--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -132,7 +132,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.book.Take(clock.Now(), list)
+	c.book.Merge(clock.Now(), list)
 	c.known.Store(!c.book.Empty())
 }
 
--- a/instance/serving/limits.go
+++ b/instance/serving/limits.go
@@ -23,7 +23,7 @@
 
 func (b limitBook) take(now time.Time, list []ratelimit.Statement) {
 	if len(list) > 0 {
-		b.Take(now, list)
+		b.Merge(now, list)
 	}
 }
 
