--- a/core/ratelimit/compare_test.go
+++ b/core/ratelimit/compare_test.go
@@ -129,7 +129,7 @@
 type rights struct {
 	rng     *rand.Rand
 	s       *scene
-	holder  *ratelimit.Holder
+	holder  *ratelimit.Allocator
 	wallets []*ratelimit.Wallet
 	arrives []grantAt
 	next    []time.Duration
--- a/core/ratelimit/holder.go
+++ b/core/ratelimit/holder.go
@@ -66,12 +66,12 @@
 	b.tokens = min(b.tokens, burst(perSecond))
 }
 
-// Holder hands out what all instances together may send. Only one may do so at a time, and a
+// Allocator hands out what all instances together may send. Only one may do so at a time, and a
 // successor must wait for TokenLife before it begins. It is not safe for concurrent use.
-type Holder struct{ buckets map[uint64]*bucket }
+type Allocator struct{ buckets map[uint64]*bucket }
 
 // NewHolder returns a holder that has nothing to hand out yet.
-func NewHolder() *Holder { return &Holder{buckets: map[uint64]*bucket{}} }
+func NewHolder() *Allocator { return &Allocator{buckets: map[uint64]*bucket{}} }
 
 // Limits tells the limits that upstreams name.
 type Limits interface {
@@ -79,7 +79,7 @@
 }
 
 // Fill lets the rights of the upstreams that are asked for accrue.
-func (h *Holder) fill(now time.Time, limits Limits, asks []*Ask) {
+func (h *Allocator) fill(now time.Time, limits Limits, asks []*Ask) {
 	for upstream, b := range h.buckets {
 		if perSecond, limited := limits.Limit(upstream); limited {
 			b.fill(now, perSecond)
@@ -101,7 +101,7 @@
 // Serve hands out what there is, to the most urgent wants first and among equally urgent ones
 // to each in turn, the oldest first. Wants of upstreams without a limit get nothing: they need
 // nothing.
-func (h *Holder) Serve(now time.Time, limits Limits, asks []*Ask) {
+func (h *Allocator) Serve(now time.Time, limits Limits, asks []*Ask) {
 	h.fill(now, limits, asks)
 	type place struct {
 		ask  *Ask
--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -74,7 +74,7 @@
 	wallet *ratelimit.Wallet
 	// alone hands out this instance's part while no member answers; unanswered is since when
 	// that is, zero while one does.
-	alone      *ratelimit.Holder
+	alone      *ratelimit.Allocator
 	unanswered time.Time
 }
 
--- a/instance/ratelimit/service.go
+++ b/instance/ratelimit/service.go
@@ -47,7 +47,7 @@
 
 	mu sync.Mutex
 	// holder is that of a term, which this member has led since.
-	holder *ratelimit.Holder
+	holder *ratelimit.Allocator
 	term   uint64
 	since  time.Time
 	// waiting are the questions that have got nothing yet.
