--- a/core/ratelimit/holder.go
+++ b/core/ratelimit/holder.go
@@ -70,8 +70,8 @@
 // successor must wait for TokenLife before it begins. It is not safe for concurrent use.
 type Allocator struct{ buckets map[uint64]*bucket }
 
-// NewHolder returns a holder that has nothing to hand out yet.
-func NewHolder() *Allocator { return &Allocator{buckets: map[uint64]*bucket{}} }
+// NewAllocator returns a holder that has nothing to hand out yet.
+func NewAllocator() *Allocator { return &Allocator{buckets: map[uint64]*bucket{}} }
 
 // Limits tells the limits that upstreams name.
 type Limits interface {
--- a/core/ratelimit/holder_test.go
+++ b/core/ratelimit/holder_test.go
@@ -34,7 +34,7 @@
 // Guards against less urgent requests that use up what more urgent ones wait for.
 func TestUrgentWantsAreServedFirst(t *testing.T) {
 	g := NewWithT(t)
-	h := ratelimit.NewHolder()
+	h := ratelimit.NewAllocator()
 	limits := rates{upstream: 2}
 	last, first := ask(want(5, 4)), ask(want(2, 0))
 	h.Serve(epoch, limits, []*ratelimit.Ask{last, first})
@@ -51,7 +51,7 @@
 // use for while another one waits.
 func TestEquallyUrgentWantsTakeTurns(t *testing.T) {
 	g := NewWithT(t)
-	h := ratelimit.NewHolder()
+	h := ratelimit.NewAllocator()
 	limits := rates{upstream: 10}
 	many, few := ask(want(30, 0)), ask(want(1, 0))
 	h.Serve(epoch, limits, []*ratelimit.Ask{many, few})
@@ -63,7 +63,7 @@
 func TestUpstreamWithoutALimitNeedsNoGrant(t *testing.T) {
 	g := NewWithT(t)
 	a := ask(want(3, 0))
-	h := ratelimit.NewHolder()
+	h := ratelimit.NewAllocator()
 	h.Serve(epoch, rates{}, []*ratelimit.Ask{a})
 	h.Serve(epoch.Add(time.Hour), rates{}, []*ratelimit.Ask{a})
 	g.Expect(granted(a)).To(BeZero())
@@ -76,7 +76,7 @@
 		perSecond := rapid.SampledFrom([]float64{0.3, 1, 2.3, 10, 30}).Draw(t, "limit")
 		instances := rapid.SampledFrom([]int{1, 9, 79, 450}).Draw(t, "instances")
 		limits := rates{upstream: perSecond}
-		h := ratelimit.NewHolder()
+		h := ratelimit.NewAllocator()
 		wallets := make([]*ratelimit.Wallet, instances)
 		for i := range wallets {
 			wallets[i] = ratelimit.NewWallet()
@@ -139,7 +139,7 @@
 	g.Expect(w.Has(epoch, upstream)).To(BeTrue())
 	g.Expect(w.Take(epoch, upstream)).To(BeTrue())
 	g.Expect(w.Take(epoch.Add(ratelimit.TokenLife), upstream)).To(BeFalse())
-	h := ratelimit.NewHolder()
+	h := ratelimit.NewAllocator()
 	a := ask(want(30, 0))
 	h.Serve(epoch, rates{upstream: 4}, []*ratelimit.Ask{a})
 	h.Serve(epoch.Add(time.Hour), rates{upstream: 4}, []*ratelimit.Ask{a})
--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -250,7 +250,7 @@
 		return nil
 	}
 	if c.alone == nil {
-		c.alone = ratelimit.NewHolder()
+		c.alone = ratelimit.NewAllocator()
 	}
 	own := &ratelimit.Ask{Wants: wants}
 	c.alone.Serve(clock.Now(), part{c.book, float64(max(1, c.cfg.Forwarders()))}, []*ratelimit.Ask{own})
--- a/instance/ratelimit/service.go
+++ b/instance/ratelimit/service.go
@@ -113,7 +113,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.holder == nil || s.term != st.Term {
-		s.holder, s.term, s.since = ratelimit.NewHolder(), st.Term, clock.Now()
+		s.holder, s.term, s.since = ratelimit.NewAllocator(), st.Term, clock.Now()
 	}
 	s.waiting = append(s.waiting, a)
 }
