--- a/core/ratelimit/compare_test.go
+++ b/core/ratelimit/compare_test.go
@@ -155,7 +155,7 @@
 	for _, g := range r.arrives {
 		open = append(open, g.ask)
 	}
-	r.holder.Serve(epoch.Add(now), rates{upstream: r.s.perSecond}, open)
+	r.holder.Allocate(epoch.Add(now), rates{upstream: r.s.perSecond}, open)
 	var later []grantAt
 	for _, g := range r.arrives {
 		if now < g.at {
--- a/core/ratelimit/holder.go
+++ b/core/ratelimit/holder.go
@@ -98,10 +98,10 @@
 	}
 }
 
-// Serve hands out what there is, to the most urgent wants first and among equally urgent ones
+// Allocate hands out what there is, to the most urgent wants first and among equally urgent ones
 // to each in turn, the oldest first. Wants of upstreams without a limit get nothing: they need
 // nothing.
-func (h *Allocator) Serve(now time.Time, limits Limits, asks []*Ask) {
+func (h *Allocator) Allocate(now time.Time, limits Limits, asks []*Ask) {
 	h.fill(now, limits, asks)
 	type place struct {
 		ask  *Ask
--- a/core/ratelimit/holder_test.go
+++ b/core/ratelimit/holder_test.go
@@ -37,13 +37,13 @@
 	h := ratelimit.NewAllocator()
 	limits := rates{upstream: 2}
 	last, first := ask(want(5, 4)), ask(want(2, 0))
-	h.Serve(epoch, limits, []*ratelimit.Ask{last, first})
+	h.Allocate(epoch, limits, []*ratelimit.Ask{last, first})
 	g.Expect(granted(first)).To(BeZero(), "a new holder has nothing")
-	h.Serve(epoch.Add(time.Second), limits, []*ratelimit.Ask{last, first})
+	h.Allocate(epoch.Add(time.Second), limits, []*ratelimit.Ask{last, first})
 	g.Expect(granted(first)).To(Equal(2))
 	g.Expect(granted(last)).To(BeZero())
 	g.Expect(first.Open()).To(BeFalse())
-	h.Serve(epoch.Add(2*time.Second), limits, []*ratelimit.Ask{last})
+	h.Allocate(epoch.Add(2*time.Second), limits, []*ratelimit.Ask{last})
 	g.Expect(granted(last)).To(Equal(2))
 }
 
@@ -54,8 +54,8 @@
 	h := ratelimit.NewAllocator()
 	limits := rates{upstream: 10}
 	many, few := ask(want(30, 0)), ask(want(1, 0))
-	h.Serve(epoch, limits, []*ratelimit.Ask{many, few})
-	h.Serve(epoch.Add(time.Second), limits, []*ratelimit.Ask{many, few})
+	h.Allocate(epoch, limits, []*ratelimit.Ask{many, few})
+	h.Allocate(epoch.Add(time.Second), limits, []*ratelimit.Ask{many, few})
 	g.Expect(granted(few)).To(Equal(1))
 	g.Expect(granted(many)).To(Equal(5))
 }
@@ -64,8 +64,8 @@
 	g := NewWithT(t)
 	a := ask(want(3, 0))
 	h := ratelimit.NewAllocator()
-	h.Serve(epoch, rates{}, []*ratelimit.Ask{a})
-	h.Serve(epoch.Add(time.Hour), rates{}, []*ratelimit.Ask{a})
+	h.Allocate(epoch, rates{}, []*ratelimit.Ask{a})
+	h.Allocate(epoch.Add(time.Hour), rates{}, []*ratelimit.Ask{a})
 	g.Expect(granted(a)).To(BeZero())
 }
 
@@ -104,7 +104,7 @@
 				}
 				asks, from = append(asks, &ratelimit.Ask{Wants: w.TakeWants()}), append(from, w)
 			}
-			h.Serve(now, limits, asks)
+			h.Allocate(now, limits, asks)
 			for i, a := range asks {
 				from[i].Add(now, a.Grants)
 			}
@@ -141,8 +141,8 @@
 	g.Expect(w.Take(epoch.Add(ratelimit.TokenLife), upstream)).To(BeFalse())
 	h := ratelimit.NewAllocator()
 	a := ask(want(30, 0))
-	h.Serve(epoch, rates{upstream: 4}, []*ratelimit.Ask{a})
-	h.Serve(epoch.Add(time.Hour), rates{upstream: 4}, []*ratelimit.Ask{a})
+	h.Allocate(epoch, rates{upstream: 4}, []*ratelimit.Ask{a})
+	h.Allocate(epoch.Add(time.Hour), rates{upstream: 4}, []*ratelimit.Ask{a})
 	g.Expect(granted(a)).To(Equal(3), "one and what half a second brings")
 }
 
--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -253,7 +253,7 @@
 		c.alone = ratelimit.NewAllocator()
 	}
 	own := &ratelimit.Ask{Wants: wants}
-	c.alone.Serve(clock.Now(), part{c.book, float64(max(1, c.cfg.Forwarders()))}, []*ratelimit.Ask{own})
+	c.alone.Allocate(clock.Now(), part{c.book, float64(max(1, c.cfg.Forwarders()))}, []*ratelimit.Ask{own})
 	return own.Grants
 }
 
--- a/instance/ratelimit/service.go
+++ b/instance/ratelimit/service.go
@@ -125,7 +125,7 @@
 	defer s.mu.Unlock()
 	now := clock.Now()
 	if now.Sub(s.since) >= ratelimit.TokenLife {
-		s.holder.Serve(now, s.cfg.Limits, s.waiting)
+		s.holder.Allocate(now, s.cfg.Limits, s.waiting)
 	}
 	if !ends && len(a.Grants) == 0 {
 		return false
