--- a/core/ratelimit/holder.go
+++ b/core/ratelimit/holder.go
@@ -8,8 +8,8 @@
 	"github.com/comfreyladder/comfreyladder/core/wire"
 )
 
-// TokenLife is for how long the right to send a request may be used after it was asked for.
-const TokenLife = time.Second
+// TokenLifetime is for how long the right to send a request may be used after it was asked for.
+const TokenLifetime = time.Second
 
 // Want asks for the right to send requests to an upstream.
 type Want struct {
--- a/core/ratelimit/holder_test.go
+++ b/core/ratelimit/holder_test.go
@@ -138,7 +138,7 @@
 	w.Add(epoch, []ratelimit.Grant{{Upstream: upstream, Count: 2}})
 	g.Expect(w.Has(epoch, upstream)).To(BeTrue())
 	g.Expect(w.Take(epoch, upstream)).To(BeTrue())
-	g.Expect(w.Take(epoch.Add(ratelimit.TokenLife), upstream)).To(BeFalse())
+	g.Expect(w.Take(epoch.Add(ratelimit.TokenLifetime), upstream)).To(BeFalse())
 	h := ratelimit.NewAllocator()
 	a := ask(want(30, 0))
 	h.Allocate(epoch, rates{upstream: 4}, []*ratelimit.Ask{a})
--- a/core/ratelimit/wallet.go
+++ b/core/ratelimit/wallet.go
@@ -24,7 +24,7 @@
 func (w *Wallet) Add(asked time.Time, grants []Grant) {
 	for _, g := range grants {
 		for range g.Count {
-			w.tokens[g.Upstream] = append(w.tokens[g.Upstream], asked.Add(TokenLife))
+			w.tokens[g.Upstream] = append(w.tokens[g.Upstream], asked.Add(TokenLifetime))
 		}
 		slices.SortFunc(w.tokens[g.Upstream], time.Time.Compare)
 	}
--- a/instance/ratelimit/service.go
+++ b/instance/ratelimit/service.go
@@ -124,7 +124,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	if now.Sub(s.since) >= ratelimit.TokenLife {
+	if now.Sub(s.since) >= ratelimit.TokenLifetime {
 		s.holder.Allocate(now, s.cfg.Limits, s.waiting)
 	}
 	if !ends && len(a.Grants) == 0 {
--- a/instance/ratelimit/service_test.go
+++ b/instance/ratelimit/service_test.go
@@ -136,7 +136,7 @@
 	}
 	all.Wait()
 	Expect(total).To(BeNumerically("<=", perSecond*span.Seconds()+1))
-	Expect(total).To(BeNumerically(">=", 0.8*perSecond*(span-core.TokenLife).Seconds()-2), "a new holder waits before it begins")
+	Expect(total).To(BeNumerically(">=", 0.8*perSecond*(span-core.TokenLifetime).Seconds()-2), "a new holder waits before it begins")
 }
 
 // Guards against a successor that hands out rights beside those of the one before it.
@@ -154,7 +154,7 @@
 			break
 		}
 	}
-	Expect(time.Since(begun)).To(BeNumerically(">=", core.TokenLife))
+	Expect(time.Since(begun)).To(BeNumerically(">=", core.TokenLifetime))
 }
 
 func memberOf(r *consensus.Service, name string) raft.MemberID {
