--- a/core/ratelimit/holder.go
+++ b/core/ratelimit/holder.go
@@ -11,8 +11,8 @@
 // TokenLifetime is for how long the right to send a request may be used after it was asked for.
 const TokenLifetime = time.Second
 
-// Want asks for the right to send requests to an upstream.
-type Want struct {
+// Demand asks for the right to send requests to an upstream.
+type Demand struct {
 	wire.Array
 	Upstream uint64
 	Count    int
@@ -29,12 +29,12 @@
 
 // Ask is what one instance wants, and what it has got.
 type Ask struct {
-	Wants  []Want
+	Wants  []Demand
 	Grants []Grant
 }
 
 // grant moves one token from what is wanted to what is granted.
-func (a *Ask) grant(w *Want) {
+func (a *Ask) grant(w *Demand) {
 	w.Count--
 	for i := range a.Grants {
 		if a.Grants[i].Upstream == w.Upstream {
@@ -47,7 +47,7 @@
 
 // Open reports whether anything is still wanted.
 func (a *Ask) Open() bool {
-	return slices.ContainsFunc(a.Wants, func(w Want) bool { return w.Count > 0 })
+	return slices.ContainsFunc(a.Wants, func(w Demand) bool { return w.Count > 0 })
 }
 
 // bucket is what may be sent to one upstream.
@@ -105,7 +105,7 @@
 	h.fill(now, limits, asks)
 	type place struct {
 		ask  *Ask
-		want *Want
+		want *Demand
 	}
 	var places []place
 	for _, a := range asks {
--- a/core/ratelimit/holder_test.go
+++ b/core/ratelimit/holder_test.go
@@ -18,10 +18,10 @@
 	return perSecond, limited
 }
 
-func ask(wants ...ratelimit.Want) *ratelimit.Ask { return &ratelimit.Ask{Wants: wants} }
+func ask(wants ...ratelimit.Demand) *ratelimit.Ask { return &ratelimit.Ask{Wants: wants} }
 
-func want(count, urgency int) ratelimit.Want {
-	return ratelimit.Want{Upstream: upstream, Count: count, Urgency: urgency}
+func want(count, urgency int) ratelimit.Demand {
+	return ratelimit.Demand{Upstream: upstream, Count: count, Urgency: urgency}
 }
 
 func granted(a *ratelimit.Ask) (n int) {
@@ -152,7 +152,7 @@
 	for i := range 100 {
 		w.Want(upstream, 100-i)
 	}
-	g.Expect(w.TakeWants()).To(Equal([]ratelimit.Want{want(32, 1)}))
+	g.Expect(w.TakeWants()).To(Equal([]ratelimit.Demand{want(32, 1)}))
 	g.Expect(w.Wanting()).To(BeFalse())
 	g.Expect(w.TakeWants()).To(BeEmpty())
 }
--- a/core/ratelimit/wallet.go
+++ b/core/ratelimit/wallet.go
@@ -14,11 +14,11 @@
 type Wallet struct {
 	// tokens are the times until which each right may be used, in order.
 	tokens map[uint64][]time.Time
-	wants  map[uint64]*Want
+	wants  map[uint64]*Demand
 }
 
 // NewWallet returns an empty wallet.
-func NewWallet() *Wallet { return &Wallet{tokens: map[uint64][]time.Time{}, wants: map[uint64]*Want{}} }
+func NewWallet() *Wallet { return &Wallet{tokens: map[uint64][]time.Time{}, wants: map[uint64]*Demand{}} }
 
 // Add takes in rights that were asked for at a time.
 func (w *Wallet) Add(asked time.Time, grants []Grant) {
@@ -57,7 +57,7 @@
 func (w *Wallet) Want(upstream uint64, urgency int) {
 	want := w.wants[upstream]
 	if want == nil {
-		want = &Want{Upstream: upstream, Urgency: urgency}
+		want = &Demand{Upstream: upstream, Urgency: urgency}
 		w.wants[upstream] = want
 	}
 	want.Count = min(maxWanted, want.Count+1)
@@ -65,13 +65,13 @@
 }
 
 // TakeWants returns what was wanted since the last call, in order.
-func (w *Wallet) TakeWants() []Want {
-	list := make([]Want, 0, len(w.wants))
+func (w *Wallet) TakeWants() []Demand {
+	list := make([]Demand, 0, len(w.wants))
 	for _, want := range w.wants {
 		list = append(list, *want)
 	}
 	clear(w.wants)
-	slices.SortFunc(list, func(a, b Want) int { return cmp.Compare(a.Upstream, b.Upstream) })
+	slices.SortFunc(list, func(a, b Demand) int { return cmp.Compare(a.Upstream, b.Upstream) })
 	return list
 }
 
--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -20,7 +20,7 @@
 
 // Question asks for the right to send requests to upstreams.
 type Question struct {
-	Wants []ratelimit.Want `codec:"w"`
+	Wants []ratelimit.Demand `codec:"w"`
 	// Forwarded says that a member asks the leader.
 	Forwarded bool `codec:"f,omitempty"`
 }
@@ -242,7 +242,7 @@
 
 // ownPart returns what this instance may send by itself: its part of what upstreams take, once
 // no member has answered for a while. It needs mu.
-func (c *Client) ownPart(now time.Time, wants []ratelimit.Want) []ratelimit.Grant {
+func (c *Client) ownPart(now time.Time, wants []ratelimit.Demand) []ratelimit.Grant {
 	if c.unanswered.IsZero() {
 		c.unanswered = now
 	}
--- a/instance/ratelimit/client_test.go
+++ b/instance/ratelimit/client_test.go
@@ -21,7 +21,7 @@
 	mu    sync.Mutex
 	down  bool
 	calls int
-	asked []core.Want
+	asked []core.Demand
 }
 
 func (m *members) Call(_ context.Context, _, _ string, req, resp any) error {
@@ -83,7 +83,7 @@
 	Expect(c.Spend(upstream, 3)).To(BeFalse())
 	c.Want(upstream, 3)
 	Eventually(func() bool { return c.Has(upstream) }, time.Second, time.Millisecond).Should(BeTrue())
-	Expect(m.asked).To(Equal([]core.Want{{Upstream: upstream, Count: 1, Urgency: 3}}))
+	Expect(m.asked).To(Equal([]core.Demand{{Upstream: upstream, Count: 1, Urgency: 3}}))
 	Expect(c.Spend(upstream, 3)).To(BeTrue())
 	Expect(c.Spend(upstream, 3)).To(BeFalse())
 	Eventually(func() bool { return c.Has(upstream) }, time.Second, time.Millisecond).Should(BeTrue(), "the next one was asked for")
