--- a/core/ratelimit/holder.go
+++ b/core/ratelimit/holder.go
@@ -29,7 +29,7 @@
 
 // Ask is what one instance wants, and what it has got.
 type Ask struct {
-	Wants  []Demand
+	Demands  []Demand
 	Grants []Grant
 }
 
@@ -47,7 +47,7 @@
 
 // Open reports whether anything is still wanted.
 func (a *Ask) Open() bool {
-	return slices.ContainsFunc(a.Wants, func(w Demand) bool { return w.Count > 0 })
+	return slices.ContainsFunc(a.Demands, func(w Demand) bool { return w.Count > 0 })
 }
 
 // bucket is what may be sent to one upstream.
@@ -88,8 +88,8 @@
 		delete(h.buckets, upstream)
 	}
 	for _, a := range asks {
-		for i := range a.Wants {
-			upstream := a.Wants[i].Upstream
+		for i := range a.Demands {
+			upstream := a.Demands[i].Upstream
 			perSecond, limited := limits.Limit(upstream)
 			if limited && h.buckets[upstream] == nil {
 				h.buckets[upstream] = &bucket{perSecond: perSecond, at: now}
@@ -109,8 +109,8 @@
 	}
 	var places []place
 	for _, a := range asks {
-		for i := range a.Wants {
-			places = append(places, place{a, &a.Wants[i]})
+		for i := range a.Demands {
+			places = append(places, place{a, &a.Demands[i]})
 		}
 	}
 	slices.SortStableFunc(places, func(a, b place) int { return cmp.Compare(a.want.Urgency, b.want.Urgency) })
--- a/core/ratelimit/holder_test.go
+++ b/core/ratelimit/holder_test.go
@@ -18,7 +18,7 @@
 	return perSecond, limited
 }
 
-func ask(wants ...ratelimit.Demand) *ratelimit.Ask { return &ratelimit.Ask{Wants: wants} }
+func ask(wants ...ratelimit.Demand) *ratelimit.Ask { return &ratelimit.Ask{Demands: wants} }
 
 func want(count, urgency int) ratelimit.Demand {
 	return ratelimit.Demand{Upstream: upstream, Count: count, Urgency: urgency}
@@ -102,7 +102,7 @@
 					sent = append(sent, now)
 					continue
 				}
-				asks, from = append(asks, &ratelimit.Ask{Wants: w.TakeWants()}), append(from, w)
+				asks, from = append(asks, &ratelimit.Ask{Demands: w.TakeWants()}), append(from, w)
 			}
 			h.Allocate(now, limits, asks)
 			for i, a := range asks {
--- a/instance/ratelimit/service.go
+++ b/instance/ratelimit/service.go
@@ -95,7 +95,7 @@
 
 // serve holds a question until it gets a first right, or for holdFor.
 func (s *Service) serve(ctx context.Context, st *consensus.Status, q *Question) *Answer {
-	a := &ratelimit.Ask{Wants: q.Wants}
+	a := &ratelimit.Ask{Demands: q.Wants}
 	s.enter(st, a)
 	until := clock.Now().Add(holdFor)
 	for !s.handOut(a, !clock.Now().Before(until)) {
