--- a/core/ratelimit/compare_test.go
+++ b/core/ratelimit/compare_test.go
@@ -139,7 +139,7 @@
 	at     time.Duration
 	asked  time.Duration
 	wallet *ratelimit.Wallet
-	ask    *ratelimit.Ask
+	ask    *ratelimit.TokenRequest
 }
 
 func newRights(rng *rand.Rand, s *scene) *rights {
@@ -151,7 +151,7 @@
 }
 
 func (r *rights) admit(now time.Duration, i int, first bool) bool {
-	var open []*ratelimit.Ask
+	var open []*ratelimit.TokenRequest
 	for _, g := range r.arrives {
 		open = append(open, g.ask)
 	}
@@ -171,7 +171,7 @@
 	}
 	if now >= r.next[i] && w.Wanting() {
 		r.next[i] = now + 50*time.Millisecond + time.Duration(r.s.instances)*2*time.Millisecond
-		r.arrives = append(r.arrives, grantAt{now + wayToHolder + time.Duration(r.rng.Int64N(int64(150*time.Millisecond))), now, w, &ratelimit.Ask{Demands: w.TakeWants()}})
+		r.arrives = append(r.arrives, grantAt{now + wayToHolder + time.Duration(r.rng.Int64N(int64(150*time.Millisecond))), now, w, &ratelimit.TokenRequest{Demands: w.TakeWants()}})
 	}
 	return w.Take(epoch.Add(now), upstream)
 }
--- a/core/ratelimit/holder.go
+++ b/core/ratelimit/holder.go
@@ -27,14 +27,14 @@
 	Count    int
 }
 
-// Ask is what one instance wants, and what it has got.
-type Ask struct {
+// TokenRequest is what one instance wants, and what it has got.
+type TokenRequest struct {
 	Demands  []Demand
 	Grants []Grant
 }
 
 // grant moves one token from what is wanted to what is granted.
-func (a *Ask) grant(w *Demand) {
+func (a *TokenRequest) grant(w *Demand) {
 	w.Count--
 	for i := range a.Grants {
 		if a.Grants[i].Upstream == w.Upstream {
@@ -46,7 +46,7 @@
 }
 
 // Open reports whether anything is still wanted.
-func (a *Ask) Open() bool {
+func (a *TokenRequest) Open() bool {
 	return slices.ContainsFunc(a.Demands, func(w Demand) bool { return w.Count > 0 })
 }
 
@@ -79,7 +79,7 @@
 }
 
 // Fill lets the rights of the upstreams that are asked for accrue.
-func (h *Allocator) fill(now time.Time, limits Limits, asks []*Ask) {
+func (h *Allocator) fill(now time.Time, limits Limits, asks []*TokenRequest) {
 	for upstream, b := range h.buckets {
 		if perSecond, limited := limits.Limit(upstream); limited {
 			b.fill(now, perSecond)
@@ -101,10 +101,10 @@
 // Allocate hands out what there is, to the most urgent wants first and among equally urgent ones
 // to each in turn, the oldest first. Wants of upstreams without a limit get nothing: they need
 // nothing.
-func (h *Allocator) Allocate(now time.Time, limits Limits, asks []*Ask) {
+func (h *Allocator) Allocate(now time.Time, limits Limits, asks []*TokenRequest) {
 	h.fill(now, limits, asks)
 	type place struct {
-		ask  *Ask
+		ask  *TokenRequest
 		want *Demand
 	}
 	var places []place
--- a/core/ratelimit/holder_test.go
+++ b/core/ratelimit/holder_test.go
@@ -18,13 +18,13 @@
 	return perSecond, limited
 }
 
-func ask(wants ...ratelimit.Demand) *ratelimit.Ask { return &ratelimit.Ask{Demands: wants} }
+func ask(wants ...ratelimit.Demand) *ratelimit.TokenRequest { return &ratelimit.TokenRequest{Demands: wants} }
 
 func want(count, urgency int) ratelimit.Demand {
 	return ratelimit.Demand{Upstream: upstream, Count: count, Urgency: urgency}
 }
 
-func granted(a *ratelimit.Ask) (n int) {
+func granted(a *ratelimit.TokenRequest) (n int) {
 	for _, g := range a.Grants {
 		n += g.Count
 	}
@@ -37,13 +37,13 @@
 	h := ratelimit.NewAllocator()
 	limits := rates{upstream: 2}
 	last, first := ask(want(5, 4)), ask(want(2, 0))
-	h.Allocate(epoch, limits, []*ratelimit.Ask{last, first})
+	h.Allocate(epoch, limits, []*ratelimit.TokenRequest{last, first})
 	g.Expect(granted(first)).To(BeZero(), "a new holder has nothing")
-	h.Allocate(epoch.Add(time.Second), limits, []*ratelimit.Ask{last, first})
+	h.Allocate(epoch.Add(time.Second), limits, []*ratelimit.TokenRequest{last, first})
 	g.Expect(granted(first)).To(Equal(2))
 	g.Expect(granted(last)).To(BeZero())
 	g.Expect(first.Open()).To(BeFalse())
-	h.Allocate(epoch.Add(2*time.Second), limits, []*ratelimit.Ask{last})
+	h.Allocate(epoch.Add(2*time.Second), limits, []*ratelimit.TokenRequest{last})
 	g.Expect(granted(last)).To(Equal(2))
 }
 
@@ -54,8 +54,8 @@
 	h := ratelimit.NewAllocator()
 	limits := rates{upstream: 10}
 	many, few := ask(want(30, 0)), ask(want(1, 0))
-	h.Allocate(epoch, limits, []*ratelimit.Ask{many, few})
-	h.Allocate(epoch.Add(time.Second), limits, []*ratelimit.Ask{many, few})
+	h.Allocate(epoch, limits, []*ratelimit.TokenRequest{many, few})
+	h.Allocate(epoch.Add(time.Second), limits, []*ratelimit.TokenRequest{many, few})
 	g.Expect(granted(few)).To(Equal(1))
 	g.Expect(granted(many)).To(Equal(5))
 }
@@ -64,8 +64,8 @@
 	g := NewWithT(t)
 	a := ask(want(3, 0))
 	h := ratelimit.NewAllocator()
-	h.Allocate(epoch, rates{}, []*ratelimit.Ask{a})
-	h.Allocate(epoch.Add(time.Hour), rates{}, []*ratelimit.Ask{a})
+	h.Allocate(epoch, rates{}, []*ratelimit.TokenRequest{a})
+	h.Allocate(epoch.Add(time.Hour), rates{}, []*ratelimit.TokenRequest{a})
 	g.Expect(granted(a)).To(BeZero())
 }
 
@@ -88,7 +88,7 @@
 		n := 0
 		for d := time.Duration(0); d < span; d += step {
 			now := epoch.Add(d)
-			var asks []*ratelimit.Ask
+			var asks []*ratelimit.TokenRequest
 			var from []*ratelimit.Wallet
 			// More is asked than is allowed: some instances at a time.
 			for range 1 + int(perSecond)/5 {
@@ -102,7 +102,7 @@
 					sent = append(sent, now)
 					continue
 				}
-				asks, from = append(asks, &ratelimit.Ask{Demands: w.TakeWants()}), append(from, w)
+				asks, from = append(asks, &ratelimit.TokenRequest{Demands: w.TakeWants()}), append(from, w)
 			}
 			h.Allocate(now, limits, asks)
 			for i, a := range asks {
@@ -141,8 +141,8 @@
 	g.Expect(w.Take(epoch.Add(ratelimit.TokenLifetime), upstream)).To(BeFalse())
 	h := ratelimit.NewAllocator()
 	a := ask(want(30, 0))
-	h.Allocate(epoch, rates{upstream: 4}, []*ratelimit.Ask{a})
-	h.Allocate(epoch.Add(time.Hour), rates{upstream: 4}, []*ratelimit.Ask{a})
+	h.Allocate(epoch, rates{upstream: 4}, []*ratelimit.TokenRequest{a})
+	h.Allocate(epoch.Add(time.Hour), rates{upstream: 4}, []*ratelimit.TokenRequest{a})
 	g.Expect(granted(a)).To(Equal(3), "one and what half a second brings")
 }
 
--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -252,8 +252,8 @@
 	if c.alone == nil {
 		c.alone = ratelimit.NewAllocator()
 	}
-	own := &ratelimit.Ask{Demands: wants}
-	c.alone.Allocate(clock.Now(), part{c.book, float64(max(1, c.cfg.Forwarders()))}, []*ratelimit.Ask{own})
+	own := &ratelimit.TokenRequest{Demands: wants}
+	c.alone.Allocate(clock.Now(), part{c.book, float64(max(1, c.cfg.Forwarders()))}, []*ratelimit.TokenRequest{own})
 	return own.Grants
 }
 
--- a/instance/ratelimit/service.go
+++ b/instance/ratelimit/service.go
@@ -51,7 +51,7 @@
 	term   uint64
 	since  time.Time
 	// waiting are the questions that have got nothing yet.
-	waiting []*ratelimit.Ask
+	waiting []*ratelimit.TokenRequest
 }
 
 // New returns a service; it registers its channel.
@@ -95,7 +95,7 @@
 
 // serve holds a question until it gets a first right, or for holdFor.
 func (s *Service) serve(ctx context.Context, st *consensus.Status, q *Question) *Answer {
-	a := &ratelimit.Ask{Demands: q.Wants}
+	a := &ratelimit.TokenRequest{Demands: q.Wants}
 	s.enter(st, a)
 	until := clock.Now().Add(holdFor)
 	for !s.handOut(a, !clock.Now().Before(until)) {
@@ -109,7 +109,7 @@
 
 // enter puts a question among those that wait. What a leader before this one handed out may
 // still be used for a while: nothing is handed out until that is over.
-func (s *Service) enter(st *consensus.Status, a *ratelimit.Ask) {
+func (s *Service) enter(st *consensus.Status, a *ratelimit.TokenRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.holder == nil || s.term != st.Term {
@@ -120,7 +120,7 @@
 
 // handOut serves all that wait. Once one of them has got something, or waits no longer, it
 // gets nothing more and handOut returns true.
-func (s *Service) handOut(a *ratelimit.Ask, ends bool) bool {
+func (s *Service) handOut(a *ratelimit.TokenRequest, ends bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
@@ -130,6 +130,6 @@
 	if !ends && len(a.Grants) == 0 {
 		return false
 	}
-	s.waiting = slices.DeleteFunc(s.waiting, func(other *ratelimit.Ask) bool { return other == a })
+	s.waiting = slices.DeleteFunc(s.waiting, func(other *ratelimit.TokenRequest) bool { return other == a })
 	return true
 }
