--- a/core/ratelimit/holder.go
+++ b/core/ratelimit/holder.go
@@ -45,8 +45,8 @@
 	a.Grants = append(a.Grants, Grant{Upstream: w.Upstream, Count: 1})
 }
 
-// Open reports whether anything is still wanted.
-func (a *TokenRequest) Open() bool {
+// Unmet reports whether anything is still wanted.
+func (a *TokenRequest) Unmet() bool {
 	return slices.ContainsFunc(a.Demands, func(w Demand) bool { return w.Count > 0 })
 }
 
--- a/core/ratelimit/holder_test.go
+++ b/core/ratelimit/holder_test.go
@@ -42,7 +42,7 @@
 	h.Allocate(epoch.Add(time.Second), limits, []*ratelimit.TokenRequest{last, first})
 	g.Expect(granted(first)).To(Equal(2))
 	g.Expect(granted(last)).To(BeZero())
-	g.Expect(first.Open()).To(BeFalse())
+	g.Expect(first.Unmet()).To(BeFalse())
 	h.Allocate(epoch.Add(2*time.Second), limits, []*ratelimit.TokenRequest{last})
 	g.Expect(granted(last)).To(Equal(2))
 }
