--- a/core/ratelimit/compare_test.go
+++ b/core/ratelimit/compare_test.go
@@ -130,7 +130,7 @@
 	rng     *rand.Rand
 	s       *scene
 	holder  *ratelimit.Allocator
-	wallets []*ratelimit.Wallet
+	wallets []*ratelimit.TokenStore
 	arrives []grantAt
 	next    []time.Duration
 }
@@ -138,7 +138,7 @@
 type grantAt struct {
 	at     time.Duration
 	asked  time.Duration
-	wallet *ratelimit.Wallet
+	wallet *ratelimit.TokenStore
 	ask    *ratelimit.TokenRequest
 }
 
--- a/core/ratelimit/holder_test.go
+++ b/core/ratelimit/holder_test.go
@@ -77,7 +77,7 @@
 		instances := rapid.SampledFrom([]int{1, 9, 79, 450}).Draw(t, "instances")
 		limits := rates{upstream: perSecond}
 		h := ratelimit.NewAllocator()
-		wallets := make([]*ratelimit.Wallet, instances)
+		wallets := make([]*ratelimit.TokenStore, instances)
 		for i := range wallets {
 			wallets[i] = ratelimit.NewWallet()
 		}
@@ -89,7 +89,7 @@
 		for d := time.Duration(0); d < span; d += step {
 			now := epoch.Add(d)
 			var asks []*ratelimit.TokenRequest
-			var from []*ratelimit.Wallet
+			var from []*ratelimit.TokenStore
 			// More is asked than is allowed: some instances at a time.
 			for range 1 + int(perSecond)/5 {
 				i := n % instances
--- a/core/ratelimit/wallet.go
+++ b/core/ratelimit/wallet.go
@@ -9,19 +9,19 @@
 // maxWanted bounds what is wanted of one upstream at a time.
 const maxWanted = 32
 
-// Wallet holds, at one instance, the rights to send requests, and what is wanted. It is not
+// TokenStore holds, at one instance, the rights to send requests, and what is wanted. It is not
 // safe for concurrent use.
-type Wallet struct {
+type TokenStore struct {
 	// tokens are the times until which each right may be used, in order.
 	tokens map[uint64][]time.Time
 	wants  map[uint64]*Demand
 }
 
 // NewWallet returns an empty wallet.
-func NewWallet() *Wallet { return &Wallet{tokens: map[uint64][]time.Time{}, wants: map[uint64]*Demand{}} }
+func NewWallet() *TokenStore { return &TokenStore{tokens: map[uint64][]time.Time{}, wants: map[uint64]*Demand{}} }
 
 // Add takes in rights that were asked for at a time.
-func (w *Wallet) Add(asked time.Time, grants []Grant) {
+func (w *TokenStore) Add(asked time.Time, grants []Grant) {
 	for _, g := range grants {
 		for range g.Count {
 			w.tokens[g.Upstream] = append(w.tokens[g.Upstream], asked.Add(TokenLifetime))
@@ -31,7 +31,7 @@
 }
 
 // Has reports whether a request may be sent to an upstream now.
-func (w *Wallet) Has(now time.Time, upstream uint64) bool {
+func (w *TokenStore) Has(now time.Time, upstream uint64) bool {
 	list := w.tokens[upstream]
 	for len(list) > 0 && !now.Before(list[0]) {
 		list = list[1:]
@@ -45,7 +45,7 @@
 }
 
 // Take uses a right, the one that ends first, and reports whether there was one.
-func (w *Wallet) Take(now time.Time, upstream uint64) bool {
+func (w *TokenStore) Take(now time.Time, upstream uint64) bool {
 	if !w.Has(now, upstream) {
 		return false
 	}
@@ -54,7 +54,7 @@
 }
 
 // Want notes that a request would go to an upstream.
-func (w *Wallet) Want(upstream uint64, urgency int) {
+func (w *TokenStore) Want(upstream uint64, urgency int) {
 	want := w.wants[upstream]
 	if want == nil {
 		want = &Demand{Upstream: upstream, Urgency: urgency}
@@ -65,7 +65,7 @@
 }
 
 // TakeWants returns what was wanted since the last call, in order.
-func (w *Wallet) TakeWants() []Demand {
+func (w *TokenStore) TakeWants() []Demand {
 	list := make([]Demand, 0, len(w.wants))
 	for _, want := range w.wants {
 		list = append(list, *want)
@@ -76,4 +76,4 @@
 }
 
 // Wanting reports whether anything is wanted.
-func (w *Wallet) Wanting() bool { return len(w.wants) > 0 }
+func (w *TokenStore) Wanting() bool { return len(w.wants) > 0 }
--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -71,7 +71,7 @@
 
 	mu     sync.Mutex
 	book   *ratelimit.Tracker
-	wallet *ratelimit.Wallet
+	wallet *ratelimit.TokenStore
 	// alone hands out this instance's part while no member answers; unanswered is since when
 	// that is, zero while one does.
 	alone      *ratelimit.Allocator
