--- a/core/ratelimit/compare_test.go
+++ b/core/ratelimit/compare_test.go
@@ -145,7 +145,7 @@
 func newRights(rng *rand.Rand, s *scene) *rights {
 	r := &rights{rng: rng, s: s, holder: ratelimit.NewAllocator(), next: make([]time.Duration, s.instances)}
 	for range s.instances {
-		r.wallets = append(r.wallets, ratelimit.NewWallet())
+		r.wallets = append(r.wallets, ratelimit.NewTokenStore())
 	}
 	return r
 }
--- a/core/ratelimit/holder_test.go
+++ b/core/ratelimit/holder_test.go
@@ -79,7 +79,7 @@
 		h := ratelimit.NewAllocator()
 		wallets := make([]*ratelimit.TokenStore, instances)
 		for i := range wallets {
-			wallets[i] = ratelimit.NewWallet()
+			wallets[i] = ratelimit.NewTokenStore()
 		}
 		busy := rapid.IntRange(0, instances-1).Draw(t, "busy instance")
 		uneven := rapid.Bool().Draw(t, "uneven")
@@ -134,7 +134,7 @@
 // Guards against rights that are saved up, or used long after they were handed out.
 func TestRightsEndSoon(t *testing.T) {
 	g := NewWithT(t)
-	w := ratelimit.NewWallet()
+	w := ratelimit.NewTokenStore()
 	w.Add(epoch, []ratelimit.Grant{{Upstream: upstream, Count: 2}})
 	g.Expect(w.Has(epoch, upstream)).To(BeTrue())
 	g.Expect(w.Take(epoch, upstream)).To(BeTrue())
@@ -148,7 +148,7 @@
 
 func TestWantsAreToldOnceAndBounded(t *testing.T) {
 	g := NewWithT(t)
-	w := ratelimit.NewWallet()
+	w := ratelimit.NewTokenStore()
 	for i := range 100 {
 		w.Want(upstream, 100-i)
 	}
--- a/core/ratelimit/wallet.go
+++ b/core/ratelimit/wallet.go
@@ -17,8 +17,8 @@
 	wants  map[uint64]*Demand
 }
 
-// NewWallet returns an empty wallet.
-func NewWallet() *TokenStore { return &TokenStore{tokens: map[uint64][]time.Time{}, wants: map[uint64]*Demand{}} }
+// NewTokenStore returns an empty wallet.
+func NewTokenStore() *TokenStore { return &TokenStore{tokens: map[uint64][]time.Time{}, wants: map[uint64]*Demand{}} }
 
 // Add takes in rights that were asked for at a time.
 func (w *TokenStore) Add(asked time.Time, grants []Grant) {
--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -80,7 +80,7 @@
 
 // NewClient returns a client that has not started.
 func NewClient(cfg ClientConfig) *Client {
-	return &Client{cfg: cfg, wake: make(chan struct{}, 1), book: ratelimit.NewTracker(), wallet: ratelimit.NewWallet()}
+	return &Client{cfg: cfg, wake: make(chan struct{}, 1), book: ratelimit.NewTracker(), wallet: ratelimit.NewTokenStore()}
 }
 
 // Start implements kernel.Service.
