--- a/core/ratelimit/holder_test.go
+++ b/core/ratelimit/holder_test.go
@@ -136,7 +136,7 @@
 	g := NewWithT(t)
 	w := ratelimit.NewTokenStore()
 	w.Add(epoch, []ratelimit.Grant{{Upstream: upstream, Count: 2}})
-	g.Expect(w.Has(epoch, upstream)).To(BeTrue())
+	g.Expect(w.Available(epoch, upstream)).To(BeTrue())
 	g.Expect(w.Take(epoch, upstream)).To(BeTrue())
 	g.Expect(w.Take(epoch.Add(ratelimit.TokenLifetime), upstream)).To(BeFalse())
 	h := ratelimit.NewAllocator()
--- a/core/ratelimit/wallet.go
+++ b/core/ratelimit/wallet.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Has reports whether a request may be sent to an upstream now.
-func (w *TokenStore) Has(now time.Time, upstream uint64) bool {
+// Available reports whether a request may be sent to an upstream now.
+func (w *TokenStore) Available(now time.Time, upstream uint64) bool {
 	list := w.tokens[upstream]
 	for len(list) > 0 && !now.Before(list[0]) {
 		list = list[1:]
@@ -46,7 +46,7 @@
 
 // Take uses a right, the one that ends first, and reports whether there was one.
 func (w *TokenStore) Take(now time.Time, upstream uint64) bool {
-	if !w.Has(now, upstream) {
+	if !w.Available(now, upstream) {
 		return false
 	}
 	w.tokens[upstream] = w.tokens[upstream][1:]
--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -153,7 +153,7 @@
 func (c *Client) Has(upstream uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.wallet.Has(clock.Now(), upstream)
+	return c.wallet.Available(clock.Now(), upstream)
 }
 
 // Spend uses the right to send a request to a limited upstream, and reports whether there was
