--- a/core/ratelimit/holder_test.go
+++ b/core/ratelimit/holder_test.go
@@ -98,7 +98,7 @@
 				}
 				w := wallets[i]
 				w.Want(upstream, 0)
-				if w.Take(now, upstream) {
+				if w.Use(now, upstream) {
 					sent = append(sent, now)
 					continue
 				}
@@ -109,7 +109,7 @@
 				from[i].Add(now, a.Grants)
 			}
 			for _, w := range from {
-				for w.Take(now, upstream) {
+				for w.Use(now, upstream) {
 					sent = append(sent, now)
 				}
 			}
@@ -137,8 +137,8 @@
 	w := ratelimit.NewTokenStore()
 	w.Add(epoch, []ratelimit.Grant{{Upstream: upstream, Count: 2}})
 	g.Expect(w.Available(epoch, upstream)).To(BeTrue())
-	g.Expect(w.Take(epoch, upstream)).To(BeTrue())
-	g.Expect(w.Take(epoch.Add(ratelimit.TokenLifetime), upstream)).To(BeFalse())
+	g.Expect(w.Use(epoch, upstream)).To(BeTrue())
+	g.Expect(w.Use(epoch.Add(ratelimit.TokenLifetime), upstream)).To(BeFalse())
 	h := ratelimit.NewAllocator()
 	a := ask(want(30, 0))
 	h.Allocate(epoch, rates{upstream: 4}, []*ratelimit.TokenRequest{a})
--- a/core/ratelimit/wallet.go
+++ b/core/ratelimit/wallet.go
@@ -44,8 +44,8 @@
 	return true
 }
 
-// Take uses a right, the one that ends first, and reports whether there was one.
-func (w *TokenStore) Take(now time.Time, upstream uint64) bool {
+// Use uses a right, the one that ends first, and reports whether there was one.
+func (w *TokenStore) Use(now time.Time, upstream uint64) bool {
 	if !w.Available(now, upstream) {
 		return false
 	}
--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -161,7 +161,7 @@
 func (c *Client) Spend(upstream uint64, urgency int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.wallet.Take(clock.Now(), upstream) {
+	if !c.wallet.Use(clock.Now(), upstream) {
 		return false
 	}
 	c.want(upstream, urgency)
