--- a/core/ratelimit/compare_test.go
+++ b/core/ratelimit/compare_test.go
@@ -167,7 +167,7 @@
 	r.arrives = later
 	w := r.wallets[i]
 	if first {
-		w.Want(upstream, 0)
+		w.AddDemand(upstream, 0)
 	}
 	if now >= r.next[i] && w.Wanting() {
 		r.next[i] = now + 50*time.Millisecond + time.Duration(r.s.instances)*2*time.Millisecond
--- a/core/ratelimit/holder_test.go
+++ b/core/ratelimit/holder_test.go
@@ -97,7 +97,7 @@
 					i = busy
 				}
 				w := wallets[i]
-				w.Want(upstream, 0)
+				w.AddDemand(upstream, 0)
 				if w.Use(now, upstream) {
 					sent = append(sent, now)
 					continue
@@ -150,7 +150,7 @@
 	g := NewWithT(t)
 	w := ratelimit.NewTokenStore()
 	for i := range 100 {
-		w.Want(upstream, 100-i)
+		w.AddDemand(upstream, 100-i)
 	}
 	g.Expect(w.TakeWants()).To(Equal([]ratelimit.Demand{want(32, 1)}))
 	g.Expect(w.Wanting()).To(BeFalse())
--- a/core/ratelimit/wallet.go
+++ b/core/ratelimit/wallet.go
@@ -53,8 +53,8 @@
 	return true
 }
 
-// Want notes that a request would go to an upstream.
-func (w *TokenStore) Want(upstream uint64, urgency int) {
+// AddDemand notes that a request would go to an upstream.
+func (w *TokenStore) AddDemand(upstream uint64, urgency int) {
 	want := w.wants[upstream]
 	if want == nil {
 		want = &Demand{Upstream: upstream, Urgency: urgency}
--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -177,7 +177,7 @@
 
 // want needs mu.
 func (c *Client) want(upstream uint64, urgency int) {
-	c.wallet.Want(upstream, urgency)
+	c.wallet.AddDemand(upstream, urgency)
 	select {
 	case c.wake <- struct{}{}:
 	default:
