--- a/core/ratelimit/holder_test.go
+++ b/core/ratelimit/holder_test.go
@@ -102,7 +102,7 @@
 					sent = append(sent, now)
 					continue
 				}
-				asks, from = append(asks, &ratelimit.TokenRequest{Demands: w.TakeWants()}), append(from, w)
+				asks, from = append(asks, &ratelimit.TokenRequest{Demands: w.DrainDemands()}), append(from, w)
 			}
 			h.Allocate(now, limits, asks)
 			for i, a := range asks {
@@ -152,7 +152,7 @@
 	for i := range 100 {
 		w.AddDemand(upstream, 100-i)
 	}
-	g.Expect(w.TakeWants()).To(Equal([]ratelimit.Demand{want(32, 1)}))
+	g.Expect(w.DrainDemands()).To(Equal([]ratelimit.Demand{want(32, 1)}))
 	g.Expect(w.Wanting()).To(BeFalse())
-	g.Expect(w.TakeWants()).To(BeEmpty())
+	g.Expect(w.DrainDemands()).To(BeEmpty())
 }
--- a/core/ratelimit/wallet.go
+++ b/core/ratelimit/wallet.go
@@ -64,8 +64,8 @@
 	want.Urgency = min(want.Urgency, urgency)
 }
 
-// TakeWants returns what was wanted since the last call, in order.
-func (w *TokenStore) TakeWants() []Demand {
+// DrainDemands returns what was wanted since the last call, in order.
+func (w *TokenStore) DrainDemands() []Demand {
 	list := make([]Demand, 0, len(w.wants))
 	for _, want := range w.wants {
 		list = append(list, *want)
--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -217,7 +217,7 @@
 // ask puts one question to a member.
 func (c *Client) ask(ctx context.Context) {
 	c.mu.Lock()
-	wants := c.wallet.TakeWants()
+	wants := c.wallet.DrainDemands()
 	c.mu.Unlock()
 	if len(wants) == 0 {
 		return
