--- a/core/ratelimit/compare_test.go
+++ b/core/ratelimit/compare_test.go
@@ -169,7 +169,7 @@
 	if first {
 		w.AddDemand(upstream, 0)
 	}
-	if now >= r.next[i] && w.Wanting() {
+	if now >= r.next[i] && w.HasDemand() {
 		r.next[i] = now + 50*time.Millisecond + time.Duration(r.s.instances)*2*time.Millisecond
 		r.arrives = append(r.arrives, grantAt{now + wayToHolder + time.Duration(r.rng.Int64N(int64(150*time.Millisecond))), now, w, &ratelimit.TokenRequest{Demands: w.DrainDemands()}})
 	}
--- a/core/ratelimit/holder_test.go
+++ b/core/ratelimit/holder_test.go
@@ -153,6 +153,6 @@
 		w.AddDemand(upstream, 100-i)
 	}
 	g.Expect(w.DrainDemands()).To(Equal([]ratelimit.Demand{want(32, 1)}))
-	g.Expect(w.Wanting()).To(BeFalse())
+	g.Expect(w.HasDemand()).To(BeFalse())
 	g.Expect(w.DrainDemands()).To(BeEmpty())
 }
--- a/core/ratelimit/wallet.go
+++ b/core/ratelimit/wallet.go
@@ -75,5 +75,5 @@
 	return list
 }
 
-// Wanting reports whether anything is wanted.
-func (w *TokenStore) Wanting() bool { return len(w.wants) > 0 }
+// HasDemand reports whether anything is wanted.
+func (w *TokenStore) HasDemand() bool { return len(w.wants) > 0 }
