--- a/core/scale/planner.go
+++ b/core/scale/planner.go
@@ -78,7 +78,7 @@
 		// The want of others comes and goes by the second; a standard upstream that was
 		// ordered serves only after its boot.
 		p.extra.note(now, float64(bearable-servingAll(rooms)))
-		addStandard(rooms, int(p.extra.most(now.Add(-extraBoots*s.Boot))), p.chosen)
+		addStandard(rooms, int(p.extra.most(now.Add(-extraBoots*s.BootTime))), p.chosen)
 	}
 	keepServing(s, rooms, bearable)
 	limitComing(s, rooms, p.cfg.Coming)
--- a/core/scale/scale.go
+++ b/core/scale/scale.go
@@ -33,8 +33,8 @@
 	Name string
 	// Min and Max bound the upstreams in a domain, of both kinds together.
 	Min, Max int
-	// Boot is how long an upstream takes to serve after it was ordered.
-	Boot time.Duration
+	// BootTime is how long an upstream takes to serve after it was ordered.
+	BootTime time.Duration
 	// PreemptiblePrice is the price of a preemptible upstream as a part of that of a
 	// standard one; zero where there are none.
 	PreemptiblePrice float64
--- a/core/scale/scale_test.go
+++ b/core/scale/scale_test.go
@@ -16,7 +16,7 @@
 
 // service is one in three domains with unlike prices.
 func service(standard, preemptible int, need float64) *scale.Service {
-	s := &scale.Service{Name: "s", Min: 1, Max: 60, Boot: 4 * time.Second, PreemptiblePrice: 0.22, Need: need, Known: true}
+	s := &scale.Service{Name: "s", Min: 1, Max: 60, BootTime: 4 * time.Second, PreemptiblePrice: 0.22, Need: need, Known: true}
 	for i, name := range []string{"a", "b", "c"} {
 		s.Domains = append(s.Domains, scale.Domain{
 			Name: name, Price: []float64{0.85, 1.2, 1}[i], Ready: scale.Counts{Standard: standard, Preemptible: preemptible},
--- a/core/scale/sim_test.go
+++ b/core/scale/sim_test.go
@@ -58,7 +58,7 @@
 		return false
 	}
 	for ; coming+*have < count; coming++ {
-		f.boot[domain] = append(f.boot[domain], booting{f.now + f.s.Boot.Seconds(), preemptible})
+		f.boot[domain] = append(f.boot[domain], booting{f.now + f.s.BootTime.Seconds(), preemptible})
 	}
 	*have = min(*have, count)
 	return true
--- a/instance/duty/fleet_test.go
+++ b/instance/duty/fleet_test.go
@@ -82,7 +82,7 @@
 func (f *fleet) look() []scale.Service {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := scale.Service{Name: "s", Min: 1, Max: 40, Boot: boot, PreemptiblePrice: 0.2, Need: f.need, Known: true}
+	s := scale.Service{Name: "s", Min: 1, Max: 40, BootTime: boot, PreemptiblePrice: 0.2, Need: f.need, Known: true}
 	for _, d := range domains {
 		s.Domains = append(s.Domains, scale.Domain{
 			Name: d, Price: 1, Ready: scale.Counts{Standard: f.ready(subject{d, false}), Preemptible: f.ready(subject{d, true})},
--- a/instance/duty/scale.go
+++ b/instance/duty/scale.go
@@ -161,7 +161,7 @@
 		o = &order{subject: k}
 		s.scale.orders[k] = o
 	}
-	o.ready, o.boot = ready, v.Boot
+	o.ready, o.boot = ready, v.BootTime
 	return o
 }
 
--- a/instance/serving/fleet.go
+++ b/instance/serving/fleet.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		out := scale.Service{
-			Name: v.Name, Min: v.Scaling.Min, Max: v.Scaling.Max, Boot: v.Scaling.BootTime, PreemptiblePrice: v.Scaling.PreemptiblePrice,
+			Name: v.Name, Min: v.Scaling.Min, Max: v.Scaling.Max, BootTime: v.Scaling.BootTime, PreemptiblePrice: v.Scaling.PreemptiblePrice,
 		}
 		for _, name := range slices.Sorted(maps.Keys(v.Scaling.Prices)) {
 			out.Domains = append(out.Domains, scale.Domain{Name: name, Price: v.Scaling.Prices[name]})
