--- a/core/scale/scale.go
+++ b/core/scale/scale.go
@@ -60,8 +60,8 @@
 // least returns how many upstreams there must be.
 func (s *Service) least() int { return s.Min * len(s.Domains) }
 
-// Want is how many upstreams there should be in a domain.
-type Want struct {
+// Target is how many upstreams there should be in a domain.
+type Target struct {
 	Domain string
 	Counts
 }
