--- a/core/scale/planner.go
+++ b/core/scale/planner.go
@@ -60,7 +60,7 @@
 	// Level is how many upstreams should serve, Bearable the least with which the demand is
 	// borne for some seconds.
 	Level, Bearable int
-	Wants           []Target
+	Targets           []Target
 	// Arriving says that standard upstreams go on to show up that stood before: only what
 	// is given up for others that serve is to be ordered of them.
 	Arriving bool
@@ -85,7 +85,7 @@
 	plan := Plan{Level: level, Bearable: bearable, Arriving: now.Before(p.arriving)}
 	for _, r := range rooms {
 		p.chosen[r.Name] = r.want.Standard
-		plan.Wants = append(plan.Wants, Target{Domain: r.Name, Counts: r.want})
+		plan.Targets = append(plan.Targets, Target{Domain: r.Name, Counts: r.want})
 	}
 	return plan
 }
--- a/core/scale/scale_test.go
+++ b/core/scale/scale_test.go
@@ -26,7 +26,7 @@
 }
 
 func sum(p *scale.Plan) (c scale.Counts) {
-	for _, w := range p.Wants {
+	for _, w := range p.Targets {
 		c.Standard += w.Standard
 		c.Preemptible += w.Preemptible
 	}
@@ -99,7 +99,7 @@
 			continue
 		}
 		for d := range s.Domains {
-			ready, want := &s.Domains[d].Ready, plan.Wants[d]
+			ready, want := &s.Domains[d].Ready, plan.Targets[d]
 			g.Expect(want.Preemptible-ready.Preemptible).To(BeNumerically("<=", 140), "at a time, in a domain")
 			*ready = want.Counts
 		}
@@ -137,9 +137,9 @@
 	lost := service(1, 20, 30)
 	lost.Domains[0].Ready.Preemptible, lost.Domains[0].Leaving.Preemptible = 0, 20
 	plan := p.Plan(at(100), lost)
-	g.Expect(plan.Wants[0].Preemptible).To(BeNumerically(">=", 19), "it goes on to want its own")
-	g.Expect(plan.Wants[1].Preemptible).To(BeNumerically(">=", 28))
-	g.Expect(plan.Wants[2].Preemptible).To(BeNumerically(">=", 28))
+	g.Expect(plan.Targets[0].Preemptible).To(BeNumerically(">=", 19), "it goes on to want its own")
+	g.Expect(plan.Targets[1].Preemptible).To(BeNumerically(">=", 28))
+	g.Expect(plan.Targets[2].Preemptible).To(BeNumerically(">=", 28))
 	g.Expect(sum(&plan).Standard).To(Equal(3))
 	// Nobody has any more: what there is has to bear 30, and does.
 	p.Refused("b")
@@ -151,10 +151,10 @@
 	g.Expect(sum(&plan).Standard).To(Equal(3), "it may be over before others serve")
 	plan = p.Plan(at(102.25), lost)
 	g.Expect(sum(&plan).Standard).To(Equal(20), "60 are needed, 40 preemptible ones are left")
-	g.Expect(plan.Wants[0].Standard).To(Equal(18), "the cheapest domain has places")
+	g.Expect(plan.Targets[0].Standard).To(Equal(18), "the cheapest domain has places")
 	lost.Need = 30
 	plan = p.Plan(at(104), lost)
-	g.Expect(plan.Wants[0].Standard).To(Equal(18), "what boots is not given up for a moment's calm")
+	g.Expect(plan.Targets[0].Standard).To(Equal(18), "what boots is not given up for a moment's calm")
 }
 
 // An order of more was refused, and one of as many as there are is accepted: that proves
@@ -168,7 +168,7 @@
 	p.Refused("a")
 	p.Accepted("a", 20)
 	plan := p.Plan(at(100), service(1, 20, 45))
-	g.Expect(plan.Wants[1].Preemptible).To(BeNumerically(">", plan.Wants[0].Preemptible-1))
+	g.Expect(plan.Targets[1].Preemptible).To(BeNumerically(">", plan.Targets[0].Preemptible-1))
 	g.Expect(sum(&plan).Preemptible).To(BeNumerically(">", 87))
 	p.Accepted("a", 29)
 	plan = p.Plan(at(100.25), service(1, 20, 45))
@@ -210,7 +210,7 @@
 			}
 			plan := p.Plan(at(now), s)
 			gives := 0
-			for i, w := range plan.Wants {
+			for i, w := range plan.Targets {
 				if w.Total() > s.Max || w.Total() < min(s.Min, s.Max) || w.Standard < 0 || w.Preemptible < 0 {
 					t.Fatalf("%+v with %d to %d", w, s.Min, s.Max)
 				}
--- a/core/scale/sim_test.go
+++ b/core/scale/sim_test.go
@@ -137,7 +137,7 @@
 	return func(f *fleet) {
 		now := origin.Add(time.Duration(f.now * float64(time.Second)))
 		plan := p.Plan(now, f.s)
-		for i, w := range plan.Wants {
+		for i, w := range plan.Targets {
 			if !plan.Arriving || w.Standard < f.s.Domains[i].Ready.Standard {
 				f.order(i, false, w.Standard)
 			}
--- a/instance/duty/scale.go
+++ b/instance/duty/scale.go
@@ -127,7 +127,7 @@
 		s.scale.planners[v.Name] = p
 	}
 	plan := p.Plan(now, v)
-	for i, w := range plan.Wants {
+	for i, w := range plan.Targets {
 		d := &v.Domains[i]
 		standard := s.orderOf(v, subject{v.Name, w.Domain, false}, d.Ready.Standard)
 		if !plan.Arriving || w.Standard < d.Ready.Standard {
