--- a/core/scale/planner.go
+++ b/core/scale/planner.go
@@ -57,9 +57,9 @@
 
 // Plan is what there should be.
 type Plan struct {
-	// Level is how many upstreams should serve, Bearable the least with which the demand is
+	// Level is how many upstreams should serve, MinServing the least with which the demand is
 	// borne for some seconds.
-	Level, Bearable int
+	Level, MinServing int
 	Targets           []Target
 	// Arriving says that standard upstreams go on to show up that stood before: only what
 	// is given up for others that serve is to be ordered of them.
@@ -82,7 +82,7 @@
 	}
 	keepServing(s, rooms, bearable)
 	limitComing(s, rooms, p.cfg.Coming)
-	plan := Plan{Level: level, Bearable: bearable, Arriving: now.Before(p.arriving)}
+	plan := Plan{Level: level, MinServing: bearable, Arriving: now.Before(p.arriving)}
 	for _, r := range rooms {
 		p.chosen[r.Name] = r.want.Standard
 		plan.Targets = append(plan.Targets, Target{Domain: r.Name, Counts: r.want})
--- a/core/scale/scale_test.go
+++ b/core/scale/scale_test.go
@@ -216,8 +216,8 @@
 				}
 				gives += max(0, s.Domains[i].Ready.Standard-w.Standard)
 			}
-			if gives > 0 && ready-gives < plan.Bearable {
-				t.Fatalf("%d of %d given up, %d must serve", gives, ready, plan.Bearable)
+			if gives > 0 && ready-gives < plan.MinServing {
+				t.Fatalf("%d of %d given up, %d must serve", gives, ready, plan.MinServing)
 			}
 		}
 	})
