--- a/core/scale/planner.go
+++ b/core/scale/planner.go
@@ -61,9 +61,9 @@
 	// borne for some seconds.
 	Level, MinServing int
 	Targets           []Target
-	// Arriving says that standard upstreams go on to show up that stood before: only what
+	// Registering says that standard upstreams go on to show up that stood before: only what
 	// is given up for others that serve is to be ordered of them.
-	Arriving bool
+	Registering bool
 }
 
 // Plan returns what there should be now.
@@ -82,7 +82,7 @@
 	}
 	keepServing(s, rooms, bearable)
 	limitComing(s, rooms, p.cfg.Coming)
-	plan := Plan{Level: level, MinServing: bearable, Arriving: now.Before(p.arriving)}
+	plan := Plan{Level: level, MinServing: bearable, Registering: now.Before(p.arriving)}
 	for _, r := range rooms {
 		p.chosen[r.Name] = r.want.Standard
 		plan.Targets = append(plan.Targets, Target{Domain: r.Name, Counts: r.want})
--- a/core/scale/sim_test.go
+++ b/core/scale/sim_test.go
@@ -138,7 +138,7 @@
 		now := origin.Add(time.Duration(f.now * float64(time.Second)))
 		plan := p.Plan(now, f.s)
 		for i, w := range plan.Targets {
-			if !plan.Arriving || w.Standard < f.s.Domains[i].Ready.Standard {
+			if !plan.Registering || w.Standard < f.s.Domains[i].Ready.Standard {
 				f.order(i, false, w.Standard)
 			}
 			if f.order(i, true, w.Preemptible) {
--- a/instance/duty/scale.go
+++ b/instance/duty/scale.go
@@ -130,13 +130,13 @@
 	for i, w := range plan.Targets {
 		d := &v.Domains[i]
 		standard := s.orderOf(v, subject{v.Name, w.Domain, false}, d.Ready.Standard)
-		if !plan.Arriving || w.Standard < d.Ready.Standard {
+		if !plan.Registering || w.Standard < d.Ready.Standard {
 			s.order(now, p, v, standard, w.Standard)
 		}
 		if v.PreemptiblePrice > 0 {
 			// Both kinds together are bounded: until fewer standard ones are accepted there is
 			// no room for more of the others.
-			room := max(d.Ready.Preemptible, v.Max-max(w.Standard, standard.taken(plan.Arriving, v.Max)))
+			room := max(d.Ready.Preemptible, v.Max-max(w.Standard, standard.taken(plan.Registering, v.Max)))
 			s.order(now, p, v, s.orderOf(v, subject{v.Name, w.Domain, true}, d.Ready.Preemptible), min(w.Preemptible, room))
 		}
 	}
