--- a/core/scale/level.go
+++ b/core/scale/level.go
@@ -68,7 +68,7 @@
 	l.seen = l.seen || s.Need > 0
 	switch {
 	case !l.seen && now.Sub(l.begun) < l.cfg.StartFor:
-		return max(l.count, l.cfg.Start*float64(l.most(s)))
+		return max(l.count, l.cfg.StartShare*float64(l.most(s)))
 	case !s.Known:
 		return l.count
 	}
--- a/core/scale/scale.go
+++ b/core/scale/scale.go
@@ -70,9 +70,9 @@
 type Config struct {
 	// Utilisation is the part of the upstreams that the demand may need.
 	Utilisation float64
-	// Start is the part of the most upstreams that is ordered until the first demand was
+	// StartShare is the part of the most upstreams that is ordered until the first demand was
 	// seen, for StartFor at most.
-	Start    float64
+	StartShare    float64
 	StartFor time.Duration
 	// Hold is for how long upstreams stay that were needed, and Pace which part of them may
 	// go in a second after that.
@@ -105,7 +105,7 @@
 
 func (c *Config) fill() {
 	defaults.Set(&c.Utilisation, DefaultUtilisation)
-	defaults.Set(&c.Start, DefaultStart)
+	defaults.Set(&c.StartShare, DefaultStart)
 	defaults.Set(&c.StartFor, DefaultStartFor)
 	defaults.Set(&c.Hold, DefaultHold)
 	defaults.Set(&c.Pace, DefaultPace)
