--- a/core/scale/level.go
+++ b/core/scale/level.go
@@ -67,7 +67,7 @@
 func (l *Level) ask(now time.Time, s *Service) float64 {
 	l.seen = l.seen || s.Need > 0
 	switch {
-	case !l.seen && now.Sub(l.begun) < l.cfg.StartFor:
+	case !l.seen && now.Sub(l.begun) < l.cfg.StartTimeout:
 		return max(l.count, l.cfg.StartShare*float64(l.most(s)))
 	case !s.Known:
 		return l.count
--- a/core/scale/scale.go
+++ b/core/scale/scale.go
@@ -73,7 +73,7 @@
 	// StartShare is the part of the most upstreams that is ordered until the first demand was
 	// seen, for StartFor at most.
 	StartShare    float64
-	StartFor time.Duration
+	StartTimeout time.Duration
 	// Hold is for how long upstreams stay that were needed, and Pace which part of them may
 	// go in a second after that.
 	Hold time.Duration
@@ -106,7 +106,7 @@
 func (c *Config) fill() {
 	defaults.Set(&c.Utilisation, DefaultUtilisation)
 	defaults.Set(&c.StartShare, DefaultStart)
-	defaults.Set(&c.StartFor, DefaultStartFor)
+	defaults.Set(&c.StartTimeout, DefaultStartFor)
 	defaults.Set(&c.Hold, DefaultHold)
 	defaults.Set(&c.Pace, DefaultPace)
 	defaults.Set(&c.Base, DefaultBase)
