--- a/core/scale/level.go
+++ b/core/scale/level.go
@@ -51,7 +51,7 @@
 		l.asked.note(now, l.count)
 	}
 	l.asked.note(now, l.ask(now, s))
-	next := l.asked.most(now.Add(-l.cfg.Hold))
+	next := l.asked.most(now.Add(-l.cfg.HoldTime))
 	if next < l.count {
 		next = max(next, l.count*(1-l.cfg.Pace*now.Sub(l.at).Seconds()))
 	}
--- a/core/scale/scale.go
+++ b/core/scale/scale.go
@@ -74,9 +74,9 @@
 	// seen, for StartFor at most.
 	StartShare    float64
 	StartTimeout time.Duration
-	// Hold is for how long upstreams stay that were needed, and Pace which part of them may
+	// HoldTime is for how long upstreams stay that were needed, and Pace which part of them may
 	// go in a second after that.
-	Hold time.Duration
+	HoldTime time.Duration
 	Pace float64
 	// Base is how many standard upstreams each domain keeps.
 	Base int
@@ -107,7 +107,7 @@
 	defaults.Set(&c.Utilisation, DefaultUtilisation)
 	defaults.Set(&c.StartShare, DefaultStart)
 	defaults.Set(&c.StartTimeout, DefaultStartFor)
-	defaults.Set(&c.Hold, DefaultHold)
+	defaults.Set(&c.HoldTime, DefaultHold)
 	defaults.Set(&c.Pace, DefaultPace)
 	defaults.Set(&c.Base, DefaultBase)
 	defaults.Set(&c.Bearable, DefaultBearable)
--- a/instance/settings/scaling_test.go
+++ b/instance/settings/scaling_test.go
@@ -17,7 +17,7 @@
 		s, err := settings.LoadScaling(write(out.String()))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Plan()).To(Equal(scale.Config{
-			Utilisation: scale.DefaultUtilisation, StartShare: scale.DefaultStart, StartTimeout: scale.DefaultStartFor, Hold: scale.DefaultHold,
+			Utilisation: scale.DefaultUtilisation, StartShare: scale.DefaultStart, StartTimeout: scale.DefaultStartFor, HoldTime: scale.DefaultHold,
 			Pace: scale.DefaultPace, Base: scale.DefaultBase, Bearable: scale.DefaultBearable, Most: scale.DefaultMost, Coming: scale.DefaultComing,
 		}))
 		Expect(s.DryRun).To(BeFalse())
