--- a/core/scale/level.go
+++ b/core/scale/level.go
@@ -53,7 +53,7 @@
 	l.asked.note(now, l.ask(now, s))
 	next := l.asked.most(now.Add(-l.cfg.HoldTime))
 	if next < l.count {
-		next = max(next, l.count*(1-l.cfg.Pace*now.Sub(l.at).Seconds()))
+		next = max(next, l.count*(1-l.cfg.ReleaseRate*now.Sub(l.at).Seconds()))
 	}
 	l.count, l.at = min(float64(l.most(s)), max(float64(s.least()), next)), now
 	return int(math.Ceil(l.count))
--- a/core/scale/scale.go
+++ b/core/scale/scale.go
@@ -77,7 +77,7 @@
 	// HoldTime is for how long upstreams stay that were needed, and Pace which part of them may
 	// go in a second after that.
 	HoldTime time.Duration
-	Pace float64
+	ReleaseRate float64
 	// Base is how many standard upstreams each domain keeps.
 	Base int
 	// Most is how many upstreams of a service there may be, and Coming how many more than
@@ -108,7 +108,7 @@
 	defaults.Set(&c.StartShare, DefaultStart)
 	defaults.Set(&c.StartTimeout, DefaultStartFor)
 	defaults.Set(&c.HoldTime, DefaultHold)
-	defaults.Set(&c.Pace, DefaultPace)
+	defaults.Set(&c.ReleaseRate, DefaultPace)
 	defaults.Set(&c.Base, DefaultBase)
 	defaults.Set(&c.Bearable, DefaultBearable)
 	defaults.Set(&c.Most, DefaultMost)
