--- a/core/scale/planner.go
+++ b/core/scale/planner.go
@@ -73,7 +73,7 @@
 	p.needs.note(now, -s.Need)
 	bearable := p.bearable(-p.needs.most(now.Add(-lasting)), level)
 	p.watchLosses(s)
-	rooms := spread(s, level, p.cfg.Base, p.limits, p.chosen)
+	rooms := spread(s, level, p.cfg.MinStandard, p.limits, p.chosen)
 	if s.PreemptiblePrice > 0 {
 		// The want of others comes and goes by the second; a standard upstream that was
 		// ordered serves only after its boot.
--- a/core/scale/scale.go
+++ b/core/scale/scale.go
@@ -78,8 +78,8 @@
 	// go in a second after that.
 	HoldTime time.Duration
 	ReleaseRate float64
-	// Base is how many standard upstreams each domain keeps.
-	Base int
+	// MinStandard is how many standard upstreams each domain keeps.
+	MinStandard int
 	// Most is how many upstreams of a service there may be, and Coming how many more than
 	// serve may be ordered at a time, or a tenth of them if that is more. Each upstream reports
 	// to the control group, and each that comes or goes is told to all instances: beyond that
@@ -109,7 +109,7 @@
 	defaults.Set(&c.StartTimeout, DefaultStartFor)
 	defaults.Set(&c.HoldTime, DefaultHold)
 	defaults.Set(&c.ReleaseRate, DefaultPace)
-	defaults.Set(&c.Base, DefaultBase)
+	defaults.Set(&c.MinStandard, DefaultBase)
 	defaults.Set(&c.Bearable, DefaultBearable)
 	defaults.Set(&c.Most, DefaultMost)
 	defaults.Set(&c.Coming, DefaultComing)
