--- a/core/scale/level.go
+++ b/core/scale/level.go
@@ -60,7 +60,7 @@
 }
 
 // most returns how many upstreams there may be.
-func (l *Level) most(s *Service) int { return max(s.least(), min(s.most(), l.cfg.Most)) }
+func (l *Level) most(s *Service) int { return max(s.least(), min(s.most(), l.cfg.MaxUpstreams)) }
 
 // ask returns how many upstreams are asked for now. Without news of the demand what stands
 // is held; before the first demand as much is ordered as may come.
