--- a/core/scale/planner.go
+++ b/core/scale/planner.go
@@ -81,7 +81,7 @@
 		addStandard(rooms, int(p.extra.most(now.Add(-extraBoots*s.BootTime))), p.chosen)
 	}
 	keepServing(s, rooms, bearable)
-	limitComing(s, rooms, p.cfg.Coming)
+	limitComing(s, rooms, p.cfg.MaxPending)
 	plan := Plan{Level: level, MinServing: bearable, Registering: now.Before(p.arriving)}
 	for _, r := range rooms {
 		p.chosen[r.Name] = r.want.Standard
--- a/core/scale/scale.go
+++ b/core/scale/scale.go
@@ -80,11 +80,11 @@
 	ReleaseRate float64
 	// MinStandard is how many standard upstreams each domain keeps.
 	MinStandard int
-	// MaxUpstreams is how many upstreams of a service there may be, and Coming how many more than
+	// MaxUpstreams is how many upstreams of a service there may be, and MaxPending how many more than
 	// serve may be ordered at a time, or a tenth of them if that is more. Each upstream reports
 	// to the control group, and each that comes or goes is told to all instances: beyond that
 	// members fall behind, instances lose touch, and nobody is served for want of upstreams.
-	MaxUpstreams, Coming int
+	MaxUpstreams, MaxPending int
 	// Bearable is the part of the upstreams that the demand may need for the seconds in
 	// which preemptible ones are taken back: beyond it, standard ones are ordered.
 	Bearable float64
@@ -112,5 +112,5 @@
 	defaults.Set(&c.MinStandard, DefaultBase)
 	defaults.Set(&c.Bearable, DefaultBearable)
 	defaults.Set(&c.MaxUpstreams, DefaultMost)
-	defaults.Set(&c.Coming, DefaultComing)
+	defaults.Set(&c.MaxPending, DefaultComing)
 }
