--- a/core/scale/planner.go
+++ b/core/scale/planner.go
@@ -96,7 +96,7 @@
 	if !p.level.seen {
 		return min(level, p.standard)
 	}
-	return min(level, int(math.Ceil(need/p.cfg.Bearable)))
+	return min(level, int(math.Ceil(need/p.cfg.MaxUtilisation)))
 }
 
 // watchLosses notes which domains lose their preemptible upstreams: all at once, with a
--- a/core/scale/scale.go
+++ b/core/scale/scale.go
@@ -85,9 +85,9 @@
 	// to the control group, and each that comes or goes is told to all instances: beyond that
 	// members fall behind, instances lose touch, and nobody is served for want of upstreams.
 	MaxUpstreams, MaxPending int
-	// Bearable is the part of the upstreams that the demand may need for the seconds in
+	// MaxUtilisation is the part of the upstreams that the demand may need for the seconds in
 	// which preemptible ones are taken back: beyond it, standard ones are ordered.
-	Bearable float64
+	MaxUtilisation float64
 }
 
 // Defaults of a Config.
@@ -110,7 +110,7 @@
 	defaults.Set(&c.HoldTime, DefaultHold)
 	defaults.Set(&c.ReleaseRate, DefaultPace)
 	defaults.Set(&c.MinStandard, DefaultBase)
-	defaults.Set(&c.Bearable, DefaultBearable)
+	defaults.Set(&c.MaxUtilisation, DefaultBearable)
 	defaults.Set(&c.MaxUpstreams, DefaultMost)
 	defaults.Set(&c.MaxPending, DefaultComing)
 }
--- a/instance/settings/scaling.go
+++ b/instance/settings/scaling.go
@@ -51,7 +51,7 @@
 // Plan returns the settings of the decision.
 func (s *Scaling) Plan() scale.Config {
 	return scale.Config{
-		Utilisation: s.Utilisation, StartShare: s.Start, StartTimeout: s.StartFor, HoldTime: s.Hold, ReleaseRate: s.Pace, MinStandard: s.Base, Bearable: s.Bearable, MaxUpstreams: s.Most, MaxPending: s.Coming,
+		Utilisation: s.Utilisation, StartShare: s.Start, StartTimeout: s.StartFor, HoldTime: s.Hold, ReleaseRate: s.Pace, MinStandard: s.Base, MaxUtilisation: s.Bearable, MaxUpstreams: s.Most, MaxPending: s.Coming,
 	}
 }
 
