--- a/core/scale/scale.go
+++ b/core/scale/scale.go
@@ -93,7 +93,7 @@
 // Defaults of a Config.
 const (
 	DefaultUtilisation = 0.5
-	DefaultStart       = 1
+	DefaultStartShare       = 1
 	DefaultStartFor    = 10 * time.Minute
 	DefaultHold        = 30 * time.Second
 	DefaultPace        = 0.02
@@ -105,7 +105,7 @@
 
 func (c *Config) fill() {
 	defaults.Set(&c.Utilisation, DefaultUtilisation)
-	defaults.Set(&c.StartShare, DefaultStart)
+	defaults.Set(&c.StartShare, DefaultStartShare)
 	defaults.Set(&c.StartTimeout, DefaultStartFor)
 	defaults.Set(&c.HoldTime, DefaultHold)
 	defaults.Set(&c.ReleaseRate, DefaultPace)
