--- a/core/scale/scale.go
+++ b/core/scale/scale.go
@@ -94,7 +94,7 @@
 const (
 	DefaultUtilisation = 0.5
 	DefaultStartShare       = 1
-	DefaultStartFor    = 10 * time.Minute
+	DefaultStartTimeout    = 10 * time.Minute
 	DefaultHold        = 30 * time.Second
 	DefaultPace        = 0.02
 	DefaultBase        = 1
@@ -106,7 +106,7 @@
 func (c *Config) fill() {
 	defaults.Set(&c.Utilisation, DefaultUtilisation)
 	defaults.Set(&c.StartShare, DefaultStartShare)
-	defaults.Set(&c.StartTimeout, DefaultStartFor)
+	defaults.Set(&c.StartTimeout, DefaultStartTimeout)
 	defaults.Set(&c.HoldTime, DefaultHold)
 	defaults.Set(&c.ReleaseRate, DefaultPace)
 	defaults.Set(&c.MinStandard, DefaultBase)
