--- a/core/scale/scale.go
+++ b/core/scale/scale.go
@@ -95,7 +95,7 @@
 	DefaultUtilisation = 0.5
 	DefaultStartShare       = 1
 	DefaultStartTimeout    = 10 * time.Minute
-	DefaultHold        = 30 * time.Second
+	DefaultHoldTime        = 30 * time.Second
 	DefaultPace        = 0.02
 	DefaultBase        = 1
 	DefaultBearable    = 1
@@ -107,7 +107,7 @@
 	defaults.Set(&c.Utilisation, DefaultUtilisation)
 	defaults.Set(&c.StartShare, DefaultStartShare)
 	defaults.Set(&c.StartTimeout, DefaultStartTimeout)
-	defaults.Set(&c.HoldTime, DefaultHold)
+	defaults.Set(&c.HoldTime, DefaultHoldTime)
 	defaults.Set(&c.ReleaseRate, DefaultPace)
 	defaults.Set(&c.MinStandard, DefaultBase)
 	defaults.Set(&c.MaxUtilisation, DefaultBearable)
