--- a/core/scale/scale.go
+++ b/core/scale/scale.go
@@ -96,7 +96,7 @@
 	DefaultStartShare       = 1
 	DefaultStartTimeout    = 10 * time.Minute
 	DefaultHoldTime        = 30 * time.Second
-	DefaultPace        = 0.02
+	DefaultReleaseRate        = 0.02
 	DefaultBase        = 1
 	DefaultBearable    = 1
 	DefaultMost        = 4000
@@ -108,7 +108,7 @@
 	defaults.Set(&c.StartShare, DefaultStartShare)
 	defaults.Set(&c.StartTimeout, DefaultStartTimeout)
 	defaults.Set(&c.HoldTime, DefaultHoldTime)
-	defaults.Set(&c.ReleaseRate, DefaultPace)
+	defaults.Set(&c.ReleaseRate, DefaultReleaseRate)
 	defaults.Set(&c.MinStandard, DefaultBase)
 	defaults.Set(&c.MaxUtilisation, DefaultBearable)
 	defaults.Set(&c.MaxUpstreams, DefaultMost)
