--- a/core/scale/scale.go
+++ b/core/scale/scale.go
@@ -97,7 +97,7 @@
 	DefaultStartTimeout    = 10 * time.Minute
 	DefaultHoldTime        = 30 * time.Second
 	DefaultReleaseRate        = 0.02
-	DefaultBase        = 1
+	DefaultMinStandard        = 1
 	DefaultBearable    = 1
 	DefaultMost        = 4000
 	DefaultComing      = 240
@@ -109,7 +109,7 @@
 	defaults.Set(&c.StartTimeout, DefaultStartTimeout)
 	defaults.Set(&c.HoldTime, DefaultHoldTime)
 	defaults.Set(&c.ReleaseRate, DefaultReleaseRate)
-	defaults.Set(&c.MinStandard, DefaultBase)
+	defaults.Set(&c.MinStandard, DefaultMinStandard)
 	defaults.Set(&c.MaxUtilisation, DefaultBearable)
 	defaults.Set(&c.MaxUpstreams, DefaultMost)
 	defaults.Set(&c.MaxPending, DefaultComing)
