--- a/core/scale/scale.go
+++ b/core/scale/scale.go
@@ -98,7 +98,7 @@
 	DefaultHoldTime        = 30 * time.Second
 	DefaultReleaseRate        = 0.02
 	DefaultMinStandard        = 1
-	DefaultBearable    = 1
+	DefaultMaxUtilisation    = 1
 	DefaultMost        = 4000
 	DefaultComing      = 240
 )
@@ -110,7 +110,7 @@
 	defaults.Set(&c.HoldTime, DefaultHoldTime)
 	defaults.Set(&c.ReleaseRate, DefaultReleaseRate)
 	defaults.Set(&c.MinStandard, DefaultMinStandard)
-	defaults.Set(&c.MaxUtilisation, DefaultBearable)
+	defaults.Set(&c.MaxUtilisation, DefaultMaxUtilisation)
 	defaults.Set(&c.MaxUpstreams, DefaultMost)
 	defaults.Set(&c.MaxPending, DefaultComing)
 }
