--- a/core/scale/scale.go
+++ b/core/scale/scale.go
@@ -99,7 +99,7 @@
 	DefaultReleaseRate        = 0.02
 	DefaultMinStandard        = 1
 	DefaultMaxUtilisation    = 1
-	DefaultMost        = 4000
+	DefaultMaxUpstreams        = 4000
 	DefaultComing      = 240
 )
 
@@ -111,6 +111,6 @@
 	defaults.Set(&c.ReleaseRate, DefaultReleaseRate)
 	defaults.Set(&c.MinStandard, DefaultMinStandard)
 	defaults.Set(&c.MaxUtilisation, DefaultMaxUtilisation)
-	defaults.Set(&c.MaxUpstreams, DefaultMost)
+	defaults.Set(&c.MaxUpstreams, DefaultMaxUpstreams)
 	defaults.Set(&c.MaxPending, DefaultComing)
 }
