--- a/core/scale/scale.go
+++ b/core/scale/scale.go
@@ -100,7 +100,7 @@
 	DefaultMinStandard        = 1
 	DefaultMaxUtilisation    = 1
 	DefaultMaxUpstreams        = 4000
-	DefaultComing      = 240
+	DefaultMaxPending      = 240
 )
 
 func (c *Config) fill() {
@@ -112,5 +112,5 @@
 	defaults.Set(&c.MinStandard, DefaultMinStandard)
 	defaults.Set(&c.MaxUtilisation, DefaultMaxUtilisation)
 	defaults.Set(&c.MaxUpstreams, DefaultMaxUpstreams)
-	defaults.Set(&c.MaxPending, DefaultComing)
+	defaults.Set(&c.MaxPending, DefaultMaxPending)
 }
--- a/instance/settings/scaling_test.go
+++ b/instance/settings/scaling_test.go
@@ -18,7 +18,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Plan()).To(Equal(scale.Config{
 			Utilisation: scale.DefaultUtilisation, StartShare: scale.DefaultStartShare, StartTimeout: scale.DefaultStartTimeout, HoldTime: scale.DefaultHoldTime,
-			ReleaseRate: scale.DefaultReleaseRate, MinStandard: scale.DefaultMinStandard, MaxUtilisation: scale.DefaultMaxUtilisation, MaxUpstreams: scale.DefaultMaxUpstreams, MaxPending: scale.DefaultComing,
+			ReleaseRate: scale.DefaultReleaseRate, MinStandard: scale.DefaultMinStandard, MaxUtilisation: scale.DefaultMaxUtilisation, MaxUpstreams: scale.DefaultMaxUpstreams, MaxPending: scale.DefaultMaxPending,
 		}))
 		Expect(s.DryRun).To(BeFalse())
 	})
