--- a/core/pick/filters.go
+++ b/core/pick/filters.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// HasModel keeps upstreams that hold the request's model.
+// HasModel keeps upstreams that have loaded the request's model.
 type HasModel struct{}
 
 // Keep implements Filter.
@@ -14,43 +14,41 @@
 // Keep implements Filter.
 func (NotExcluded) Keep(_ *Request, c *Candidate) bool { return !c.Excluded }
 
-// NotDraining drops upstreams that want no new work.
+// NotDraining drops upstreams that accept no new work.
 type NotDraining struct{}
 
 // Keep implements Filter.
 func (NotDraining) Keep(_ *Request, c *Candidate) bool { return !c.Draining }
 
-// HasFreeSlot drops upstreams without a slot for the request's class.
+// HasFreeSlot drops upstreams without a free slot for the request's class.
 type HasFreeSlot struct{}
 
 // Keep implements Filter.
 func (HasFreeSlot) Keep(_ *Request, c *Candidate) bool { return c.Free > 0 }
 
-// NoStraggler guards against an engine that still answers, only several times
-// slower than its peers: requests sent to it miss their level while it looks
-// idle, because little is sent to it. It is set aside and gets single
-// unprotected requests as probes, so that its recovery is seen.
-type NoStraggler struct{}
+// NotStraggler drops engines that still answer, but several times slower than their peers. Requests
+// sent to a straggler miss their latency targets, while it appears idle because it gets little work.
+// It receives single unprotected requests as probes, so that its recovery is noticed.
+type NotStraggler struct{}
 
 // Keep implements Filter.
-func (NoStraggler) Keep(r *Request, c *Candidate) bool {
+func (NotStraggler) Keep(r *Request, c *Candidate) bool {
 	return !c.Straggler || mayProbe(r, c)
 }
 
-// mayProbe reports whether the request may find out whether a straggler has
-// recovered: one without a target between tokens, as it would miss that on a
-// slow engine, while a down engine costs it only another attempt.
+// mayProbe reports whether the request may probe a straggler for recovery. A request with a target
+// between tokens would miss it on a slow engine, so it may probe only an unresponsive engine, where
+// it loses just one attempt.
 func mayProbe(r *Request, c *Candidate) bool {
 	return c.ProbeDue && !r.Protected && (c.Unresponsive || r.TokenInterval == 0)
 }
 
-// InTime drops upstreams that are too slow for the request's own level, as far
-// as their rate was ever seen: those that are slow, but not slow enough to count as
-// stragglers.
-type InTime struct{}
+// MeetsTarget drops upstreams whose last known rate is too low for the request's own targets. These
+// are slow, but not slow enough to count as stragglers.
+type MeetsTarget struct{}
 
 // Keep implements Filter.
-func (InTime) Keep(r *Request, c *Candidate) bool {
+func (MeetsTarget) Keep(r *Request, c *Candidate) bool {
 	if c.LastRate <= 0 || mayProbe(r, c) {
 		return true
 	}
@@ -62,21 +60,21 @@
 }
 
 const (
-	// promptRoom is how many prompt tokens an upstream with paced streams works
-	// through at a time, half of a request's own counted, so that one of any length may go: at some 50 microseconds
-	// a token about 0.15 s, in which those streams stand still.
-	promptRoom = 3072
-	// shortPrompt is the length up to which a prompt may always go.
-	shortPrompt = 512
+	// maxPacedPrefill is the number of prompt tokens that an upstream with paced streams prefills at
+	// a time. Half of a request's own tokens count, so that prompts of any length are eligible. At
+	// about 50 microseconds per token this is 0.15 s, during which the paced streams stall.
+	maxPacedPrefill = 3072
+	// maxShortPrompt is the prompt length up to which a request is always eligible.
+	maxShortPrompt = 512
 )
 
-// SparesPaced guards against long prompts of work without a target between
-// tokens that meet on one engine and hold up the streams of those with one. Such
-// work waits for another engine, or for the second that the last prompt takes.
-type SparesPaced struct{}
+// SparesPacedStreams prevents long prompts of requests without a target between tokens from
+// accumulating on one engine and stalling its paced streams. Such requests wait for another engine,
+// or for the second or so that the previous prefill takes.
+type SparesPacedStreams struct{}
 
 // Keep implements Filter.
-func (SparesPaced) Keep(r *Request, c *Candidate) bool {
+func (SparesPacedStreams) Keep(r *Request, c *Candidate) bool {
 	own := c.PrefillTokens - c.QueuedTokens
-	return r.TokenInterval > 0 || !c.HasPacedStreams || own <= shortPrompt || c.QueuedTokens+min(own, promptRoom)/2 < promptRoom
+	return r.TokenInterval > 0 || !c.HasPacedStreams || own <= maxShortPrompt || c.QueuedTokens+min(own, maxPacedPrefill)/2 < maxPacedPrefill
 }
--- a/core/pick/pick_test.go
+++ b/core/pick/pick_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestStragglersAreLastResortAndProbed(t *testing.T) {
+func TestStragglersAreAvoidedAndProbed(t *testing.T) {
 	g := NewWithT(t)
 	slow, good := candidate("slow"), candidate("good")
 	slow.Straggler = true
@@ -68,9 +68,9 @@
 	g.Expect(choose(t, pick.Request{}, a, b)).To(Equal("a"))
 }
 
-// One engine runs hot while seven idle, because all prompts begin alike.
-// Each answer leaves the common prefix in that engine's cache and so draws the
-// next request there. The cause: affinity without a bound on load.
+// Guards against prefix affinity without a bound on load: when all prompts share a prefix, each
+// answer leaves it in one engine's cache, which then attracts every next request while seven others
+// idle.
 func TestPrefixAffinityYieldsToLoad(t *testing.T) {
 	g := NewWithT(t)
 	list := make([]pick.Candidate, 8)
--- a/core/pick/pickers.go
+++ b/core/pick/pickers.go
@@ -2,11 +2,11 @@
 
 import "math/rand"
 
-// tie is the difference below which two scores count as equal.
-const tie = 1e-9
+// scoreTolerance is the difference below which two scores count as equal.
+const scoreTolerance = 1e-9
 
-// Best takes the highest score and breaks ties at random. It suits a chooser
-// that sees all requests of the domain.
+// Best picks the highest score and breaks ties at random. It suits a scheduler that sees all
+// requests of its failure domain.
 type Best struct{}
 
 // Pick implements Picker.
@@ -14,9 +14,9 @@
 	best, ties := 0, 1
 	for i := 1; i < len(scores); i++ {
 		switch {
-		case scores[i] > scores[best]+tie:
+		case scores[i] > scores[best]+scoreTolerance:
 			best, ties = i, 1
-		case scores[i] > scores[best]-tie:
+		case scores[i] > scores[best]-scoreTolerance:
 			ties++
 			if rnd.Intn(ties) == 0 {
 				best = i
@@ -26,10 +26,9 @@
 	return best
 }
 
-// TwoChoices draws two candidates at random and takes the better one. It guards
-// against the herd: instances that choose apart from each other by the same
-// late report would all take the one best upstream and overload it; with two
-// random choices each upstream gets at most about twice its share.
+// TwoChoices draws two candidates at random and picks the better one. It prevents herding: instances
+// that choose independently by the same stale report would all overload the one best upstream. With
+// two random choices, each upstream gets at most about twice its share.
 type TwoChoices struct{}
 
 // Pick implements Picker.
--- a/core/pick/scorers.go
+++ b/core/pick/scorers.go
@@ -5,12 +5,11 @@
 	"time"
 )
 
-// affinityHeadroom is how far above the domain's mean load an upstream may be
-// and still attract requests by its prefix cache; 1.25 is the usual bound of
-// consistent hashing with bounded loads.
-const affinityHeadroom = 1.25
+// affinityLoadFactor bounds the load, relative to the mean, up to which an upstream attracts
+// requests by its prefix cache; 1.25 is the usual bound of consistent hashing with bounded loads.
+const affinityLoadFactor = 1.25
 
-// LeastLoad prefers upstreams with many free slots.
+// LeastLoad prefers upstreams with a low share of occupied slots.
 type LeastLoad struct{}
 
 // Score implements Scorer.
@@ -18,9 +17,9 @@
 	return clamp(1 - load(c))
 }
 
-// ShortWait prefers upstreams that are expected to give the first token early:
-// the observed time to the first token, once for each request that is still
-// before its own. An unknown upstream counts as the median.
+// ShortWait prefers upstreams with a low expected time to the first token: the observed time
+// multiplied by the number of requests that have no first token yet, this one included. An unknown
+// upstream counts as the median.
 type ShortWait struct{}
 
 // Score implements Scorer.
@@ -37,23 +36,23 @@
 	return median / (median + wait)
 }
 
-// PrefixAffinity prefers upstreams whose cache holds a prefix of the prompt, as
-// long as their load stays near the mean: without that bound one popular prefix
-// would pile all its requests on one upstream while others idle.
+// PrefixAffinity prefers upstreams that have a prefix of the prompt cached, as long as their load is
+// near the mean. Without that bound, one popular prefix would send all its requests to one upstream
+// while others idle.
 type PrefixAffinity struct{}
 
 // Score implements Scorer.
 func (PrefixAffinity) Score(_ *Request, d *Summary, c *Candidate) float64 {
-	bound := d.MeanLoad * affinityHeadroom
-	oneMore := float64(c.InFlight+1) / float64(max(c.Slots, 1))
-	if c.InFlight > 0 && oneMore > bound {
+	bound := d.MeanLoad * affinityLoadFactor
+	loadWithRequest := float64(c.InFlight+1) / float64(max(c.Slots, 1))
+	if c.InFlight > 0 && loadWithRequest > bound {
 		return 0
 	}
 	return clamp(c.CachedShare)
 }
 
-// TokenRate prefers upstreams that generate fast; one at the median or unknown
-// scores one half.
+// TokenRate prefers upstreams that generate fast; one at the median or with an unknown rate scores
+// one half.
 type TokenRate struct{}
 
 // Score implements Scorer.
@@ -64,23 +63,22 @@
 	return c.TokenRate / (c.TokenRate + d.MedianTokenRate)
 }
 
-// heavyPrefill is how many prompt tokens slow an engine's running streams so
-// much that any other engine is better: at some 50 microseconds a token, they
-// take 0.4 s out of streams that last for two or three.
-const heavyPrefill = 8192
+// maxScoredPrefill is the number of queued prompt tokens at which an engine gets the lowest score.
+// At about 50 microseconds per token, they stall its streams, which last two or three seconds, for
+// 0.4 s.
+const maxScoredPrefill = 8192
 
-// LeastPrefill prefers upstreams with few prompt tokens to work through. It
-// guards against long prompts that meet on one engine: each step that works on
-// a prompt is longer for all streams there, which then miss their target
-// between tokens although the engine has free slots.
+// LeastPrefill prefers upstreams with few prompt tokens to prefill. It prevents long prompts from
+// meeting on one engine: each step with prefill takes longer for all its streams, which then miss
+// their target between tokens although the engine has free slots.
 type LeastPrefill struct{}
 
 // Score implements Scorer.
 func (LeastPrefill) Score(_ *Request, _ *Summary, c *Candidate) float64 {
-	return clamp(1 - c.PrefillTokens/heavyPrefill)
+	return clamp(1 - c.PrefillTokens/maxScoredPrefill)
 }
 
-// Summarise works out what scores are relative to.
+// Summarise aggregates the candidates that have loaded the model.
 func Summarise(candidates []Candidate) Summary {
 	var firsts []time.Duration
 	var rates []float64
@@ -106,7 +104,7 @@
 	return d
 }
 
-// Median returns the lower median of v, which it reorders, or 0 for none.
+// Median returns the lower median of v, which it reorders, or 0 if v is empty.
 func Median[T time.Duration | float64](v []T) T {
 	if len(v) == 0 {
 		return 0
