--- a/core/balance/admission.go
+++ b/core/balance/admission.go
@@ -24,17 +24,17 @@
 // are admitted first, and within a route the requests whose shared tokens are cached.
 func (p *Pools) AdmittedShare(now time.Time, o *Offer, upstreams float64) float64 {
 	p.decay(now)
-	left := upstreams
+	remaining := upstreams
 	for _, l := range longRoutes(p.totalLoads()) {
 		demand := p.engine.requiredEngines(&l.load)
 		if demand <= 0 {
 			continue
 		}
-		part := min(1, max(minAdmittedShare, left/demand))
+		admitted := min(1, max(minAdmittedShare, remaining/demand))
 		if l.name == o.Route {
-			return p.engine.admittedByCacheState(&l.load, part, o.Cached)
+			return p.engine.admittedByCacheState(&l.load, admitted, o.Cached)
 		}
-		left = max(0, left-part*demand)
+		remaining = max(0, remaining-admitted*demand)
 	}
 	return 1
 }
@@ -54,16 +54,16 @@
 // admission, engines in a burst prefilled 1,394 uncached prompts while 2,637 cached ones, each a
 // quarter of the work, were refused. Where slots are the bottleneck, all requests cost the same and
 // get the same share.
-func (e *Engine) admittedByCacheState(l *RouteLoad, part float64, cached bool) float64 {
+func (e *Engine) admittedByCacheState(l *RouteLoad, admitted float64, cached bool) float64 {
 	share := l.RecentCached / l.Recent
-	if part == 1 || e.slotEngines(l) >= e.prefillEngines(l) || share <= 0 || share >= 1 {
-		return part
+	if admitted == 1 || e.slotEngines(l) >= e.prefillEngines(l) || share <= 0 || share >= 1 {
+		return admitted
 	}
-	uncached := min(part, max(minUncachedShare, (part-share)/(1-share)))
+	uncached := min(admitted, max(minUncachedShare, (admitted-share)/(1-share)))
 	if !cached {
 		return uncached
 	}
-	return min(1, (part-uncached*(1-share))/share)
+	return min(1, (admitted-uncached*(1-share))/share)
 }
 
 // EachPerSecond returns the mean request rate of an upstream, in requests per second.
--- a/core/balance/balance.go
+++ b/core/balance/balance.go
@@ -136,7 +136,7 @@
 	failureTolerance = 0.12
 	// fullOccupancyCostMS is the cost of a fully occupied upstream that is not a model engine, in
 	// milliseconds.
-	busySlotCostMS = 60.0
+	fullOccupancyCostMS = 60.0
 )
 
 // Choose returns the upstream to use for the request.
@@ -298,7 +298,7 @@
 	r := c.request
 	cost := 0.0
 	if u.Capacity == 0 || r.Rate <= 0 {
-		cost = busySlotCostMS * float64(u.Active+1) / float64(max(1, u.Slots)) * u.Slowness
+		cost = fullOccupancyCostMS * float64(u.Active+1) / float64(max(1, u.Slots)) * u.Slowness
 	} else {
 		// Tokens that could be fetched from another engine cost as much as prefilled ones, since
 		// fetching uses memory and moves gigabytes. When they cost only the fetch itself, prompts
--- a/core/balance/demand.go
+++ b/core/balance/demand.go
@@ -55,8 +55,8 @@
 	if e.PerMS == 0 || e.Slots == 0 {
 		return tokens
 	}
-	reading := tokens / (e.PerMS * 1000 * e.loadWindow()) / maxPrefillShare
-	return max(reading, slotTime/e.loadWindow()/e.Slots)
+	prefill := tokens / (e.PerMS * 1000 * e.loadWindow()) / maxPrefillShare
+	return max(prefill, slotTime/e.loadWindow()/e.Slots)
 }
 
 // quickEngineShare returns the share of the engines for quick requests. With enough engines, both
@@ -64,9 +64,9 @@
 // deficit equally would make urgent requests late while less urgent ones are on time. The most
 // urgent routes then get their minimum first and the others the rest, except for the share of each
 // route that is always admitted.
-func quickEngineShare(claims []routeDemand, engines float64) float64 {
+func quickEngineShare(demands []routeDemand, engines float64) float64 {
 	quick, all := 0.0, 0.0
-	for _, c := range claims {
+	for _, c := range demands {
 		all += c.comfortable
 		if c.quick {
 			quick += c.comfortable
@@ -78,7 +78,7 @@
 	if engines == 0 || all <= engines {
 		return quick / all
 	}
-	return quickShareUnderShortage(claims, engines)
+	return quickShareUnderShortage(demands, engines)
 }
 
 // maxReservedShare is the largest share of the engines reserved for the requests that are always
@@ -88,29 +88,29 @@
 
 // quickShareUnderShortage returns the share of the engines for quick requests when there are fewer
 // engines than the comfortable demand.
-func quickShareUnderShortage(claims []routeDemand, engines float64) float64 {
-	least, ample := 0.0, 0.0
-	for _, c := range claims {
-		least += c.minimum
-		ample += c.comfortable
+func quickShareUnderShortage(demands []routeDemand, engines float64) float64 {
+	minimum, comfortable := 0.0, 0.0
+	for _, c := range demands {
+		minimum += c.minimum
+		comfortable += c.comfortable
 	}
-	reserved := min(minAdmittedShare, maxReservedShare*engines/least)
-	left := engines - reserved*least
+	reserved := min(minAdmittedShare, maxReservedShare*engines/minimum)
+	left := engines - reserved*minimum
 	quick, all := 0.0, 0.0
-	give := func(c *routeDemand, n float64) {
+	assign := func(c *routeDemand, n float64) {
 		all += n
 		if c.quick {
 			quick += n
 		}
 	}
-	for i := range claims {
-		c := &claims[i]
+	for i := range demands {
+		c := &demands[i]
 		more := min((1-reserved)*c.minimum, left)
 		left -= more
-		give(c, reserved*c.minimum+more)
+		assign(c, reserved*c.minimum+more)
 	}
-	for i := range claims {
-		give(&claims[i], left*claims[i].comfortable/ample)
+	for i := range demands {
+		assign(&demands[i], left*demands[i].comfortable/comfortable)
 	}
 	return quick / all
 }
--- a/core/balance/observe.go
+++ b/core/balance/observe.go
@@ -89,9 +89,9 @@
 }
 
 const (
-	// priorMS and priorAnswers are the amounts of the peers' time, in milliseconds, and of the
+	// priorTimeMS and priorAnswers are the amounts of the peers' time, in milliseconds, and of the
 	// peers' answers that are mixed into an upstream's own, because a few answers are weak evidence.
-	priorMS      = 400.0
+	priorTimeMS  = 400.0
 	priorAnswers = 6.0
 )
 
@@ -106,8 +106,8 @@
 	errors := all.Failures / max(1, all.Answers)
 	for i := range list {
 		o := &observed[i]
-		peers := (all.Took - o.Took + priorMS) / (all.Predicted - o.Predicted + priorMS)
-		slowness := (o.Took/peers + priorMS) / (o.Predicted + priorMS)
+		peers := (all.Took - o.Took + priorTimeMS) / (all.Predicted - o.Predicted + priorTimeMS)
+		slowness := (o.Took/peers + priorTimeMS) / (o.Predicted + priorTimeMS)
 		list[i].Slowness = min(maxSlowness, max(minSlowness, slowness))
 		list[i].Errors = (o.Failures + priorAnswers*errors) / (o.Answers + priorAnswers)
 	}
