--- a/core/route/index.go
+++ b/core/route/index.go
@@ -5,19 +5,18 @@
 	"strings"
 )
 
-// Index finds routes and organisations of one table. It is immutable.
+// Index looks up the routes, organisations and services of one table. It is immutable.
 type Index struct {
 	Table *Table
 	hosts map[string]map[string]*Route
 	keys  map[KeyDigest]*Organisation
-	// services are by name.
+	// services are indexed by name.
 	services map[string]*Service
-	// organisationRanks and routeRanks give each priority its place among those of
-	// the table.
+	// organisationRanks and routeRanks map each priority to its rank within the table.
 	organisationRanks, routeRanks map[int]int
 }
 
-// NewIndex returns the index of a valid table, which must not change any more.
+// NewIndex returns the index of a valid table, which must not be modified afterwards.
 func NewIndex(t *Table) *Index {
 	x := &Index{
 		Table: t, hosts: map[string]map[string]*Route{}, keys: map[KeyDigest]*Organisation{}, services: map[string]*Service{},
@@ -39,46 +38,46 @@
 	for i := range t.Services {
 		x.services[t.Services[i].Name] = &t.Services[i]
 	}
-	x.organisationRanks = ranks(len(t.Organisations), func(i int) int { return t.Organisations[i].Priority })
-	x.routeRanks = ranks(len(t.Routes), func(i int) int { return t.Routes[i].Priority })
+	x.organisationRanks = rankByValue(len(t.Organisations), func(i int) int { return t.Organisations[i].Priority })
+	x.routeRanks = rankByValue(len(t.Routes), func(i int) int { return t.Routes[i].Priority })
 	return x
 }
 
-// ranks numbers the different values in ascending order.
-func ranks(n int, value func(int) int) map[int]int {
+// rankByValue maps each distinct value to its rank in ascending order.
+func rankByValue(n int, value func(int) int) map[int]int {
 	var values []int
 	for i := range n {
 		values = append(values, value(i))
 	}
 	slices.Sort(values)
 	values = slices.Compact(values)
-	places := make(map[int]int, len(values))
+	ranks := make(map[int]int, len(values))
 	for i, v := range values {
-		places[v] = i
+		ranks[v] = i
 	}
-	return places
+	return ranks
 }
 
-// Urgency returns the rank of a request among all of the table, from 0 (first) to
-// levels-1: the route's priority goes before the organisation's, and a request
-// without an organisation counts as one of the last. Where there are more pairs of
-// priorities than levels, neighbouring ones share a level.
+// Urgency returns the rank of a request within the table, from 0 (most urgent) to levels-1. The
+// route's priority takes precedence over the organisation's, and a request without an organisation
+// ranks with the lowest ones. If there are more pairs of priorities than levels, adjacent pairs
+// share a level.
 func (x *Index) Urgency(r *Route, o *Organisation, levels int) int {
-	last := len(x.organisationRanks)
-	of := last
+	lowestRank := len(x.organisationRanks)
+	organisationRank := lowestRank
 	if o != nil {
-		of = x.organisationRanks[o.Priority]
+		organisationRank = x.organisationRanks[o.Priority]
 	}
-	pairs := max(1, last) * len(x.routeRanks)
-	place := min(of, max(0, last-1)) + max(1, last)*x.routeRanks[r.Priority]
+	pairs := max(1, lowestRank) * len(x.routeRanks)
+	rank := min(organisationRank, max(0, lowestRank-1)) + max(1, lowestRank)*x.routeRanks[r.Priority]
 	if pairs <= levels {
-		return place
+		return rank
 	}
-	return place * levels / pairs
+	return rank * levels / pairs
 }
 
-// Rank returns where a route's priority comes among those of the table, as a part
-// of all: 0 for the most urgent ones, 1 for the least urgent ones.
+// Rank returns the relative rank of a route's priority within the table: 0 for the most urgent
+// routes, 1 for the least urgent ones.
 func (x *Index) Rank(r *Route) float64 {
 	if len(x.routeRanks) < 2 {
 		return 0
@@ -86,8 +85,8 @@
 	return float64(x.routeRanks[r.Priority]) / float64(len(x.routeRanks)-1)
 }
 
-// Route returns the route of the host whose prefix is the longest that begins the
-// target, or nil. A port in host and a query in target do not count.
+// Route returns the route of the host with the longest prefix that matches the target, or nil. A
+// port in host and a query in target are ignored.
 func (x *Index) Route(host, target string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -99,7 +98,7 @@
 	if i := strings.IndexByte(target, '?'); i >= 0 {
 		target = target[:i]
 	}
-	// Every prefix ends with a slash, so only the parts up to a slash can match.
+	// Every prefix ends with a slash, so only the parts of the target up to a slash can match.
 	for end := strings.LastIndexByte(target, '/'); end >= 0; end = strings.LastIndexByte(target[:end], '/') {
 		if r := prefixes[target[:end+1]]; r != nil {
 			return r
@@ -108,21 +107,22 @@
 	return nil
 }
 
-// Organisation returns who holds a key, or nil.
+// Organisation returns the organisation that the key belongs to, or nil.
 func (x *Index) Organisation(key []byte) *Organisation { return x.keys[Digest(key)] }
 
-// Service returns a service, or nil.
+// Service returns the service with the given name, or nil.
 func (x *Index) Service(name string) *Service { return x.services[name] }
 
-// Pick returns the service of a route for a number drawn uniformly from [0, 1).
-func (r *Route) Pick(draw float64) string {
+// Pick returns a service of the route according to the weights, for a random number drawn uniformly
+// from [0, 1).
+func (r *Route) Pick(random float64) string {
 	sum := 0
 	for _, b := range r.Services {
 		sum += b.Weight
 	}
-	at := int(draw * float64(sum))
+	offset := int(random * float64(sum))
 	for _, b := range r.Services {
-		if at -= b.Weight; at < 0 {
+		if offset -= b.Weight; offset < 0 {
 			return b.Service
 		}
 	}
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestLongestMatchingPrefixWins(t *testing.T) {
 	g := NewWithT(t)
 	x := route.NewIndex(table())
 	g.Expect(x.Route("a.example", "/x/y/z?q=/x/").Name).To(Equal("inner"))
@@ -45,10 +45,9 @@
 	g.Expect(r.Pick(0.9)).To(Equal("t"))
 }
 
-// Operators send tables with every fault that they may have. Each must be refused
-// with a word on where it is, or a table nobody meant would be in force.
+// Guards against invalid tables that would be accepted and come into force.
 func TestFaultyTablesAreRefused(t *testing.T) {
-	for name, spoil := range map[string]func(*route.Table){
+	for name, corrupt := range map[string]func(*route.Table){
 		"unknown service": func(t *route.Table) { t.Routes[0].Services[0].Service = "u" },
 		"same place":      func(t *route.Table) { t.Routes[1].Prefix = "/x/" },
 		"no weight":       func(t *route.Table) { t.Routes[1].Services[0].Weight = 0 },
@@ -64,14 +63,13 @@
 		g := NewWithT(t)
 		tab := table()
 		g.Expect(tab.Validate()).To(Succeed())
-		spoil(tab)
+		corrupt(tab)
 		g.Expect(fault.CodeOf(tab.Validate())).To(Equal(fault.Invalid), name)
 	}
 }
 
-// Upstreams that run out of memory put back the least urgent requests. Two that
-// differ in rank must differ there as well, or the more urgent one may be put back
-// while the other runs on.
+// Upstreams that run out of memory preempt their least urgent requests. Requests of different rank
+// must differ in urgency, or the more urgent one may be preempted while the other runs on.
 func TestUrgencyKeepsTheOrderOfAllPairs(t *testing.T) {
 	g := NewWithT(t)
 	tab := table()
