--- a/core/ratelimit/book.go
+++ b/core/ratelimit/book.go
@@ -1,7 +1,7 @@
-// Package ratelimit keeps the requests of all instances together within the rates that
-// upstreams name. Instances tell each other what upstreams named (Book); one member of the
-// control group hands out the right to send single requests (Holder), which instances hold for
-// a moment (Wallet). It does no I/O.
+// Package ratelimit keeps the combined request rate of all instances within the limits that
+// upstreams announce. Instances exchange the announced limits (Tracker). One member of the control
+// group allocates the tokens for single requests (Allocator), which instances hold for a short time
+// (TokenStore). The package does no I/O.
 package ratelimit
 
 import (
@@ -12,90 +12,90 @@
 	"github.com/comfreyladder/comfreyladder/core/wire"
 )
 
-// Statement is what an answer of an upstream said of its limit. Times are told as ages, since
-// the clocks of instances differ.
+// Statement is the rate limit that an upstream announced in an answer. Times are transferred as
+// ages, because the clocks of instances differ.
 type Statement struct {
 	wire.Array
-	// Upstream is the log index at which the incarnation was first heard of.
+	// Upstream is the log index at which the upstream's incarnation was registered.
 	Upstream uint64
-	// PerSecond is how many requests a second it takes from all instances together; zero means
-	// that it named none.
+	// PerSecond is the number of requests per second that it accepts from all instances together;
+	// zero means that it announced no limit.
 	PerSecond float64
-	// SentMS is how long ago the request was sent, HeardMS how long ago its answer came.
+	// SentMS is the age of the request in milliseconds, HeardMS that of its answer.
 	SentMS, HeardMS int64
 }
 
-// limit is what is known of one upstream.
+// limit is the known limit of one upstream.
 type limit struct {
 	perSecond float64
-	// heard is when the latest answer came that named it.
-	heard time.Time
-	// ended is when the request was sent whose answer showed that it is over; zero while it
-	// is not.
-	ended time.Time
+	// answeredAt is the arrival time of the latest answer that announced the limit.
+	answeredAt time.Time
+	// endedAt is the send time of the request whose answer showed that the limit ended; zero while
+	// the limit is in force.
+	endedAt time.Time
 }
 
-// Tracker holds the limits that upstreams name. Answers overtake each other, and an answer is
-// older than its arrival by an unknown part of its way; so a limit is over only when an answer
-// names none to a request that was sent after the limit was last heard. It is not safe for
+// Tracker holds the rate limits that upstreams announce. Answers may overtake each other, and it is
+// unknown how long before its arrival an answer was made. A limit therefore ends only with an answer
+// without a limit to a request that was sent after the limit was last announced. It is not safe for
 // concurrent use.
 type Tracker struct{ limits map[uint64]*limit }
 
-// NewTracker returns an empty book.
+// NewTracker returns a tracker without limits.
 func NewTracker() *Tracker { return &Tracker{limits: map[uint64]*limit{}} }
 
-// Record takes in an answer to a request that was sent and answered at two times, and reports
-// whether the limit in force has changed by it.
+// Record records an answer with the times of its request and its arrival, and reports whether it
+// changed the limit in force.
 func (b *Tracker) Record(upstream uint64, perSecond float64, sent, heard time.Time) bool {
 	before, _ := b.Limit(upstream)
 	if perSecond > 0 {
-		b.name(upstream, perSecond, sent, heard)
+		b.recordLimit(upstream, perSecond, sent, heard)
 	} else {
-		b.end(upstream, sent)
+		b.recordEnd(upstream, sent)
 	}
 	after, _ := b.Limit(upstream)
 	return before != after
 }
 
-func (b *Tracker) name(upstream uint64, perSecond float64, sent, heard time.Time) {
+func (b *Tracker) recordLimit(upstream uint64, perSecond float64, sent, heard time.Time) {
 	l := b.limits[upstream]
 	switch {
 	case l == nil:
-		b.limits[upstream] = &limit{perSecond: perSecond, heard: heard}
-	case !l.ended.IsZero():
-		if heard.After(l.ended) {
-			*l = limit{perSecond: perSecond, heard: heard}
+		b.limits[upstream] = &limit{perSecond: perSecond, answeredAt: heard}
+	case !l.endedAt.IsZero():
+		if heard.After(l.endedAt) {
+			*l = limit{perSecond: perSecond, answeredAt: heard}
 		}
-	case !sent.Before(l.heard):
-		*l = limit{perSecond: perSecond, heard: heard}
-	case heard.After(l.heard):
-		// Which of the two answers is newer can't be told.
-		l.perSecond, l.heard = min(perSecond, l.perSecond), heard
+	case !sent.Before(l.answeredAt):
+		*l = limit{perSecond: perSecond, answeredAt: heard}
+	case heard.After(l.answeredAt):
+		// The order of the two answers is unknown, so the lower limit applies.
+		l.perSecond, l.answeredAt = min(perSecond, l.perSecond), heard
 	}
 }
 
-func (b *Tracker) end(upstream uint64, sent time.Time) {
-	if l := b.limits[upstream]; l != nil && l.ended.Before(sent) && !sent.Before(l.heard) {
-		l.ended = sent
+func (b *Tracker) recordEnd(upstream uint64, sent time.Time) {
+	if l := b.limits[upstream]; l != nil && l.endedAt.Before(sent) && !sent.Before(l.answeredAt) {
+		l.endedAt = sent
 	}
 }
 
-// Limit returns the limit of an upstream, if it names one.
+// Limit returns the limit of an upstream, if there is one.
 func (b *Tracker) Limit(upstream uint64) (perSecond float64, limited bool) {
 	l := b.limits[upstream]
-	if l == nil || !l.ended.IsZero() {
+	if l == nil || !l.endedAt.IsZero() {
 		return 0, false
 	}
 	return l.perSecond, true
 }
 
-// Empty reports whether no limit is known, nor the end of one.
+// Empty reports whether neither a limit nor the end of one is recorded.
 func (b *Tracker) Empty() bool { return len(b.limits) == 0 }
 
-// Limited returns the upstreams that name a limit, in order.
+// Limited returns the upstreams with a limit, in ascending order.
 func (b *Tracker) Limited() (list []uint64) {
 	for upstream, l := range b.limits {
-		if l.ended.IsZero() {
+		if l.endedAt.IsZero() {
 			list = append(list, upstream)
 		}
 	}
@@ -103,25 +103,25 @@
 	return list
 }
 
-// endedMemory is for how long the end of a limit is told to others.
-const endedMemory = 10 * time.Second
+// endRetention is how long the end of a limit is reported to other instances.
+const endRetention = 10 * time.Second
 
-// Prune forgets upstreams that are gone, and ends that all have heard of.
-func (b *Tracker) Prune(now time.Time, there func(upstream uint64) bool) {
+// Prune removes upstreams that no longer exist, and ends of limits older than endRetention.
+func (b *Tracker) Prune(now time.Time, exists func(upstream uint64) bool) {
 	for upstream, l := range b.limits {
-		if !there(upstream) || !l.ended.IsZero() && now.Sub(l.ended) > endedMemory {
+		if !exists(upstream) || !l.endedAt.IsZero() && now.Sub(l.endedAt) > endRetention {
 			delete(b.limits, upstream)
 		}
 	}
 }
 
-// Statements returns what the book holds, for others.
+// Statements returns the recorded limits and ends, to be sent to other instances.
 func (b *Tracker) Statements(now time.Time) []Statement {
 	list := make([]Statement, 0, len(b.limits))
 	for upstream, l := range b.limits {
-		s := Statement{Upstream: upstream, PerSecond: l.perSecond, SentMS: now.Sub(l.heard).Milliseconds(), HeardMS: now.Sub(l.heard).Milliseconds()}
-		if !l.ended.IsZero() {
-			s.PerSecond, s.SentMS, s.HeardMS = 0, now.Sub(l.ended).Milliseconds(), now.Sub(l.ended).Milliseconds()
+		s := Statement{Upstream: upstream, PerSecond: l.perSecond, SentMS: now.Sub(l.answeredAt).Milliseconds(), HeardMS: now.Sub(l.answeredAt).Milliseconds()}
+		if !l.endedAt.IsZero() {
+			s.PerSecond, s.SentMS, s.HeardMS = 0, now.Sub(l.endedAt).Milliseconds(), now.Sub(l.endedAt).Milliseconds()
 		}
 		list = append(list, s)
 	}
@@ -129,16 +129,16 @@
 	return list
 }
 
-// echo is within what time a statement of another book is the same as the own one: it has
-// come back with what its way took.
-const echo = 250 * time.Millisecond
+// echoTolerance is the age difference within which a received statement is taken for the tracker's
+// own one: it has come back with the transfer time added.
+const echoTolerance = 250 * time.Millisecond
 
-// Merge takes in what another book holds. An end of a limit that is not known says nothing.
+// Merge records the statements of another tracker. The end of an unknown limit has no effect.
 func (b *Tracker) Merge(now time.Time, list []Statement) {
 	for i := range list {
 		s := &list[i]
 		ago := func(ms int64) time.Time { return now.Add(-time.Duration(ms) * time.Millisecond) }
-		if l := b.limits[s.Upstream]; l != nil && l.ended.IsZero() && s.PerSecond == l.perSecond && ago(s.HeardMS).Sub(l.heard) < echo {
+		if l := b.limits[s.Upstream]; l != nil && l.endedAt.IsZero() && s.PerSecond == l.perSecond && ago(s.HeardMS).Sub(l.answeredAt) < echoTolerance {
 			continue
 		}
 		b.Record(s.Upstream, s.PerSecond, ago(s.SentMS), ago(s.HeardMS))
--- a/core/ratelimit/book_test.go
+++ b/core/ratelimit/book_test.go
@@ -21,20 +21,20 @@
 	return perSecond
 }
 
-// Guards against a limit that is taken for over since an older answer came late.
-func TestLateAnswerDoesNotEndALimit(t *testing.T) {
+// Guards against ending a limit because an older answer arrived late.
+func TestLateAnswerDoesNotEndLimit(t *testing.T) {
 	g := NewWithT(t)
 	b := ratelimit.NewTracker()
 	g.Expect(b.Record(upstream, 2, at(100), at(120))).To(BeTrue())
-	g.Expect(b.Record(upstream, 0, at(110), at(500))).To(BeFalse(), "it was sent before the limit was heard")
+	g.Expect(b.Record(upstream, 0, at(110), at(500))).To(BeFalse(), "its request was sent before the limit arrived")
 	g.Expect(limitOf(b)).To(Equal(2.0))
 	g.Expect(b.Record(upstream, 0, at(120), at(150))).To(BeTrue())
 	g.Expect(limitOf(b)).To(BeZero())
 	g.Expect(b.Limited()).To(BeEmpty())
 }
 
-// Guards against a limit that comes back since an older answer came late.
-func TestLateAnswerDoesNotBringALimitBack(t *testing.T) {
+// Guards against reinstating a limit because an older answer arrived late.
+func TestLateAnswerDoesNotReinstateLimit(t *testing.T) {
 	g := NewWithT(t)
 	b := ratelimit.NewTracker()
 	b.Record(upstream, 2, at(100), at(120))
@@ -45,8 +45,8 @@
 	g.Expect(limitOf(b)).To(Equal(3.0))
 }
 
-// Guards against the higher of two limits where it can't be told which is the newer one.
-func TestLowerOfTwoLimitsHoldsUntilOneIsNewer(t *testing.T) {
+// Guards against applying the higher of two limits while their order is unknown.
+func TestLowerLimitAppliesWhileOrderIsUnknown(t *testing.T) {
 	g := NewWithT(t)
 	b := ratelimit.NewTracker()
 	b.Record(upstream, 2, at(100), at(200))
@@ -58,8 +58,9 @@
 	g.Expect(limitOf(b)).To(Equal(5.0))
 }
 
-// Guards against limits of upstreams that are gone, and ends that are told for ever.
-func TestBookForgets(t *testing.T) {
+// Guards against keeping the limits of removed upstreams, and against reporting ends of limits
+// forever.
+func TestTrackerPrunes(t *testing.T) {
 	g := NewWithT(t)
 	b := ratelimit.NewTracker()
 	b.Record(upstream, 2, at(0), at(1))
@@ -73,9 +74,9 @@
 	g.Expect(b.Empty()).To(BeTrue())
 }
 
-// Guards against instances that disagree for good since they heard of the same answers in
-// another order, or by way of others.
-func TestBooksAgreeAfterAnExchange(t *testing.T) {
+// Guards against permanent disagreement between instances that received the same answers in a
+// different order or through other instances.
+func TestTrackersAgreeAfterExchange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := ratelimit.NewTracker(), ratelimit.NewTracker()
 		for range rapid.IntRange(1, 12).Draw(t, "answers") {
--- a/core/ratelimit/holder_test.go
+++ b/core/ratelimit/holder_test.go
@@ -10,7 +10,7 @@
 	"github.com/comfreyladder/comfreyladder/core/ratelimit"
 )
 
-// rates are limits that a test sets.
+// rates holds fixed limits.
 type rates map[uint64]float64
 
 func (r rates) Limit(upstream uint64) (float64, bool) {
@@ -18,9 +18,11 @@
 	return perSecond, limited
 }
 
-func ask(wants ...ratelimit.Demand) *ratelimit.TokenRequest { return &ratelimit.TokenRequest{Demands: wants} }
+func tokenRequest(wants ...ratelimit.Demand) *ratelimit.TokenRequest {
+	return &ratelimit.TokenRequest{Demands: wants}
+}
 
-func want(count, urgency int) ratelimit.Demand {
+func demand(count, urgency int) ratelimit.Demand {
 	return ratelimit.Demand{Upstream: upstream, Count: count, Urgency: urgency}
 }
 
@@ -31,14 +33,14 @@
 	return n
 }
 
-// Guards against less urgent requests that use up what more urgent ones wait for.
-func TestUrgentWantsAreServedFirst(t *testing.T) {
+// Guards against less urgent requests using up the tokens that more urgent ones wait for.
+func TestUrgentDemandIsServedFirst(t *testing.T) {
 	g := NewWithT(t)
 	h := ratelimit.NewAllocator()
 	limits := rates{upstream: 2}
-	last, first := ask(want(5, 4)), ask(want(2, 0))
+	last, first := tokenRequest(demand(5, 4)), tokenRequest(demand(2, 0))
 	h.Allocate(epoch, limits, []*ratelimit.TokenRequest{last, first})
-	g.Expect(granted(first)).To(BeZero(), "a new holder has nothing")
+	g.Expect(granted(first)).To(BeZero(), "a new allocator has no tokens")
 	h.Allocate(epoch.Add(time.Second), limits, []*ratelimit.TokenRequest{last, first})
 	g.Expect(granted(first)).To(Equal(2))
 	g.Expect(granted(last)).To(BeZero())
@@ -47,31 +49,31 @@
 	g.Expect(granted(last)).To(Equal(2))
 }
 
-// Guards against one instance that gets all, and against one that gets a part that it has no
-// use for while another one waits.
-func TestEquallyUrgentWantsTakeTurns(t *testing.T) {
+// Guards against one instance getting all tokens, and against an instance getting tokens that it
+// does not need while another one waits.
+func TestEquallyUrgentDemandIsServedRoundRobin(t *testing.T) {
 	g := NewWithT(t)
 	h := ratelimit.NewAllocator()
 	limits := rates{upstream: 10}
-	many, few := ask(want(30, 0)), ask(want(1, 0))
+	many, few := tokenRequest(demand(30, 0)), tokenRequest(demand(1, 0))
 	h.Allocate(epoch, limits, []*ratelimit.TokenRequest{many, few})
 	h.Allocate(epoch.Add(time.Second), limits, []*ratelimit.TokenRequest{many, few})
 	g.Expect(granted(few)).To(Equal(1))
 	g.Expect(granted(many)).To(Equal(5))
 }
 
-func TestUpstreamWithoutALimitNeedsNoGrant(t *testing.T) {
+func TestUpstreamWithoutLimitGetsNoGrant(t *testing.T) {
 	g := NewWithT(t)
-	a := ask(want(3, 0))
+	a := tokenRequest(demand(3, 0))
 	h := ratelimit.NewAllocator()
 	h.Allocate(epoch, rates{}, []*ratelimit.TokenRequest{a})
 	h.Allocate(epoch.Add(time.Hour), rates{}, []*ratelimit.TokenRequest{a})
 	g.Expect(granted(a)).To(BeZero())
 }
 
-// Guards against more requests in a window than what the upstream names allows, however
-// unevenly instances ask, and against much less.
-func TestWindowsHoldWhatIsAllowedAndMostOfItIsUsed(t *testing.T) {
+// Guards against exceeding the announced limit in any window, however unevenly the instances request
+// tokens, and against using much less than the limit.
+func TestWindowsStayWithinLimitAndUseMostOfIt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		perSecond := rapid.SampledFrom([]float64{0.3, 1, 2.3, 10, 30}).Draw(t, "limit")
 		instances := rapid.SampledFrom([]int{1, 9, 79, 450}).Draw(t, "instances")
@@ -90,7 +92,7 @@
 			now := epoch.Add(d)
 			var asks []*ratelimit.TokenRequest
 			var from []*ratelimit.TokenStore
-			// More is asked than is allowed: some instances at a time.
+			// The demand exceeds the limit, from a few instances at a time.
 			for range 1 + int(perSecond)/5 {
 				i := n % instances
 				if n++; uneven {
@@ -131,8 +133,8 @@
 	})
 }
 
-// Guards against rights that are saved up, or used long after they were handed out.
-func TestRightsEndSoon(t *testing.T) {
+// Guards against accumulating tokens and against using them long after they were granted.
+func TestTokensExpire(t *testing.T) {
 	g := NewWithT(t)
 	w := ratelimit.NewTokenStore()
 	w.Add(epoch, []ratelimit.Grant{{Upstream: upstream, Count: 2}})
@@ -140,19 +142,19 @@
 	g.Expect(w.Use(epoch, upstream)).To(BeTrue())
 	g.Expect(w.Use(epoch.Add(ratelimit.TokenLifetime), upstream)).To(BeFalse())
 	h := ratelimit.NewAllocator()
-	a := ask(want(30, 0))
+	a := tokenRequest(demand(30, 0))
 	h.Allocate(epoch, rates{upstream: 4}, []*ratelimit.TokenRequest{a})
 	h.Allocate(epoch.Add(time.Hour), rates{upstream: 4}, []*ratelimit.TokenRequest{a})
-	g.Expect(granted(a)).To(Equal(3), "one and what half a second brings")
+	g.Expect(granted(a)).To(Equal(3), "one token plus those of half a second")
 }
 
-func TestWantsAreToldOnceAndBounded(t *testing.T) {
+func TestDemandIsDrainedOnceAndBounded(t *testing.T) {
 	g := NewWithT(t)
 	w := ratelimit.NewTokenStore()
 	for i := range 100 {
 		w.AddDemand(upstream, 100-i)
 	}
-	g.Expect(w.DrainDemands()).To(Equal([]ratelimit.Demand{want(32, 1)}))
+	g.Expect(w.DrainDemands()).To(Equal([]ratelimit.Demand{demand(32, 1)}))
 	g.Expect(w.HasDemand()).To(BeFalse())
 	g.Expect(w.DrainDemands()).To(BeEmpty())
 }
--- a/core/ratelimit/wallet.go
+++ b/core/ratelimit/wallet.go
@@ -6,74 +6,76 @@
 	"time"
 )
 
-// maxWanted bounds what is wanted of one upstream at a time.
-const maxWanted = 32
+// maxDemandCount bounds the pending demand for one upstream.
+const maxDemandCount = 32
 
-// TokenStore holds, at one instance, the rights to send requests, and what is wanted. It is not
-// safe for concurrent use.
+// TokenStore holds the tokens of one instance and its pending demand. It is not safe for concurrent
+// use.
 type TokenStore struct {
-	// tokens are the times until which each right may be used, in order.
-	tokens map[uint64][]time.Time
-	wants  map[uint64]*Demand
+	// expiries holds the expiry time of each token by upstream, in ascending order.
+	expiries map[uint64][]time.Time
+	demands  map[uint64]*Demand
 }
 
-// NewTokenStore returns an empty wallet.
-func NewTokenStore() *TokenStore { return &TokenStore{tokens: map[uint64][]time.Time{}, wants: map[uint64]*Demand{}} }
+// NewTokenStore returns an empty store.
+func NewTokenStore() *TokenStore {
+	return &TokenStore{expiries: map[uint64][]time.Time{}, demands: map[uint64]*Demand{}}
+}
 
-// Add takes in rights that were asked for at a time.
+// Add stores tokens that were requested at the given time.
 func (w *TokenStore) Add(asked time.Time, grants []Grant) {
 	for _, g := range grants {
 		for range g.Count {
-			w.tokens[g.Upstream] = append(w.tokens[g.Upstream], asked.Add(TokenLifetime))
+			w.expiries[g.Upstream] = append(w.expiries[g.Upstream], asked.Add(TokenLifetime))
 		}
-		slices.SortFunc(w.tokens[g.Upstream], time.Time.Compare)
+		slices.SortFunc(w.expiries[g.Upstream], time.Time.Compare)
 	}
 }
 
-// Available reports whether a request may be sent to an upstream now.
+// Available reports whether there is a token for the upstream.
 func (w *TokenStore) Available(now time.Time, upstream uint64) bool {
-	list := w.tokens[upstream]
+	list := w.expiries[upstream]
 	for len(list) > 0 && !now.Before(list[0]) {
 		list = list[1:]
 	}
 	if len(list) == 0 {
-		delete(w.tokens, upstream)
+		delete(w.expiries, upstream)
 		return false
 	}
-	w.tokens[upstream] = list
+	w.expiries[upstream] = list
 	return true
 }
 
-// Use uses a right, the one that ends first, and reports whether there was one.
+// Use consumes the token that expires first, and reports whether there was one.
 func (w *TokenStore) Use(now time.Time, upstream uint64) bool {
 	if !w.Available(now, upstream) {
 		return false
 	}
-	w.tokens[upstream] = w.tokens[upstream][1:]
+	w.expiries[upstream] = w.expiries[upstream][1:]
 	return true
 }
 
-// AddDemand notes that a request would go to an upstream.
+// AddDemand records that a request needs a token for the upstream.
 func (w *TokenStore) AddDemand(upstream uint64, urgency int) {
-	want := w.wants[upstream]
+	want := w.demands[upstream]
 	if want == nil {
 		want = &Demand{Upstream: upstream, Urgency: urgency}
-		w.wants[upstream] = want
+		w.demands[upstream] = want
 	}
-	want.Count = min(maxWanted, want.Count+1)
+	want.Count = min(maxDemandCount, want.Count+1)
 	want.Urgency = min(want.Urgency, urgency)
 }
 
-// DrainDemands returns what was wanted since the last call, in order.
+// DrainDemands returns and clears the pending demand, ordered by upstream.
 func (w *TokenStore) DrainDemands() []Demand {
-	list := make([]Demand, 0, len(w.wants))
-	for _, want := range w.wants {
+	list := make([]Demand, 0, len(w.demands))
+	for _, want := range w.demands {
 		list = append(list, *want)
 	}
-	clear(w.wants)
+	clear(w.demands)
 	slices.SortFunc(list, func(a, b Demand) int { return cmp.Compare(a.Upstream, b.Upstream) })
 	return list
 }
 
-// HasDemand reports whether anything is wanted.
-func (w *TokenStore) HasDemand() bool { return len(w.wants) > 0 }
+// HasDemand reports whether there is pending demand.
+func (w *TokenStore) HasDemand() bool { return len(w.demands) > 0 }
