--- a/core/prefix/prefix.go
+++ b/core/prefix/prefix.go
@@ -1,19 +1,19 @@
-// Package prefix names the prefixes of a prompt, so that routers and engines
-// mean the same thing when they speak of what a cache holds.
+// Package prefix computes the hashes that identify the prefixes of a prompt, so that routers and
+// engines refer to cached prefixes in the same way.
 package prefix
 
 import "github.com/cespare/xxhash/v2"
 
 const (
-	// BlockBytes is the length of one block of prompt text. A prefix is a whole
-	// number of blocks; 512 bytes are about 128 tokens of English.
+	// BlockBytes is the length of one block of prompt text. A prefix is a whole number of blocks;
+	// 512 bytes are about 128 tokens of English text.
 	BlockBytes = 512
-	// MaxBlocks bounds the prefixes named of one prompt.
+	// MaxBlocks bounds the number of prefixes hashed per prompt.
 	MaxBlocks = 64
 )
 
-// Hashes returns the names of all block-aligned prefixes of the prompt text,
-// longest first: each is the xxhash of the text up to the end of its block.
+// Hashes returns the hashes of all block-aligned prefixes of the prompt text, longest first. Each is
+// the xxhash of the text up to the end of its block.
 func Hashes(text []byte) []uint64 {
 	n := min(len(text)/BlockBytes, MaxBlocks)
 	out := make([]uint64, n)
