--- a/core/scale/planner.go
+++ b/core/scale/planner.go
@@ -5,145 +5,149 @@
 	"time"
 )
 
-// arriveFor is for how long after the last one came standard upstreams may still come that
-// nobody here has ordered: after a start of all, heartbeats take a second or more.
-const arriveFor = 1500 * time.Millisecond
+// registrationWindow is how long after the last new one further standard upstreams may register that
+// this instance did not order: after a full restart, heartbeats take a second or more.
+const registrationWindow = 1500 * time.Millisecond
 
-// lasting is for how long a demand must last for standard upstreams to be ordered for it:
-// they serve only after a boot, and one that is over by then is met by nobody.
-const lasting = 1500 * time.Millisecond
+// sustainedDemand is how long demand must last before standard upstreams are ordered for it: they
+// serve only after they have booted, too late for shorter demand.
+const sustainedDemand = 1500 * time.Millisecond
 
-// extraBoots is for how many boots standard upstreams stay that were ordered for want of
-// others: until they serve, and until the others have booted that took their places.
-const extraBoots = 2
+// substituteBoots is how many boot times standard upstreams are kept that were ordered as
+// substitutes for preemptible ones: one until they serve, and one until their replacements have
+// booted.
+const substituteBoots = 2
 
-// Planner plans for one service. It is not safe for concurrent use.
+// Planner plans the upstreams of one service. It is not safe for concurrent use.
 type Planner struct {
 	cfg   Config
-	level Level
-	// limits are how many preemptible upstreams domains can have that can't have more, had
-	// how many were ready at the last look.
-	limits, had map[string]int
-	// extra are the standard upstreams that were ordered for want of others, and chosen how
-	// many standard ones each domain was to have at the last look.
-	extra  peaks
-	chosen map[string]int
-	// needs are the latest needs, negated: the least of them is one that lasts.
-	needs peaks
-	// standard is the greatest number of standard upstreams, seen until arriving.
-	standard int
-	arriving time.Time
+	level LevelController
+	// preemptibleLimits holds the number of preemptible upstreams that a domain can have, for
+	// domains that cannot have more. lastReady holds the number that were ready at the previous
+	// call.
+	preemptibleLimits, lastReady map[string]int
+	// substitutes tracks the standard upstreams required in place of unavailable preemptible ones,
+	// and lastStandard holds the number of standard ones planned per domain at the previous call.
+	substitutes  slidingMax
+	lastStandard map[string]int
+	// negatedNeeds tracks the recent needs, negated: their maximum is the need that was sustained.
+	negatedNeeds slidingMax
+	// maxStandardSeen is the highest number of standard upstreams seen. Until registeringUntil,
+	// existing ones may still register.
+	maxStandardSeen  int
+	registeringUntil time.Time
 }
 
-// NewPlanner returns a planner that knows nothing.
+// NewPlanner returns a planner without any history.
 func NewPlanner(cfg Config) *Planner {
 	cfg.fill()
-	p := &Planner{cfg: cfg, limits: map[string]int{}, had: map[string]int{}, chosen: map[string]int{}}
+	p := &Planner{cfg: cfg, preemptibleLimits: map[string]int{}, lastReady: map[string]int{}, lastStandard: map[string]int{}}
 	p.level.cfg = &p.cfg
 	return p
 }
 
-// Refused notes that no more preemptible upstreams are to be had in a domain, until an order
-// of more is accepted.
-func (p *Planner) Refused(domain string) { p.limits[domain] = p.had[domain] }
+// Refused records that a domain has no more preemptible upstreams available, until an order for more
+// is accepted.
+func (p *Planner) Refused(domain string) { p.preemptibleLimits[domain] = p.lastReady[domain] }
 
-// Accepted notes that an order of so many was taken. One of no more than there are proves
-// nothing.
+// Accepted records that an order for count preemptible upstreams was accepted. An order for no more
+// than the ready ones does not show that there are more.
 func (p *Planner) Accepted(domain string, count int) {
-	if count > p.had[domain] {
-		delete(p.limits, domain)
+	if count > p.lastReady[domain] {
+		delete(p.preemptibleLimits, domain)
 	}
 }
 
-// Plan is what there should be.
+// Plan is the planned number of upstreams.
 type Plan struct {
-	// Level is how many upstreams should serve, MinServing the least with which the demand is
-	// borne for some seconds.
+	// Level is the number of upstreams that should serve, and MinServing the lowest number with
+	// which the demand can be served for some seconds.
 	Level, MinServing int
 	Targets           []Target
-	// Registering says that standard upstreams go on to show up that stood before: only what
-	// is given up for others that serve is to be ordered of them.
+	// Registering says that existing standard upstreams are still registering. Until they have,
+	// orders may only reduce standard upstreams, in favour of others that serve.
 	Registering bool
 }
 
-// Plan returns what there should be now.
+// Plan returns the plan for the current state of the service.
 func (p *Planner) Plan(now time.Time, s *Service) Plan {
-	p.watchArrivals(now, s)
+	p.detectRegistrations(now, s)
 	level := p.level.Next(now, s)
-	p.needs.note(now, -s.Need)
-	bearable := p.bearable(-p.needs.most(now.Add(-lasting)), level)
-	p.watchLosses(s)
-	rooms := spread(s, level, p.cfg.MinStandard, p.limits, p.chosen)
+	p.negatedNeeds.add(now, -s.Need)
+	minServing := p.minServing(-p.negatedNeeds.maxSince(now.Add(-sustainedDemand)), level)
+	p.detectLosses(s)
+	allocations := allocate(s, level, p.cfg.MinStandard, p.preemptibleLimits, p.lastStandard)
 	if s.PreemptiblePrice > 0 {
-		// The want of others comes and goes by the second; a standard upstream that was
-		// ordered serves only after its boot.
-		p.extra.note(now, float64(bearable-servingAll(rooms)))
-		addStandard(rooms, int(p.extra.most(now.Add(-extraBoots*s.BootTime))), p.chosen)
+		// The shortage of preemptible upstreams changes within seconds, while a standard upstream
+		// serves only after it has booted, so the maximum over some boot times applies.
+		p.substitutes.add(now, float64(minServing-totalServing(allocations)))
+		addStandard(allocations, int(p.substitutes.maxSince(now.Add(-substituteBoots*s.BootTime))), p.lastStandard)
 	}
-	keepServing(s, rooms, bearable)
-	limitComing(s, rooms, p.cfg.MaxPending)
-	plan := Plan{Level: level, MinServing: bearable, Registering: now.Before(p.arriving)}
-	for _, r := range rooms {
-		p.chosen[r.Name] = r.want.Standard
-		plan.Targets = append(plan.Targets, Target{Domain: r.Name, Counts: r.want})
+	retainServing(s, allocations, minServing)
+	limitPending(s, allocations, p.cfg.MaxPending)
+	plan := Plan{Level: level, MinServing: minServing, Registering: now.Before(p.registeringUntil)}
+	for _, r := range allocations {
+		p.lastStandard[r.Name] = r.target.Standard
+		plan.Targets = append(plan.Targets, Target{Domain: r.Name, Counts: r.target})
 	}
 	return plan
 }
 
-// bearable returns how many upstreams must serve at any time for a need that lasts, or what
-// stood at first as long as none is known.
-func (p *Planner) bearable(need float64, level int) int {
-	if !p.level.seen {
-		return min(level, p.standard)
+// minServing returns how many upstreams must serve at any time for a sustained need. While no need
+// is known, it returns the highest number of standard upstreams seen, up to the level.
+func (p *Planner) minServing(need float64, level int) int {
+	if !p.level.demandSeen {
+		return min(level, p.maxStandardSeen)
 	}
 	return min(level, int(math.Ceil(need/p.cfg.MaxUtilisation)))
 }
 
-// watchLosses notes which domains lose their preemptible upstreams: all at once, with a
-// notice of some seconds, in which others can be ordered.
-func (p *Planner) watchLosses(s *Service) {
+// detectLosses records the domains that lose their preemptible upstreams. All of a domain's are
+// reclaimed at once, with a notice of some seconds in which others can be ordered.
+func (p *Planner) detectLosses(s *Service) {
 	for i := range s.Domains {
 		d := &s.Domains[i]
-		if p.had[d.Name] > 0 && d.Ready.Preemptible == 0 && d.Leaving.Preemptible > 0 {
-			p.limits[d.Name] = 0
+		if p.lastReady[d.Name] > 0 && d.Ready.Preemptible == 0 && d.Leaving.Preemptible > 0 {
+			p.preemptibleLimits[d.Name] = 0
 		}
-		p.had[d.Name] = d.Ready.Preemptible
+		p.lastReady[d.Name] = d.Ready.Preemptible
 	}
 }
 
-// watchArrivals notes whether standard upstreams that stood before go on to show up.
-func (p *Planner) watchArrivals(now time.Time, s *Service) {
+// detectRegistrations records whether existing standard upstreams are still registering.
+func (p *Planner) detectRegistrations(now time.Time, s *Service) {
 	n := 0
 	for i := range s.Domains {
 		n += s.Domains[i].Ready.Standard
 	}
-	if n > p.standard && !p.level.seen || p.arriving.IsZero() {
-		p.arriving = now.Add(arriveFor)
+	if n > p.maxStandardSeen && !p.level.demandSeen || p.registeringUntil.IsZero() {
+		p.registeringUntil = now.Add(registrationWindow)
 	}
-	p.standard = max(p.standard, n)
+	p.maxStandardSeen = max(p.maxStandardSeen, n)
 }
 
-// keepServing puts off giving up standard upstreams until others serve in their place: what
-// is ordered takes some seconds to boot, or isn't to be had. Preemptible ones get the places
-// that are left meanwhile.
-func keepServing(s *Service, rooms []*room, needed int) {
-	surplus := s.standing() - needed
-	for _, r := range rooms {
-		give := max(0, min(r.Ready.Standard-r.want.Standard, surplus))
+// retainServing keeps standard upstreams until others serve in their place, because ordered ones
+// take seconds to boot or may be unavailable. Preemptible upstreams get the remaining places in the
+// meantime.
+func retainServing(s *Service, allocations []*allocation, needed int) {
+	surplus := s.ready() - needed
+	for _, r := range allocations {
+		give := max(0, min(r.Ready.Standard-r.target.Standard, surplus))
 		surplus -= give
-		r.want.Standard = max(r.want.Standard, r.Ready.Standard-give)
-		r.want.Preemptible = min(r.want.Preemptible, r.max-r.want.Standard)
+		r.target.Standard = max(r.target.Standard, r.Ready.Standard-give)
+		r.target.Preemptible = min(r.target.Preemptible, r.max-r.target.Standard)
 	}
 }
 
-// comingPart is which part of those that serve may always come at a time.
-const comingPart = 10
+// pendingDivisor sets the share of the serving upstreams, one in pendingDivisor, that may always be
+// pending.
+const pendingDivisor = 10
 
-// limitComing bounds how many more than serve are ordered in each domain, of each kind.
-func limitComing(s *Service, rooms []*room, coming int) {
-	part := max(coming, s.standing()/comingPart) / max(1, len(rooms))
-	for _, r := range rooms {
-		r.want.Standard = min(r.want.Standard, r.Ready.Standard+part)
-		r.want.Preemptible = min(r.want.Preemptible, r.Ready.Preemptible+part)
+// limitPending bounds the upstreams ordered in excess of the serving ones, per domain and kind.
+func limitPending(s *Service, allocations []*allocation, maxPending int) {
+	part := max(maxPending, s.ready()/pendingDivisor) / max(1, len(allocations))
+	for _, r := range allocations {
+		r.target.Standard = min(r.target.Standard, r.Ready.Standard+part)
+		r.target.Preemptible = min(r.target.Preemptible, r.Ready.Preemptible+part)
 	}
 }
--- a/core/scale/scale_test.go
+++ b/core/scale/scale_test.go
@@ -14,7 +14,7 @@
 
 func at(seconds float64) time.Time { return origin.Add(time.Duration(seconds * float64(time.Second))) }
 
-// service is one in three domains with unlike prices.
+// service returns a service in three domains with different prices.
 func service(standard, preemptible int, need float64) *scale.Service {
 	s := &scale.Service{Name: "s", Min: 1, Max: 60, BootTime: 4 * time.Second, PreemptiblePrice: 0.22, Need: need, Known: true}
 	for i, name := range []string{"a", "b", "c"} {
@@ -33,15 +33,15 @@
 	return c
 }
 
-// A deployment starts with expensive upstreams and nobody calls yet. They are given up for
-// others only when these serve: a caller that comes meanwhile finds as many as before.
-func TestWhatStandsIsHeldUntilOthersServe(t *testing.T) {
+// Guards against giving up expensive upstreams before their replacements serve: after the start
+// without any requests yet, the first caller must find as much capacity as before.
+func TestKeepsUpstreamsUntilReplacementsServe(t *testing.T) {
 	g := NewWithT(t)
 	p := scale.NewPlanner(scale.Config{})
 	plan := p.Plan(at(0), service(10, 0, 0))
-	g.Expect(plan.Registering).To(BeTrue(), "more may show up")
+	g.Expect(plan.Registering).To(BeTrue(), "more may register")
 	plan = p.Plan(at(1), service(30, 0, 0))
-	g.Expect(plan.Level).To(Equal(180), "nobody knows what will come")
+	g.Expect(plan.Level).To(Equal(180), "the demand is not known yet")
 	g.Expect(sum(&plan)).To(Equal(scale.Counts{Standard: 90, Preemptible: 90}))
 	plan = p.Plan(at(4), service(30, 15, 0))
 	g.Expect(plan.Registering).To(BeFalse())
@@ -50,9 +50,9 @@
 	g.Expect(sum(&plan)).To(Equal(scale.Counts{Standard: 3, Preemptible: 177}))
 }
 
-// The instance that orders is another one than before, or has started anew. It must not
-// give up what stands because it knows nothing of the demand yet.
-func TestANewHolderGivesNothingUp(t *testing.T) {
+// After a restart or a change of the instance that orders, existing upstreams must be kept, although
+// the demand is not known yet.
+func TestNewPlannerKeepsExistingUpstreams(t *testing.T) {
 	g := NewWithT(t)
 	p := scale.NewPlanner(scale.Config{})
 	for i := range 100 {
@@ -63,11 +63,11 @@
 	blind := service(1, 40, 0)
 	blind.Known = false
 	plan := p.Plan(at(0), blind)
-	g.Expect(plan.Level).To(Equal(180), "in doubt there are more")
+	g.Expect(plan.Level).To(Equal(180), "starts with the maximum")
 }
 
-// News of the demand stop, as when the instances are cut off. Nothing is given up.
-func TestWithoutNewsTheLevelIsHeld(t *testing.T) {
+// While the demand is unknown, for example because instances are cut off, the level is held.
+func TestUnknownDemandHoldsLevel(t *testing.T) {
 	g := NewWithT(t)
 	p := scale.NewPlanner(scale.Config{})
 	for i := range 400 {
@@ -81,9 +81,9 @@
 	}
 }
 
-// A deployment has a thousand upstreams a domain, and all are to be exchanged for others. Were
-// all ordered at once, the control group would hear from twice as many upstreams, and tell
-// thousands of changes to hundreds of instances: these lost touch with it and refused callers.
+// Guards against exchanging all upstreams of a large deployment at once: twice as many would report
+// to the control group, and thousands of changes would be announced to hundreds of instances, which
+// lost contact and refused requests when this happened.
 func TestManyUpstreamsComeInParts(t *testing.T) {
 	g := NewWithT(t)
 	p := scale.NewPlanner(scale.Config{})
@@ -100,19 +100,19 @@
 		}
 		for d := range s.Domains {
 			ready, want := &s.Domains[d].Ready, plan.Targets[d]
-			g.Expect(want.Preemptible-ready.Preemptible).To(BeNumerically("<=", 140), "at a time, in a domain")
+			g.Expect(want.Preemptible-ready.Preemptible).To(BeNumerically("<=", 140), "pending at a time in a domain")
 			*ready = want.Counts
 		}
 	}
 	plan := p.Plan(at(301), s)
 	g.Expect(plan.Level).To(Equal(4000))
-	g.Expect(sum(&plan).Standard).To(Equal(3), "all are exchanged in the end")
+	g.Expect(sum(&plan).Standard).To(Equal(3), "all are replaced eventually")
 	g.Expect(most).To(BeNumerically(">", 3900))
 }
 
-// Demand triples within a second and falls again. Upstreams are ordered at once, and given
-// back slowly: the next burst mostly comes soon.
-func TestTheLevelGrowsAtOnceAndFallsSlowly(t *testing.T) {
+// The demand triples within a second and falls again. Upstreams are ordered immediately and released
+// slowly, because the next burst usually follows soon.
+func TestLevelRisesImmediatelyAndFallsSlowly(t *testing.T) {
 	g := NewWithT(t)
 	p := scale.NewPlanner(scale.Config{})
 	for i := range 4000 {
@@ -125,10 +125,10 @@
 	g.Expect(level).To(And(BeNumerically(">", 40), BeNumerically("<", 120)))
 }
 
-// All preemptible upstreams of a domain are taken back, with two seconds' notice. The others
-// get more at the notice; what can't be had as preemptible ones is ordered as standard ones
-// only as far as the demand could not be borne else.
-func TestALossIsMadeUpForAtTheNotice(t *testing.T) {
+// All preemptible upstreams of a domain are reclaimed with two seconds' notice. The other domains
+// get more at the notice. Standard ones replace unavailable preemptible ones only as far as the
+// demand requires.
+func TestReplacesReclaimedUpstreamsAtNotice(t *testing.T) {
 	g := NewWithT(t)
 	p := scale.NewPlanner(scale.Config{})
 	for i := range 400 {
@@ -137,29 +137,29 @@
 	lost := service(1, 20, 30)
 	lost.Domains[0].Ready.Preemptible, lost.Domains[0].Leaving.Preemptible = 0, 20
 	plan := p.Plan(at(100), lost)
-	g.Expect(plan.Targets[0].Preemptible).To(BeNumerically(">=", 19), "it goes on to want its own")
+	g.Expect(plan.Targets[0].Preemptible).To(BeNumerically(">=", 19), "the domain's own target is kept")
 	g.Expect(plan.Targets[1].Preemptible).To(BeNumerically(">=", 28))
 	g.Expect(plan.Targets[2].Preemptible).To(BeNumerically(">=", 28))
 	g.Expect(sum(&plan).Standard).To(Equal(3))
-	// Nobody has any more: what there is has to bear 30, and does.
+	// No domain has more available; the remaining upstreams suffice for a need of 30.
 	p.Refused("b")
 	p.Refused("c")
 	plan = p.Plan(at(100.5), lost)
 	g.Expect(sum(&plan).Standard).To(Equal(3))
 	lost.Need = 60
 	plan = p.Plan(at(100.75), lost)
-	g.Expect(sum(&plan).Standard).To(Equal(3), "it may be over before others serve")
+	g.Expect(sum(&plan).Standard).To(Equal(3), "the demand may end before others serve")
 	plan = p.Plan(at(102.25), lost)
 	g.Expect(sum(&plan).Standard).To(Equal(20), "60 are needed, 40 preemptible ones are left")
-	g.Expect(plan.Targets[0].Standard).To(Equal(18), "the cheapest domain has places")
+	g.Expect(plan.Targets[0].Standard).To(Equal(18), "the cheapest domain has free places")
 	lost.Need = 30
 	plan = p.Plan(at(104), lost)
-	g.Expect(plan.Targets[0].Standard).To(Equal(18), "what boots is not given up for a moment's calm")
+	g.Expect(plan.Targets[0].Standard).To(Equal(18), "booting upstreams survive a brief lull")
 }
 
-// An order of more was refused, and one of as many as there are is accepted: that proves
-// nothing about more.
-func TestARefusalHoldsUntilMoreWasHad(t *testing.T) {
+// After a refusal of a larger order, the acceptance of an order for the existing number does not
+// show that there are more.
+func TestRefusalAppliesUntilLargerOrderIsAccepted(t *testing.T) {
 	g := NewWithT(t)
 	p := scale.NewPlanner(scale.Config{})
 	for i := range 400 {
@@ -175,7 +175,7 @@
 	g.Expect(sum(&plan).Total()).To(Equal(90))
 }
 
-// Where there are no preemptible upstreams, standard ones follow the demand.
+// Without preemptible upstreams, standard ones follow the demand.
 func TestWithoutPreemptibleOnes(t *testing.T) {
 	g := NewWithT(t)
 	p := scale.NewPlanner(scale.Config{})
@@ -186,8 +186,9 @@
 	g.Expect(sum(&plan)).To(Equal(scale.Counts{Standard: 80}))
 }
 
-// Whatever is told, orders stay within the limits, and never give up what the demand needs.
-func TestOrdersStayWithinTheLimits(t *testing.T) {
+// Orders must stay within the limits and keep the upstreams that the demand requires, whatever the
+// input.
+func TestOrdersStayWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := scale.NewPlanner(scale.Config{})
 		now := 0.0
@@ -217,7 +218,7 @@
 				gives += max(0, s.Domains[i].Ready.Standard-w.Standard)
 			}
 			if gives > 0 && ready-gives < plan.MinServing {
-				t.Fatalf("%d of %d given up, %d must serve", gives, ready, plan.MinServing)
+				t.Fatalf("%d of %d released, %d must serve", gives, ready, plan.MinServing)
 			}
 		}
 	})
--- a/core/scale/sim_test.go
+++ b/core/scale/sim_test.go
@@ -7,17 +7,17 @@
 	"github.com/comfreyladder/comfreyladder/core/scale"
 )
 
-// fleet is upstreams that boot, serve and are taken back, in steps of tick.
-type fleet struct {
+// simulation simulates upstreams that boot, serve and are reclaimed, in steps of tick.
+type simulation struct {
 	s    *scale.Service
 	now  float64
 	boot [3][]booting
-	// lost is until when a domain has no preemptible upstreams; dry until when nobody can
-	// have more.
-	lost [3]float64
-	dry  float64
-	// cost is in prices of a standard upstream for a second; unmet and asked are in upstreams
-	// for a second.
+	// reclaimedUntil is until when a domain has no preemptible upstreams, exhaustedUntil until when
+	// no domain can have more.
+	reclaimedUntil [3]float64
+	exhaustedUntil float64
+	// cost is in price units of a standard upstream per second; unmet and asked are in
+	// upstream-seconds.
 	cost, unmet, asked float64
 }
 
@@ -26,23 +26,25 @@
 	preemptible bool
 }
 
+// tick is the step of the simulation in seconds.
 const tick = 0.25
 
-func newFleet() *fleet { return &fleet{s: service(30, 0, 0)} }
+func newSimulation() *simulation { return &simulation{s: service(30, 0, 0)} }
 
 // reclaim takes back the preemptible upstreams of a domain for some seconds.
-func (f *fleet) reclaim(domain int, seconds float64, dry bool) {
-	f.lost[domain] = f.now + seconds
+func (f *simulation) reclaim(domain int, seconds float64, dry bool) {
+	f.reclaimedUntil[domain] = f.now + seconds
 	f.s.Domains[domain].Leaving.Preemptible = f.s.Domains[domain].Ready.Preemptible
 	f.s.Domains[domain].Ready.Preemptible = 0
 	f.boot[domain] = nil
 	if dry {
-		f.dry = f.now + seconds
+		f.exhaustedUntil = f.now + seconds
 	}
 }
 
-// order brings a kind of a domain to a count; false means that there are none.
-func (f *fleet) order(domain int, preemptible bool, count int) bool {
+// order changes the upstreams of one kind in a domain to the given number. It returns false if no
+// more are available.
+func (f *simulation) order(domain int, preemptible bool, count int) bool {
 	d := &f.s.Domains[domain]
 	have := &d.Ready.Standard
 	if preemptible {
@@ -54,7 +56,7 @@
 			coming++
 		}
 	}
-	if preemptible && count > *have+coming && (f.now < f.lost[domain] || f.now < f.dry) {
+	if preemptible && count > *have+coming && (f.now < f.reclaimedUntil[domain] || f.now < f.exhaustedUntil) {
 		return false
 	}
 	for ; coming+*have < count; coming++ {
@@ -64,14 +66,14 @@
 	return true
 }
 
-// step lets time pass with a demand.
-func (f *fleet) step(need float64) {
+// step advances the simulation by one tick with the given need.
+func (f *simulation) step(need float64) {
 	f.now += tick
 	f.s.Need = need
 	ready := 0
 	for i := range f.s.Domains {
 		d := &f.s.Domains[i]
-		if f.now >= f.lost[i] {
+		if f.now >= f.reclaimedUntil[i] {
 			d.Leaving.Preemptible = 0
 		}
 		var left []booting
@@ -93,8 +95,8 @@
 	f.unmet += tick * max(0, need-float64(ready))
 }
 
-// demand is a day of ten minutes: two bursts to three times the usual one minute apart, and
-// calm before and after.
+// demand is a day compressed to ten minutes: two bursts of three times the usual load, one minute
+// apart, with low load before and after.
 func demand(t float64) float64 {
 	switch {
 	case t < 14:
@@ -107,9 +109,10 @@
 	return 36
 }
 
-// day plays the demand with two reclaims, of which one leaves none to be had anywhere.
-func day(act func(f *fleet)) *fleet {
-	f := newFleet()
+// simulateDay simulates the demand with two reclaims, the second of which leaves no domain with more
+// available.
+func simulateDay(act func(f *simulation)) *simulation {
+	f := newSimulation()
 	for f.now < 600 {
 		switch f.now {
 		case 66:
@@ -123,8 +126,8 @@
 	return f
 }
 
-func fixed(standard, preemptible int) func(*fleet) {
-	return func(f *fleet) {
+func fixed(standard, preemptible int) func(*simulation) {
+	return func(f *simulation) {
 		for i := range f.s.Domains {
 			f.order(i, false, standard)
 			f.order(i, true, preemptible)
@@ -132,9 +135,9 @@
 	}
 }
 
-// planned carries out what a planner plans.
-func planned(p *scale.Planner) func(*fleet) {
-	return func(f *fleet) {
+// planned executes the plans of a planner.
+func planned(p *scale.Planner) func(*simulation) {
+	return func(f *simulation) {
 		now := origin.Add(time.Duration(f.now * float64(time.Second)))
 		plan := p.Plan(now, f.s)
 		for i, w := range plan.Targets {
@@ -150,25 +153,25 @@
 	}
 }
 
-// Numbers that are fixed are too few in a burst, or paid for all day. What follows the load
-// serves as much as the greatest fixed number, at less cost than any that serves nearly as
-// much, through the loss of a domain's preemptible upstreams in the middle of a burst.
+// A fixed number of upstreams is too low in a burst or paid for all day. The planner must serve as
+// much as the largest fixed number, at less cost than any fixed number that serves nearly as much,
+// even when a domain's preemptible upstreams are reclaimed during a burst.
 func TestFollowingTheLoadBeatsFixedNumbers(t *testing.T) {
-	follows := day(planned(scale.NewPlanner(scale.Config{})))
-	stands := day(fixed(30, 0))
-	report := func(name string, f *fleet) {
+	follows := simulateDay(planned(scale.NewPlanner(scale.Config{})))
+	stands := simulateDay(fixed(30, 0))
+	report := func(name string, f *simulation) {
 		t.Logf("%-24s unmet %5.2f%% cost %7.0f", name, 100*f.unmet/f.asked, f.cost)
 	}
-	report("as it stands, 30 + 0", stands)
+	report("initial, 30 + 0", stands)
 	report("following the load", follows)
 	if follows.unmet > 0.002*follows.asked {
 		t.Errorf("%.2f%% of the demand was not met", 100*follows.unmet/follows.asked)
 	}
 	if follows.cost > 0.4*stands.cost {
-		t.Errorf("cost %.0f, as it stands %.0f", follows.cost, stands.cost)
+		t.Errorf("cost %.0f, initial deployment %.0f", follows.cost, stands.cost)
 	}
 	for _, mix := range [][2]int{{1, 20}, {1, 30}, {10, 40}, {1, 45}, {1, 59}} {
-		f := day(fixed(mix[0], mix[1]))
+		f := simulateDay(fixed(mix[0], mix[1]))
 		report("fixed", f)
 		if f.unmet <= follows.unmet*1.05 && f.cost < follows.cost {
 			t.Errorf("%d + %d serves as much (%.0f not met, %.0f) at less cost (%.0f, %.0f)", mix[0], mix[1], f.unmet, follows.unmet, f.cost, follows.cost)
--- a/core/scale/spread.go
+++ b/core/scale/spread.go
@@ -5,85 +5,86 @@
 	"slices"
 )
 
-// room is what may be ordered in one domain, and what is.
-type room struct {
+// allocation is the plan for one domain, with its limits.
+type allocation struct {
 	*Domain
 	max int
-	// limited says that no more than have preemptible upstreams are to be had now.
-	limited bool
-	have    int
-	want    Counts
+	// limited says that no more than available preemptible upstreams can be had at present.
+	limited   bool
+	available int
+	target    Counts
 }
 
-// left is how many more upstreams fit.
-func (r *room) left() int { return r.max - r.want.Total() }
+// free returns how many more upstreams fit.
+func (r *allocation) free() int { return r.max - r.target.Total() }
 
-// serving is how many upstreams will serve if what is wanted is ordered.
-func (r *room) serving() int {
+// serving returns how many upstreams will serve if the target is ordered.
+func (r *allocation) serving() int {
 	if r.limited {
-		return r.want.Standard + min(r.have, r.want.Preemptible)
+		return r.target.Standard + min(r.available, r.target.Preemptible)
 	}
-	return r.want.Total()
+	return r.target.Total()
 }
 
-func servingAll(rooms []*room) (n int) {
-	for _, r := range rooms {
+// totalServing returns how many upstreams will serve in all domains.
+func totalServing(allocations []*allocation) (n int) {
+	for _, r := range allocations {
 		n += r.serving()
 	}
 	return n
 }
 
-// spread lays out count upstreams: preemptible ones, spread evenly, so that the loss of a
-// domain's costs as little as can be, beside base standard ones in each. Where preemptible
-// ones are not to be had in a domain, the others get more; that domain goes on wanting its
-// part, as nobody says when there are some again. limits tells how many preemptible ones
-// domains can have that can't have more, chosen how many standard ones they had so far.
-func spread(s *Service, count, base int, limits, chosen map[string]int) []*room {
-	rooms := make([]*room, 0, len(s.Domains))
+// allocate distributes count upstreams over the domains: base standard ones in each, and the rest
+// preemptible, spread evenly to limit the loss when a domain's are reclaimed. Where a domain has no
+// more preemptible ones available, the others get more. Its target is not reduced, because only an
+// order shows whether there are some again. limits holds the available number of preemptible
+// upstreams for domains that cannot have more, lastStandard the previously planned standard ones.
+func allocate(s *Service, count, base int, limits, lastStandard map[string]int) []*allocation {
+	allocations := make([]*allocation, 0, len(s.Domains))
 	for i := range s.Domains {
-		r := &room{Domain: &s.Domains[i], max: s.Max}
-		r.have, r.limited = limits[r.Name]
-		r.want.Standard = min(max(base, s.Min), s.Max)
-		rooms = append(rooms, r)
+		r := &allocation{Domain: &s.Domains[i], max: s.Max}
+		r.available, r.limited = limits[r.Name]
+		r.target.Standard = min(max(base, s.Min), s.Max)
+		allocations = append(allocations, r)
 	}
 	if s.PreemptiblePrice <= 0 {
-		addStandard(rooms, count-servingAll(rooms), chosen)
-		return rooms
+		addStandard(allocations, count-totalServing(allocations), lastStandard)
+		return allocations
 	}
-	left := count - servingAll(rooms)
-	for i, r := range rooms {
-		part := (left + len(rooms) - i - 1) / (len(rooms) - i)
-		r.want.Preemptible = max(0, min(part, r.left()))
-		left -= r.want.Preemptible
+	left := count - totalServing(allocations)
+	for i, r := range allocations {
+		part := (left + len(allocations) - i - 1) / (len(allocations) - i)
+		r.target.Preemptible = max(0, min(part, r.free()))
+		left -= r.target.Preemptible
 	}
-	addPreemptible(rooms, count-servingAll(rooms))
-	return rooms
+	addPreemptible(allocations, count-totalServing(allocations))
+	return allocations
 }
 
-// addPreemptible adds so many where they are to be had, to the domains with fewest first.
-func addPreemptible(rooms []*room, count int) {
+// addPreemptible adds preemptible upstreams where they are available, to the domains with the fewest
+// first.
+func addPreemptible(allocations []*allocation, count int) {
 	for ; count > 0; count-- {
-		var best *room
-		for _, r := range rooms {
-			if !r.limited && r.left() > 0 && (best == nil || r.want.Preemptible < best.want.Preemptible) {
+		var best *allocation
+		for _, r := range allocations {
+			if !r.limited && r.free() > 0 && (best == nil || r.target.Preemptible < best.target.Preemptible) {
 				best = r
 			}
 		}
 		if best == nil {
 			return
 		}
-		best.want.Preemptible++
+		best.target.Preemptible++
 	}
 }
 
-// addStandard adds so many standard upstreams: first where some were chosen before, so that
-// what boots is not given up for others, then the cheapest first. They take the places of
-// preemptible ones that are not to be had, but for one: whether there are some again shows
-// only by an order.
-func addStandard(rooms []*room, count int, chosen map[string]int) {
-	order := slices.Clone(rooms)
-	slices.SortFunc(order, func(a, b *room) int {
-		return cmp.Or(cmp.Compare(chosen[b.Name], chosen[a.Name]), cmp.Compare(a.Price, b.Price), cmp.Compare(a.Name, b.Name))
+// addStandard adds standard upstreams: first to domains that had some planned before, so that
+// booting ones are not given up for others, then to the cheapest. They replace unavailable
+// preemptible ones except for one, whose order shows whether there are some again.
+func addStandard(allocations []*allocation, count int, lastStandard map[string]int) {
+	order := slices.Clone(allocations)
+	slices.SortFunc(order, func(a, b *allocation) int {
+		return cmp.Or(cmp.Compare(lastStandard[b.Name], lastStandard[a.Name]), cmp.Compare(a.Price, b.Price), cmp.Compare(a.Name, b.Name))
 	})
 	for _, r := range order {
 		places := r.max - r.serving()
@@ -91,8 +92,8 @@
 			places--
 		}
 		n := max(0, min(count, places))
-		r.want.Standard += n
-		r.want.Preemptible = min(r.want.Preemptible, r.max-r.want.Standard)
+		r.target.Standard += n
+		r.target.Preemptible = min(r.target.Preemptible, r.max-r.target.Standard)
 		count -= n
 	}
 }
