--- a/core/balance/demand.go
+++ b/core/balance/demand.go
@@ -20,10 +20,10 @@
 	list := make([]routeDemand, 0, len(loads))
 	for name, l := range loads {
 		c := routeDemand{name: name, rank: l.Rank, quick: quick(&l, most)}
-		c.minimum = e.enginesFor(l.Unread+decodeCostTokens*l.Requests, l.SlotTime)
+		c.minimum = e.enginesFor(l.UncachedTokens+decodeCostTokens*l.Requests, l.SlotTime)
 		c.comfortable = c.minimum
 		if c.quick {
-			c.comfortable = e.enginesFor(quickPrefillHeadroom*l.Unread+decodeCostTokens*l.Requests, quickSlotHeadroom*l.SlotTime)
+			c.comfortable = e.enginesFor(quickPrefillHeadroom*l.UncachedTokens+decodeCostTokens*l.Requests, quickSlotHeadroom*l.SlotTime)
 		}
 		list = append(list, c)
 	}
--- a/core/balance/pools.go
+++ b/core/balance/pools.go
@@ -54,9 +54,9 @@
 
 // RouteLoad is the load of one route, as seen by one instance or summed over several.
 type RouteLoad struct {
-	// Tokens counts prompt tokens, Unread those that needed prefill, and Requests the requests. All
+	// Tokens counts prompt tokens, UncachedTokens those that needed prefill, and Requests the requests. All
 	// are sums that decay with loadWindow.
-	Tokens, Unread, Requests float64
+	Tokens, UncachedTokens, Requests float64
 	// SlotTime is the time for which requests hold slots, in seconds; it decays with loadWindow.
 	SlotTime float64
 	// Recent is the work in prompt tokens and RecentSlots the slot time in seconds, both decaying
@@ -145,7 +145,7 @@
 		p.local[o.Route] = l
 	}
 	l.Tokens += float64(o.Tokens)
-	l.Unread += float64(o.Unread)
+	l.UncachedTokens += float64(o.Unread)
 	l.Requests++
 	l.SlotTime += o.SlotTime.Seconds()
 	l.Recent += float64(o.Unread) + decodeCostTokens
@@ -169,7 +169,7 @@
 		l.RecentSlots *= fast
 		l.RecentCached *= fast
 		l.Tokens *= f
-		l.Unread *= f
+		l.UncachedTokens *= f
 		l.SlotTime *= f
 		l.Requests *= f
 		if l.Requests < 0.01 {
@@ -199,7 +199,7 @@
 	for name, l := range p.local {
 		s := sum[name]
 		s.Tokens += l.Tokens
-		s.Unread += l.Unread
+		s.UncachedTokens += l.UncachedTokens
 		s.Requests += l.Requests
 		s.SlotTime += l.SlotTime
 		s.Recent += l.Recent
@@ -280,16 +280,16 @@
 // resize returns the size of the quick pool. It moves halfway towards the target at a time and
 // ignores small deviations, because an upstream that changes pools loses its cached prompts.
 func (p *Pools) resize(now time.Time, upstreams int) int {
-	ideal := p.share * float64(upstreams)
+	target := p.share * float64(upstreams)
 	if p.count == 0 || p.count >= upstreams {
-		p.count, p.moved = clamp(int(math.Round(ideal)), upstreams), now
+		p.count, p.moved = clamp(int(math.Round(target)), upstreams), now
 		return p.count
 	}
-	off := ideal - float64(p.count)
-	if math.Abs(off) > max(minResize, minResizeShare*float64(upstreams)) && now.Sub(p.moved) > resizeInterval {
-		step := int(math.Round(off / 2))
+	deviation := target - float64(p.count)
+	if math.Abs(deviation) > max(minResize, minResizeShare*float64(upstreams)) && now.Sub(p.moved) > resizeInterval {
+		step := int(math.Round(deviation / 2))
 		if step == 0 {
-			step = int(math.Copysign(1, off))
+			step = int(math.Copysign(1, deviation))
 		}
 		p.count, p.moved = clamp(p.count+step, upstreams), now
 	}
--- a/instance/serving/work.go
+++ b/instance/serving/work.go
@@ -57,7 +57,7 @@
 // RouteLoadOf returns a load in the form in which it travels.
 func RouteLoadOf(service, route string, l *balance.RouteLoad, perMS float64) RouteLoad {
 	return RouteLoad{
-		Service: service, Route: route, Tokens: int(l.Tokens), Unread: int(l.Unread), Requests: int(l.Requests * requestUnit), Recent: int(l.Recent),
+		Service: service, Route: route, Tokens: int(l.Tokens), Unread: int(l.UncachedTokens), Requests: int(l.Requests * requestUnit), Recent: int(l.Recent),
 		SlotTime: int(l.SlotTime * millis), RecentSlots: int(l.RecentSlots * millis),
 		RecentCached: int(l.RecentCached), Gap: int(l.Gap.Milliseconds()), Rank: int(l.Rank * hundredths), PerMS: int(perMS * hundredths),
 	}
@@ -66,7 +66,7 @@
 // Load returns the load that was told.
 func (l *RouteLoad) Load() balance.RouteLoad {
 	return balance.RouteLoad{
-		Tokens: float64(l.Tokens), Unread: float64(l.Unread), Requests: float64(l.Requests) / requestUnit, Recent: float64(l.Recent),
+		Tokens: float64(l.Tokens), UncachedTokens: float64(l.Unread), Requests: float64(l.Requests) / requestUnit, Recent: float64(l.Recent),
 		SlotTime: float64(l.SlotTime) / millis, RecentSlots: float64(l.RecentSlots) / millis,
 		RecentCached: float64(l.RecentCached), Gap: time.Duration(l.Gap) * time.Millisecond, Rank: float64(l.Rank) / hundredths,
 	}
