--- a/core/balance/pools.go
+++ b/core/balance/pools.go
@@ -124,8 +124,8 @@
 // Offer is an incoming request, whether or not it is admitted.
 type Offer struct {
 	Route string
-	// Tokens is the length of its prompt, and Unread the number of those tokens that need prefill.
-	Tokens, Unread int
+	// Tokens is the length of its prompt, and UncachedTokens the number of those tokens that need prefill.
+	Tokens, UncachedTokens int
 	// Cached says that its upstream has the shared tokens cached or can fetch them.
 	Cached bool
 	// SlotTime is how long it is expected to hold a slot.
@@ -145,13 +145,13 @@
 		p.local[o.Route] = l
 	}
 	l.Tokens += float64(o.Tokens)
-	l.UncachedTokens += float64(o.Unread)
+	l.UncachedTokens += float64(o.UncachedTokens)
 	l.Requests++
 	l.SlotTime += o.SlotTime.Seconds()
-	l.Recent += float64(o.Unread) + decodeCostTokens
+	l.Recent += float64(o.UncachedTokens) + decodeCostTokens
 	l.RecentSlots += o.SlotTime.Seconds()
 	if o.Cached {
-		l.RecentCached += float64(o.Unread) + decodeCostTokens
+		l.RecentCached += float64(o.UncachedTokens) + decodeCostTokens
 	}
 	l.Gap, l.Rank = o.Gap, o.Rank
 	p.updateShare()
--- a/instance/relay/split.go
+++ b/instance/relay/split.go
@@ -92,7 +92,7 @@
 	p := f.pools[r.service]
 	o := r.offer()
 	chosen := &f.scratch[c.Index]
-	o.Unread = int(balance.UncachedTokens(chosen, q))
+	o.UncachedTokens = int(balance.UncachedTokens(chosen, q))
 	o.Cached = chosen.Fetchable || chosen.CachedShare > 0 || r.shared == 0
 	o.SlotTime = f.pace(r.service).route(r.route.Name).Duration()
 	p.Record(now, &o)
