--- a/core/balance/pools.go
+++ b/core/balance/pools.go
@@ -63,8 +63,8 @@
 	// with admitWindow. RecentCached is the part of Recent from requests whose shared tokens are
 	// cached at their upstream.
 	Recent, RecentSlots, RecentCached float64
-	// Gap is the longest pause between events that the route permits; zero if not declared.
-	Gap time.Duration
+	// MaxPause is the longest pause between events that the route permits; zero if not declared.
+	MaxPause time.Duration
 	// Rank is the urgency of the route: 0 for the most urgent routes, 1 for the least.
 	Rank float64
 }
@@ -153,7 +153,7 @@
 	if o.Cached {
 		l.RecentCached += float64(o.UncachedTokens) + decodeCostTokens
 	}
-	l.Gap, l.Rank = o.Gap, o.Rank
+	l.MaxPause, l.Rank = o.Gap, o.Rank
 	p.updateShare()
 }
 
@@ -205,7 +205,7 @@
 		s.Recent += l.Recent
 		s.RecentSlots += l.RecentSlots
 		s.RecentCached += l.RecentCached
-		s.Gap, s.Rank = l.Gap, l.Rank
+		s.MaxPause, s.Rank = l.MaxPause, l.Rank
 		sum[name] = s
 	}
 	return sum
@@ -239,7 +239,7 @@
 }
 
 func quick(l *RouteLoad, longest float64) bool {
-	return l.Gap > 0 && l.Tokens/l.Requests < quickShare*longest
+	return l.MaxPause > 0 && l.Tokens/l.Requests < quickShare*longest
 }
 
 func totalRequests(loads map[string]RouteLoad) float64 {
--- a/core/balance/pools_test.go
+++ b/core/balance/pools_test.go
@@ -66,7 +66,7 @@
 func TestResidueOfSumIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	p, _ := poolsWithLoad(time.Unix(100, 0), 20, 20)
-	p.SetRemoteLoads(map[string]balance.RouteLoad{"rest": {Tokens: 60_000, Requests: 0.001, Gap: time.Second}})
+	p.SetRemoteLoads(map[string]balance.RouteLoad{"rest": {Tokens: 60_000, Requests: 0.001, MaxPause: time.Second}})
 	g.Expect(p.Quick(&report, 50)).To(BeFalse())
 	g.Expect(p.Quick(&question, 50)).To(BeTrue())
 }
--- a/instance/serving/work.go
+++ b/instance/serving/work.go
@@ -59,7 +59,7 @@
 	return RouteLoad{
 		Service: service, Route: route, Tokens: int(l.Tokens), Unread: int(l.UncachedTokens), Requests: int(l.Requests * requestUnit), Recent: int(l.Recent),
 		SlotTime: int(l.SlotTime * millis), RecentSlots: int(l.RecentSlots * millis),
-		RecentCached: int(l.RecentCached), Gap: int(l.Gap.Milliseconds()), Rank: int(l.Rank * hundredths), PerMS: int(perMS * hundredths),
+		RecentCached: int(l.RecentCached), Gap: int(l.MaxPause.Milliseconds()), Rank: int(l.Rank * hundredths), PerMS: int(perMS * hundredths),
 	}
 }
 
@@ -68,7 +68,7 @@
 	return balance.RouteLoad{
 		Tokens: float64(l.Tokens), UncachedTokens: float64(l.Unread), Requests: float64(l.Requests) / requestUnit, Recent: float64(l.Recent),
 		SlotTime: float64(l.SlotTime) / millis, RecentSlots: float64(l.RecentSlots) / millis,
-		RecentCached: float64(l.RecentCached), Gap: time.Duration(l.Gap) * time.Millisecond, Rank: float64(l.Rank) / hundredths,
+		RecentCached: float64(l.RecentCached), MaxPause: time.Duration(l.Gap) * time.Millisecond, Rank: float64(l.Rank) / hundredths,
 	}
 }
 
