--- a/core/balance/demand_test.go
+++ b/core/balance/demand_test.go
@@ -11,9 +11,9 @@
 )
 
 var (
-	longReport   = balance.Offer{Route: "report", Tokens: 12_000, UncachedTokens: 6600, SlotTime: 2 * time.Second, Gap: 600 * time.Millisecond, Rank: 1}
-	longQuestion = balance.Offer{Route: "question", Tokens: 800, UncachedTokens: 600, SlotTime: time.Second, Gap: 150 * time.Millisecond}
-	check        = balance.Offer{Route: "check", Tokens: 2400, UncachedTokens: 1800, SlotTime: 100 * time.Millisecond, Gap: 250 * time.Millisecond}
+	longReport   = balance.Offer{Route: "report", Tokens: 12_000, UncachedTokens: 6600, SlotTime: 2 * time.Second, MaxPause: 600 * time.Millisecond, Rank: 1}
+	longQuestion = balance.Offer{Route: "question", Tokens: 800, UncachedTokens: 600, SlotTime: time.Second, MaxPause: 150 * time.Millisecond}
+	check        = balance.Offer{Route: "check", Tokens: 2400, UncachedTokens: 1800, SlotTime: 100 * time.Millisecond, MaxPause: 250 * time.Millisecond}
 )
 
 // simulateSteadyLoad simulates a steady load of the given numbers of reports and quick requests per
--- a/core/balance/pools.go
+++ b/core/balance/pools.go
@@ -130,8 +130,8 @@
 	Cached bool
 	// SlotTime is how long it is expected to hold a slot.
 	SlotTime time.Duration
-	// Gap is the longest pause between events that it permits; zero if not declared.
-	Gap time.Duration
+	// MaxPause is the longest pause between events that it permits; zero if not declared.
+	MaxPause time.Duration
 	// Rank is the urgency of its route: 0 for the most urgent routes, 1 for the least.
 	Rank float64
 }
@@ -153,7 +153,7 @@
 	if o.Cached {
 		l.RecentCached += float64(o.UncachedTokens) + decodeCostTokens
 	}
-	l.MaxPause, l.Rank = o.Gap, o.Rank
+	l.MaxPause, l.Rank = o.MaxPause, o.Rank
 	p.updateShare()
 }
 
@@ -218,7 +218,7 @@
 	loads := p.totalLoads()
 	l, known := loads[o.Route]
 	if !known || totalRequests(loads) < minSampleRequests {
-		return float64(o.Tokens)/perMS < quickPauseShare*float64(o.Gap.Milliseconds())
+		return float64(o.Tokens)/perMS < quickPauseShare*float64(o.MaxPause.Milliseconds())
 	}
 	return quick(&l, longest(loads))
 }
--- a/core/balance/pools_test.go
+++ b/core/balance/pools_test.go
@@ -11,8 +11,8 @@
 )
 
 var (
-	report   = balance.Offer{Route: "report", Tokens: 17000, UncachedTokens: 17000, Gap: time.Second, Rank: 1}
-	question = balance.Offer{Route: "question", Tokens: 1400, UncachedTokens: 1400, Gap: 250 * time.Millisecond}
+	report   = balance.Offer{Route: "report", Tokens: 17000, UncachedTokens: 17000, MaxPause: time.Second, Rank: 1}
+	question = balance.Offer{Route: "question", Tokens: 1400, UncachedTokens: 1400, MaxPause: 250 * time.Millisecond}
 )
 
 // poolsWithLoad returns pools that have seen the given numbers of reports and questions, and their
@@ -82,9 +82,9 @@
 	note := func(questions int) {
 		for range 400 {
 			now = now.Add(20 * time.Millisecond)
-			p.Record(now, &balance.Offer{Route: "report", Tokens: 9000, UncachedTokens: 9000, Gap: time.Second})
+			p.Record(now, &balance.Offer{Route: "report", Tokens: 9000, UncachedTokens: 9000, MaxPause: time.Second})
 			for range questions {
-				p.Record(now, &balance.Offer{Route: "question", Tokens: 1400, UncachedTokens: 1400, Gap: 300 * time.Millisecond})
+				p.Record(now, &balance.Offer{Route: "question", Tokens: 1400, UncachedTokens: 1400, MaxPause: 300 * time.Millisecond})
 			}
 		}
 	}
@@ -108,8 +108,8 @@
 	g := NewWithT(t)
 	p := balance.NewPools()
 	for i := range 100 {
-		p.Record(time.Unix(100, int64(i)), &balance.Offer{Route: "a", Tokens: 3000, UncachedTokens: 3000, Gap: time.Second})
-		p.Record(time.Unix(100, int64(i)), &balance.Offer{Route: "b", Tokens: 2500, UncachedTokens: 2500, Gap: time.Second})
+		p.Record(time.Unix(100, int64(i)), &balance.Offer{Route: "a", Tokens: 3000, UncachedTokens: 3000, MaxPause: time.Second})
+		p.Record(time.Unix(100, int64(i)), &balance.Offer{Route: "b", Tokens: 2500, UncachedTokens: 2500, MaxPause: time.Second})
 	}
 	g.Expect(p.Split(time.Unix(101, 0), []string{"u", "v"})).To(BeEmpty())
 }
@@ -123,8 +123,8 @@
 	now := time.Unix(100, 0)
 	for range 2000 {
 		now = now.Add(10 * time.Millisecond)
-		p.Record(now, &balance.Offer{Route: "brief", Tokens: 9000, UncachedTokens: 3000, Gap: time.Second, Rank: 0})
-		p.Record(now, &balance.Offer{Route: "report", Tokens: 17000, UncachedTokens: 9000, Gap: time.Second, Rank: 1})
+		p.Record(now, &balance.Offer{Route: "brief", Tokens: 9000, UncachedTokens: 3000, MaxPause: time.Second, Rank: 0})
+		p.Record(now, &balance.Offer{Route: "report", Tokens: 17000, UncachedTokens: 9000, MaxPause: time.Second, Rank: 1})
 	}
 	p.SetEngine(balance.Engine{PerMS: 60})
 	g.Expect(p.AdmittedShare(now, &balance.Offer{Route: "brief"}, 100)).To(Equal(1.0))
@@ -144,8 +144,8 @@
 	g := NewWithT(t)
 	p := balance.NewPools()
 	now := time.Unix(100, 0)
-	cached := balance.Offer{Route: "report", Tokens: 17000, UncachedTokens: 3000, Cached: true, Gap: time.Second}
-	uncached := balance.Offer{Route: "report", Tokens: 17000, UncachedTokens: 17000, Gap: time.Second}
+	cached := balance.Offer{Route: "report", Tokens: 17000, UncachedTokens: 3000, Cached: true, MaxPause: time.Second}
+	uncached := balance.Offer{Route: "report", Tokens: 17000, UncachedTokens: 17000, MaxPause: time.Second}
 	const each = 2000
 	for range each {
 		now = now.Add(10 * time.Millisecond)
@@ -183,9 +183,9 @@
 		p := balance.NewPools()
 		for k := range 3 {
 			if (i>>k)&1 == 0 {
-				p.Record(now, &balance.Offer{Route: "report", Tokens: 17000, UncachedTokens: 17000, Gap: time.Second, Rank: 1})
+				p.Record(now, &balance.Offer{Route: "report", Tokens: 17000, UncachedTokens: 17000, MaxPause: time.Second, Rank: 1})
 			} else {
-				p.Record(now, &balance.Offer{Route: "question", Tokens: 1400, UncachedTokens: 1400, Gap: 300 * time.Millisecond})
+				p.Record(now, &balance.Offer{Route: "question", Tokens: 1400, UncachedTokens: 1400, MaxPause: 300 * time.Millisecond})
 			}
 		}
 		n := len(p.Split(now, ids))
@@ -207,9 +207,9 @@
 	run := func(seconds, questions int) int {
 		for range seconds * 20 {
 			now = now.Add(50 * time.Millisecond)
-			p.Record(now, &balance.Offer{Route: "report", Tokens: 17000, UncachedTokens: 5000, Gap: time.Second, Rank: 1})
+			p.Record(now, &balance.Offer{Route: "report", Tokens: 17000, UncachedTokens: 5000, MaxPause: time.Second, Rank: 1})
 			for range questions {
-				p.Record(now, &balance.Offer{Route: "question", Tokens: 1400, UncachedTokens: 1400, Gap: 300 * time.Millisecond})
+				p.Record(now, &balance.Offer{Route: "question", Tokens: 1400, UncachedTokens: 1400, MaxPause: 300 * time.Millisecond})
 			}
 			p.Split(now, ids)
 		}
--- a/instance/relay/split.go
+++ b/instance/relay/split.go
@@ -69,7 +69,7 @@
 
 // offer describes the request to the pools.
 func (r *request) offer() balance.Offer {
-	return balance.Offer{Route: r.route.Name, Tokens: r.tokens, Gap: r.route.MaxPause, Rank: r.rank}
+	return balance.Offer{Route: r.route.Name, Tokens: r.tokens, MaxPause: r.route.MaxPause, Rank: r.rank}
 }
 
 // poolsOf returns the pools of a service; it needs mu.
