--- a/core/ratelimit/holder.go
+++ b/core/ratelimit/allocator.go
@@ -80,7 +80,7 @@
 
 // fill refills the buckets, removes those of upstreams without a limit and adds those of upstreams
 // that are demanded for the first time.
-func (h *Allocator) fill(now time.Time, limits Limits, asks []*TokenRequest) {
+func (h *Allocator) fill(now time.Time, limits Limits, requests []*TokenRequest) {
 	for upstream, b := range h.buckets {
 		if perSecond, limited := limits.Limit(upstream); limited {
 			b.fill(now, perSecond)
@@ -88,7 +88,7 @@
 		}
 		delete(h.buckets, upstream)
 	}
-	for _, a := range asks {
+	for _, a := range requests {
 		for i := range a.Demands {
 			upstream := a.Demands[i].Upstream
 			perSecond, limited := limits.Limit(upstream)
@@ -102,30 +102,30 @@
 // Allocate grants the available tokens, the most urgent demand first, and round robin, the oldest
 // request first, among equally urgent demand. Demand for upstreams without a limit gets no tokens
 // because it needs none.
-func (h *Allocator) Allocate(now time.Time, limits Limits, asks []*TokenRequest) {
-	h.fill(now, limits, asks)
+func (h *Allocator) Allocate(now time.Time, limits Limits, requests []*TokenRequest) {
+	h.fill(now, limits, requests)
 	type entry struct {
-		ask  *TokenRequest
-		want *Demand
+		request *TokenRequest
+		demand  *Demand
 	}
 	var entries []entry
-	for _, a := range asks {
+	for _, a := range requests {
 		for i := range a.Demands {
 			entries = append(entries, entry{a, &a.Demands[i]})
 		}
 	}
-	slices.SortStableFunc(entries, func(a, b entry) int { return cmp.Compare(a.want.Urgency, b.want.Urgency) })
+	slices.SortStableFunc(entries, func(a, b entry) int { return cmp.Compare(a.demand.Urgency, b.demand.Urgency) })
 	for begin := 0; begin < len(entries); {
 		end := begin
-		for end < len(entries) && entries[end].want.Urgency == entries[begin].want.Urgency {
+		for end < len(entries) && entries[end].demand.Urgency == entries[begin].demand.Urgency {
 			end++
 		}
 		for served := true; served; {
 			served = false
 			for _, p := range entries[begin:end] {
-				if b := h.buckets[p.want.Upstream]; b != nil && b.tokens >= 1 && p.want.Count > 0 {
+				if b := h.buckets[p.demand.Upstream]; b != nil && b.tokens >= 1 && p.demand.Count > 0 {
 					b.tokens--
-					p.ask.grant(p.want)
+					p.request.grant(p.demand)
 					served = true
 				}
 			}
--- a/core/ratelimit/holder_test.go
+++ b/core/ratelimit/allocator_test.go
@@ -18,8 +18,8 @@
 	return perSecond, limited
 }
 
-func tokenRequest(wants ...ratelimit.Demand) *ratelimit.TokenRequest {
-	return &ratelimit.TokenRequest{Demands: wants}
+func tokenRequest(demands ...ratelimit.Demand) *ratelimit.TokenRequest {
+	return &ratelimit.TokenRequest{Demands: demands}
 }
 
 func demand(count, urgency int) ratelimit.Demand {
@@ -79,9 +79,9 @@
 		instances := rapid.SampledFrom([]int{1, 9, 79, 450}).Draw(t, "instances")
 		limits := rates{upstream: perSecond}
 		h := ratelimit.NewAllocator()
-		wallets := make([]*ratelimit.TokenStore, instances)
-		for i := range wallets {
-			wallets[i] = ratelimit.NewTokenStore()
+		tokenStores := make([]*ratelimit.TokenStore, instances)
+		for i := range tokenStores {
+			tokenStores[i] = ratelimit.NewTokenStore()
 		}
 		busy := rapid.IntRange(0, instances-1).Draw(t, "busy instance")
 		uneven := rapid.Bool().Draw(t, "uneven")
@@ -98,7 +98,7 @@
 				if n++; uneven {
 					i = busy
 				}
-				w := wallets[i]
+				w := tokenStores[i]
 				w.AddDemand(upstream, 0)
 				if w.Use(now, upstream) {
 					sent = append(sent, now)
--- a/core/ratelimit/compare_test.go
+++ b/core/ratelimit/compare_test.go
@@ -17,8 +17,8 @@
 const (
 	simulationStep = 10 * time.Millisecond
 	simulationTime = 60 * time.Second
-	// toHolder and fromHolder are how long a question and its answer take at most.
-	maxAllocatorDelay = 20 * time.Millisecond
+	// minAllocatorDelay is the minimum time from a token request to its answer.
+	minAllocatorDelay = 20 * time.Millisecond
 	// demandReportAge is the age of the demand that instances know of each other.
 	demandReportAge = 500 * time.Millisecond
 	// maxRequestWait is how long a request waits for a token, as if no other upstream had capacity.
@@ -63,7 +63,7 @@
 // sharedBuckets gives each instance a token bucket with a share of the limit.
 type sharedBuckets struct {
 	s      *scenario
-	part   func(now time.Duration, instance int) float64
+	share  func(now time.Duration, instance int) float64
 	tokens []float64
 	at     []time.Duration
 }
@@ -73,7 +73,7 @@
 }
 
 func (p *sharedBuckets) admit(now time.Duration, i int, _ bool) bool {
-	p.tokens[i] = min(1, p.tokens[i]+p.part(now, i)*(now-p.at[i]).Seconds())
+	p.tokens[i] = min(1, p.tokens[i]+p.share(now, i)*(now-p.at[i]).Seconds())
 	p.at[i] = now
 	if p.tokens[i] < 1 {
 		return false
@@ -127,25 +127,25 @@
 
 // centralTokens uses tokens from one allocator.
 type centralTokens struct {
-	rng      *rand.Rand
-	s        *scenario
-	holder   *ratelimit.Allocator
-	wallets  []*ratelimit.TokenStore
-	inFlight []pendingGrant
-	next     []time.Duration
+	rng         *rand.Rand
+	s           *scenario
+	allocator   *ratelimit.Allocator
+	tokenStores []*ratelimit.TokenStore
+	inFlight    []pendingGrant
+	next        []time.Duration
 }
 
 type pendingGrant struct {
 	at     time.Duration
 	asked  time.Duration
-	wallet *ratelimit.TokenStore
+	tokens *ratelimit.TokenStore
 	ask    *ratelimit.TokenRequest
 }
 
 func newCentralTokens(rng *rand.Rand, s *scenario) *centralTokens {
-	r := &centralTokens{rng: rng, s: s, holder: ratelimit.NewAllocator(), next: make([]time.Duration, s.instances)}
+	r := &centralTokens{rng: rng, s: s, allocator: ratelimit.NewAllocator(), next: make([]time.Duration, s.instances)}
 	for range s.instances {
-		r.wallets = append(r.wallets, ratelimit.NewTokenStore())
+		r.tokenStores = append(r.tokenStores, ratelimit.NewTokenStore())
 	}
 	return r
 }
@@ -155,23 +155,23 @@
 	for _, g := range r.inFlight {
 		open = append(open, g.ask)
 	}
-	r.holder.Allocate(epoch.Add(now), rates{upstream: r.s.perSecond}, open)
+	r.allocator.Allocate(epoch.Add(now), rates{upstream: r.s.perSecond}, open)
 	var later []pendingGrant
 	for _, g := range r.inFlight {
 		if now < g.at {
 			later = append(later, g)
 			continue
 		}
-		g.wallet.Add(epoch.Add(g.asked), g.ask.Grants)
+		g.tokens.Add(epoch.Add(g.asked), g.ask.Grants)
 	}
 	r.inFlight = later
-	w := r.wallets[i]
+	w := r.tokenStores[i]
 	if first {
 		w.AddDemand(upstream, 0)
 	}
 	if now >= r.next[i] && w.HasDemand() {
 		r.next[i] = now + 50*time.Millisecond + time.Duration(r.s.instances)*2*time.Millisecond
-		r.inFlight = append(r.inFlight, pendingGrant{now + maxAllocatorDelay + time.Duration(r.rng.Int64N(int64(150*time.Millisecond))), now, w, &ratelimit.TokenRequest{Demands: w.DrainDemands()}})
+		r.inFlight = append(r.inFlight, pendingGrant{now + minAllocatorDelay + time.Duration(r.rng.Int64N(int64(150*time.Millisecond))), now, w, &ratelimit.TokenRequest{Demands: w.DrainDemands()}})
 	}
 	return w.Use(epoch.Add(now), upstream)
 }
@@ -205,9 +205,9 @@
 	}
 	var sent []time.Duration
 	var waiting []waiter
-	owed := 0.0
+	due := 0.0
 	for now := time.Duration(0); now < simulationTime; now += simulationStep {
-		for owed += s.offered * s.perSecond * simulationStep.Seconds(); owed >= 1; owed-- {
+		for due += s.offered * s.perSecond * simulationStep.Seconds(); due >= 1; due-- {
 			waiting = append(waiting, waiter{now, s.at(rng, now, s.instances)})
 		}
 		var still []waiter
@@ -238,7 +238,7 @@
 	for _, demand := range []struct {
 		name string
 		at   func(*rand.Rand, time.Duration, int) int
-	}{{"even", even}, {"nine of ten at one instance", uneven}, {"all at one instance, rotating", rotating}} {
+	}{{"even", even}, {"90% at one instance", uneven}, {"one instance in turn", rotating}} {
 		for _, instances := range []int{9, 79, 450} {
 			for _, perSecond := range []float64{0.3, 2.3, 30} {
 				for i, w := range strategies {
--- a/core/ratelimit/wallet.go
+++ b/core/ratelimit/token_store.go
@@ -23,10 +23,10 @@
 }
 
 // Add stores tokens that were requested at the given time.
-func (w *TokenStore) Add(asked time.Time, grants []Grant) {
+func (w *TokenStore) Add(requested time.Time, grants []Grant) {
 	for _, g := range grants {
 		for range g.Count {
-			w.expiries[g.Upstream] = append(w.expiries[g.Upstream], asked.Add(TokenLifetime))
+			w.expiries[g.Upstream] = append(w.expiries[g.Upstream], requested.Add(TokenLifetime))
 		}
 		slices.SortFunc(w.expiries[g.Upstream], time.Time.Compare)
 	}
@@ -57,20 +57,20 @@
 
 // AddDemand records that a request needs a token for the upstream.
 func (w *TokenStore) AddDemand(upstream uint64, urgency int) {
-	want := w.demands[upstream]
-	if want == nil {
-		want = &Demand{Upstream: upstream, Urgency: urgency}
-		w.demands[upstream] = want
+	demand := w.demands[upstream]
+	if demand == nil {
+		demand = &Demand{Upstream: upstream, Urgency: urgency}
+		w.demands[upstream] = demand
 	}
-	want.Count = min(maxDemandCount, want.Count+1)
-	want.Urgency = min(want.Urgency, urgency)
+	demand.Count = min(maxDemandCount, demand.Count+1)
+	demand.Urgency = min(demand.Urgency, urgency)
 }
 
 // DrainDemands returns and clears the pending demand, ordered by upstream.
 func (w *TokenStore) DrainDemands() []Demand {
 	list := make([]Demand, 0, len(w.demands))
-	for _, want := range w.demands {
-		list = append(list, *want)
+	for _, demand := range w.demands {
+		list = append(list, *demand)
 	}
 	clear(w.demands)
 	slices.SortFunc(list, func(a, b Demand) int { return cmp.Compare(a.Upstream, b.Upstream) })
