--- a/core/scale/spread.go
+++ b/core/scale/allocate.go
@@ -34,17 +34,17 @@
 	return n
 }
 
-// allocate distributes count upstreams over the domains: base standard ones in each, and the rest
+// allocate distributes count upstreams over the domains: minStandard standard ones in each, and the rest
 // preemptible, spread evenly to limit the loss when a domain's are reclaimed. Where a domain has no
 // more preemptible ones available, the others get more. Its target is not reduced, because only an
 // order shows whether there are some again. limits holds the available number of preemptible
 // upstreams for domains that cannot have more, lastStandard the previously planned standard ones.
-func allocate(s *Service, count, base int, limits, lastStandard map[string]int) []*allocation {
+func allocate(s *Service, count, minStandard int, limits, lastStandard map[string]int) []*allocation {
 	allocations := make([]*allocation, 0, len(s.Domains))
 	for i := range s.Domains {
 		r := &allocation{Domain: &s.Domains[i], max: s.Max}
 		r.available, r.limited = limits[r.Name]
-		r.target.Standard = min(max(base, s.Min), s.Max)
+		r.target.Standard = min(max(minStandard, s.Min), s.Max)
 		allocations = append(allocations, r)
 	}
 	if s.PreemptiblePrice <= 0 {
@@ -53,8 +53,8 @@
 	}
 	left := count - totalServing(allocations)
 	for i, r := range allocations {
-		part := (left + len(allocations) - i - 1) / (len(allocations) - i)
-		r.target.Preemptible = max(0, min(part, r.free()))
+		share := (left + len(allocations) - i - 1) / (len(allocations) - i)
+		r.target.Preemptible = max(0, min(share, r.free()))
 		left -= r.target.Preemptible
 	}
 	addPreemptible(allocations, count-totalServing(allocations))
--- a/core/scale/planner.go
+++ b/core/scale/planner.go
@@ -132,9 +132,9 @@
 func retainServing(s *Service, allocations []*allocation, needed int) {
 	surplus := s.ready() - needed
 	for _, r := range allocations {
-		give := max(0, min(r.Ready.Standard-r.target.Standard, surplus))
-		surplus -= give
-		r.target.Standard = max(r.target.Standard, r.Ready.Standard-give)
+		released := max(0, min(r.Ready.Standard-r.target.Standard, surplus))
+		surplus -= released
+		r.target.Standard = max(r.target.Standard, r.Ready.Standard-released)
 		r.target.Preemptible = min(r.target.Preemptible, r.max-r.target.Standard)
 	}
 }
@@ -145,9 +145,9 @@
 
 // limitPending bounds the upstreams ordered in excess of the serving ones, per domain and kind.
 func limitPending(s *Service, allocations []*allocation, maxPending int) {
-	part := max(maxPending, s.ready()/pendingDivisor) / max(1, len(allocations))
+	limit := max(maxPending, s.ready()/pendingDivisor) / max(1, len(allocations))
 	for _, r := range allocations {
-		r.target.Standard = min(r.target.Standard, r.Ready.Standard+part)
-		r.target.Preemptible = min(r.target.Preemptible, r.Ready.Preemptible+part)
+		r.target.Standard = min(r.target.Standard, r.Ready.Standard+limit)
+		r.target.Preemptible = min(r.target.Preemptible, r.Ready.Preemptible+limit)
 	}
 }
--- a/core/scale/scale_test.go
+++ b/core/scale/scale_test.go
@@ -60,9 +60,9 @@
 		g.Expect(sum(&plan).Preemptible).To(BeNumerically(">=", 120))
 	}
 	p = scale.NewPlanner(scale.Config{})
-	blind := service(1, 40, 0)
-	blind.Known = false
-	plan := p.Plan(at(0), blind)
+	unknownDemand := service(1, 40, 0)
+	unknownDemand.Known = false
+	plan := p.Plan(at(0), unknownDemand)
 	g.Expect(plan.Level).To(Equal(180), "starts with the maximum")
 }
 
@@ -73,11 +73,11 @@
 	for i := range 400 {
 		p.Plan(at(float64(i)/4), service(1, 20, 30))
 	}
-	held := p.Plan(at(100), service(1, 20, 30)).Level
-	blind := service(1, 20, 0)
-	blind.Known = false
+	level := p.Plan(at(100), service(1, 20, 30)).Level
+	unknownDemand := service(1, 20, 0)
+	unknownDemand.Known = false
 	for i := range 400 {
-		g.Expect(p.Plan(at(100+float64(i)/4), blind).Level).To(Equal(held))
+		g.Expect(p.Plan(at(100+float64(i)/4), unknownDemand).Level).To(Equal(level))
 	}
 }
 
@@ -210,15 +210,15 @@
 				}
 			}
 			plan := p.Plan(at(now), s)
-			gives := 0
+			released := 0
 			for i, w := range plan.Targets {
 				if w.Total() > s.Max || w.Total() < min(s.Min, s.Max) || w.Standard < 0 || w.Preemptible < 0 {
 					t.Fatalf("%+v with %d to %d", w, s.Min, s.Max)
 				}
-				gives += max(0, s.Domains[i].Ready.Standard-w.Standard)
+				released += max(0, s.Domains[i].Ready.Standard-w.Standard)
 			}
-			if gives > 0 && ready-gives < plan.MinServing {
-				t.Fatalf("%d of %d released, %d must serve", gives, ready, plan.MinServing)
+			if released > 0 && ready-released < plan.MinServing {
+				t.Fatalf("%d of %d released, %d must serve", released, ready, plan.MinServing)
 			}
 		}
 	})
--- a/core/scale/sim_test.go
+++ b/core/scale/sim_test.go
@@ -32,12 +32,12 @@
 func newSimulation() *simulation { return &simulation{s: service(30, 0, 0)} }
 
 // reclaim takes back the preemptible upstreams of a domain for some seconds.
-func (f *simulation) reclaim(domain int, seconds float64, dry bool) {
+func (f *simulation) reclaim(domain int, seconds float64, exhausted bool) {
 	f.reclaimedUntil[domain] = f.now + seconds
 	f.s.Domains[domain].Leaving.Preemptible = f.s.Domains[domain].Ready.Preemptible
 	f.s.Domains[domain].Ready.Preemptible = 0
 	f.boot[domain] = nil
-	if dry {
+	if exhausted {
 		f.exhaustedUntil = f.now + seconds
 	}
 }
@@ -50,16 +50,16 @@
 	if preemptible {
 		have = &d.Ready.Preemptible
 	}
-	coming := 0
+	pending := 0
 	for _, b := range f.boot[domain] {
 		if b.preemptible == preemptible {
-			coming++
+			pending++
 		}
 	}
-	if preemptible && count > *have+coming && (f.now < f.reclaimedUntil[domain] || f.now < f.exhaustedUntil) {
+	if preemptible && count > *have+pending && (f.now < f.reclaimedUntil[domain] || f.now < f.exhaustedUntil) {
 		return false
 	}
-	for ; coming+*have < count; coming++ {
+	for ; pending+*have < count; pending++ {
 		f.boot[domain] = append(f.boot[domain], booting{f.now + f.s.BootTime.Seconds(), preemptible})
 	}
 	*have = min(*have, count)
@@ -157,24 +157,24 @@
 // much as the largest fixed number, at less cost than any fixed number that serves nearly as much,
 // even when a domain's preemptible upstreams are reclaimed during a burst.
 func TestFollowingTheLoadBeatsFixedNumbers(t *testing.T) {
-	follows := simulateDay(planned(scale.NewPlanner(scale.Config{})))
-	stands := simulateDay(fixed(30, 0))
+	following := simulateDay(planned(scale.NewPlanner(scale.Config{})))
+	initial := simulateDay(fixed(30, 0))
 	report := func(name string, f *simulation) {
 		t.Logf("%-24s unmet %5.2f%% cost %7.0f", name, 100*f.unmet/f.asked, f.cost)
 	}
-	report("initial, 30 + 0", stands)
-	report("following the load", follows)
-	if follows.unmet > 0.002*follows.asked {
-		t.Errorf("%.2f%% of the demand was not met", 100*follows.unmet/follows.asked)
+	report("initial, 30 + 0", initial)
+	report("following the load", following)
+	if following.unmet > 0.002*following.asked {
+		t.Errorf("%.2f%% of the demand was not met", 100*following.unmet/following.asked)
 	}
-	if follows.cost > 0.4*stands.cost {
-		t.Errorf("cost %.0f, initial deployment %.0f", follows.cost, stands.cost)
+	if following.cost > 0.4*initial.cost {
+		t.Errorf("cost %.0f, initial deployment %.0f", following.cost, initial.cost)
 	}
 	for _, mix := range [][2]int{{1, 20}, {1, 30}, {10, 40}, {1, 45}, {1, 59}} {
 		f := simulateDay(fixed(mix[0], mix[1]))
 		report("fixed", f)
-		if f.unmet <= follows.unmet*1.05 && f.cost < follows.cost {
-			t.Errorf("%d + %d serves as much (%.0f not met, %.0f) at less cost (%.0f, %.0f)", mix[0], mix[1], f.unmet, follows.unmet, f.cost, follows.cost)
+		if f.unmet <= following.unmet*1.05 && f.cost < following.cost {
+			t.Errorf("%d + %d serves as much (%.0f not met, %.0f) at less cost (%.0f, %.0f)", mix[0], mix[1], f.unmet, following.unmet, f.cost, following.cost)
 		}
 	}
 }
