--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -49,9 +49,9 @@
 func TestFaultyTablesAreRefused(t *testing.T) {
 	for name, corrupt := range map[string]func(*route.Table){
 		"unknown service": func(t *route.Table) { t.Routes[0].Services[0].Service = "u" },
-		"same place":      func(t *route.Table) { t.Routes[1].Prefix = "/x/" },
+		"same prefix":     func(t *route.Table) { t.Routes[1].Prefix = "/x/" },
 		"no weight":       func(t *route.Table) { t.Routes[1].Services[0].Weight = 0 },
-		"no backend":      func(t *route.Table) { t.Routes[1].Services = nil },
+		"no service":      func(t *route.Table) { t.Routes[1].Services = nil },
 		"negative weight": func(t *route.Table) { t.Routes[0].Services[1].Weight = -1 },
 		"no timeout":      func(t *route.Table) { t.Routes[0].Timeout = 0 },
 		"no kind":         func(t *route.Table) { t.Routes[0].Kind = 0 },
--- a/core/scale/allocate.go
+++ b/core/scale/allocate.go
@@ -34,10 +34,10 @@
 	return n
 }
 
-// allocate distributes count upstreams over the domains: minStandard standard ones in each, and the rest
-// preemptible, spread evenly to limit the loss when a domain's are reclaimed. Where a domain has no
-// more preemptible ones available, the others get more. Its target is not reduced, because only an
-// order shows whether there are some again. limits holds the available number of preemptible
+// allocate distributes count upstreams over the domains: minStandard standard ones in each, and the
+// rest preemptible, spread evenly to limit the loss when a domain's are reclaimed. Where a domain
+// has no more preemptible ones available, the others get more. Its target is not reduced, because
+// only an order shows whether there are some again. limits holds the available number of preemptible
 // upstreams for domains that cannot have more, lastStandard the previously planned standard ones.
 func allocate(s *Service, count, minStandard int, limits, lastStandard map[string]int) []*allocation {
 	allocations := make([]*allocation, 0, len(s.Domains))
