--- a/core/balance/learn_test.go
+++ b/core/balance/learn_test.go
@@ -10,43 +10,44 @@
 	"github.com/comfreyladder/comfreyladder/core/balance"
 )
 
-// A prompt is taken over from an engine that has only begun to read it: nothing is there
-// yet, and it is read twice after all.
-func TestPromptIsRipeOnceItWasRead(t *testing.T) {
+// Guards against fetching a prompt from an engine that has only started its prefill: nothing is
+// cached there yet, so the prompt is prefilled twice.
+func TestFullyCachedAfterPrefill(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
-	var k balance.Kept
-	k.Note(now, 7)
-	g.Expect(k.Part(now, 7)).To(Equal(1.0))
-	g.Expect(k.Ripe(now.Add(time.Second), 7)).To(BeFalse())
-	k.Note(now.Add(time.Second), 7)
-	g.Expect(k.Ripe(now.Add(2*time.Second), 7)).To(BeTrue(), "counted from the first time")
-	g.Expect(k.Ripe(now.Add(time.Hour), 7)).To(BeFalse())
-	k.Note(now.Add(time.Hour), 7)
-	g.Expect(k.Ripe(now.Add(time.Hour+time.Second), 7)).To(BeFalse(), "and anew after a long pause")
+	var k balance.PromptCache
+	k.Record(now, 7)
+	g.Expect(k.CachedShare(now, 7)).To(Equal(1.0))
+	g.Expect(k.FullyCached(now.Add(time.Second), 7)).To(BeFalse())
+	k.Record(now.Add(time.Second), 7)
+	g.Expect(k.FullyCached(now.Add(2*time.Second), 7)).To(BeTrue(), "counted from the first request")
+	g.Expect(k.FullyCached(now.Add(time.Hour), 7)).To(BeFalse())
+	k.Record(now.Add(time.Hour), 7)
+	g.Expect(k.FullyCached(now.Add(time.Hour+time.Second), 7)).To(BeFalse(), "counted again after expiry")
 }
 
-// Every request told all instances anew where its prompt is kept. It is told once, and again
-// before the others forget it, whoever told it; one that was never sent is not told.
+// Guards against announcing a cached prompt to all instances with every request. It is announced
+// once, and again by any instance before the others expire it; a prompt that was never sent is not
+// announced.
 func TestKeptPromptIsToldOnceInAWhile(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(100, 0)
-	var k, other balance.Kept
-	g.Expect(k.Tell(now, 7)).To(BeFalse())
-	k.Note(now, 7)
-	g.Expect(k.Tell(now, 7)).To(BeTrue())
-	other.Hear(now, 7)
+	var k, other balance.PromptCache
+	g.Expect(k.TryAnnounce(now, 7)).To(BeFalse())
+	k.Record(now, 7)
+	g.Expect(k.TryAnnounce(now, 7)).To(BeTrue())
+	other.RecordAnnounced(now, 7)
 	for s := range 25 {
 		at := now.Add(time.Duration(s) * time.Second)
-		k.Note(at, 7)
-		if k.Tell(at, 7) {
-			other.Hear(at, 7)
+		k.Record(at, 7)
+		if k.TryAnnounce(at, 7) {
+			other.RecordAnnounced(at, 7)
 			g.Expect(s).To(BeNumerically(">=", 10))
 		}
-		other.Note(at, 7)
-		g.Expect(other.Tell(at, 7)).To(BeFalse(), "another one has told it")
+		other.Record(at, 7)
+		g.Expect(other.TryAnnounce(at, 7)).To(BeFalse(), "another instance has announced it")
 	}
-	g.Expect(other.Part(now.Add(45*time.Second), 7)).To(Equal(1.0), "told again in time")
+	g.Expect(other.CachedShare(now.Add(45*time.Second), 7)).To(Equal(1.0), "announced again before expiry")
 }
 
 func TestRateSettlesAtTheUpperQuartile(t *testing.T) {
@@ -61,12 +62,12 @@
 	g.Expect(r.PerMS()).To(BeNumerically("~", 88, 8))
 }
 
-func TestKeptPromptsAreForgottenInTime(t *testing.T) {
+func TestCachedPromptsExpire(t *testing.T) {
 	g := NewWithT(t)
-	var k balance.Kept
+	var k balance.PromptCache
 	now := time.Unix(100, 0)
-	g.Expect(k.Part(now, 7)).To(BeZero())
-	k.Note(now, 7)
-	g.Expect(k.Part(now, 7)).To(Equal(1.0))
-	g.Expect(k.Part(now.Add(time.Hour), 7)).To(BeZero())
+	g.Expect(k.CachedShare(now, 7)).To(BeZero())
+	k.Record(now, 7)
+	g.Expect(k.CachedShare(now, 7)).To(Equal(1.0))
+	g.Expect(k.CachedShare(now.Add(time.Hour), 7)).To(BeZero())
 }
--- a/core/pick/pick_test.go
+++ b/core/pick/pick_test.go
@@ -11,7 +11,7 @@
 )
 
 func candidate(name string) pick.Candidate {
-	return pick.Candidate{Name: name, Holds: true, Slots: 10, Free: 10}
+	return pick.Candidate{Name: name, HasModel: true, Slots: 10, Free: 10}
 }
 
 func choose(t *testing.T, r pick.Request, list ...pick.Candidate) string {
@@ -26,7 +26,7 @@
 func TestRequiredFiltersAlwaysHold(t *testing.T) {
 	g := NewWithT(t)
 	change := []func(*pick.Candidate){
-		func(c *pick.Candidate) { c.Holds = false },
+		func(c *pick.Candidate) { c.HasModel = false },
 		func(c *pick.Candidate) { c.Excluded = true },
 		func(c *pick.Candidate) { c.Draining = true },
 		func(c *pick.Candidate) { c.Free = 0 },
@@ -40,10 +40,10 @@
 	}
 }
 
-func TestStragglersAreLastResortAndProbed(t *testing.T) {
+func TestStragglersAreAvoidedAndProbed(t *testing.T) {
 	g := NewWithT(t)
 	slow, good := candidate("slow"), candidate("good")
-	slow.Aside = true
+	slow.Straggler = true
 	good.InFlight = 9
 	g.Expect(choose(t, pick.Request{}, slow, good)).To(Equal("good"))
 	g.Expect(choose(t, pick.Request{Protected: true}, slow)).To(Equal("slow"))
@@ -68,16 +68,16 @@
 	g.Expect(choose(t, pick.Request{}, a, b)).To(Equal("a"))
 }
 
-// One engine runs hot while seven idle, because all prompts begin alike.
-// Each answer leaves the common prefix in that engine's cache and so draws the
-// next request there. The cause: affinity without a bound on load.
+// Guards against prefix affinity without a bound on load: when all prompts share a prefix, each
+// answer leaves it in one engine's cache, which then attracts every next request while seven others
+// idle.
 func TestPrefixAffinityYieldsToLoad(t *testing.T) {
 	g := NewWithT(t)
 	list := make([]pick.Candidate, 8)
 	for n := range list {
 		list[n] = candidate("e")
 	}
-	list[3].Prefix = 1
+	list[3].CachedShare = 1
 	h := pick.Default(pick.Best{})
 	rnd := rand.New(rand.NewSource(1))
 	for range 40 {
--- a/core/sched/dispatch.go
+++ b/core/sched/dispatch.go
@@ -179,7 +179,7 @@
 		return false
 	}
 	e := s.holders[choice.Index]
-	prefix := s.candidates[choice.Index].Prefix
+	prefix := s.candidates[choice.Index].CachedShare
 	s.account(now, i, floor)
 	s.dequeue(i)
 	s.send(now, i, e)
@@ -187,7 +187,7 @@
 		ID: i.ID, Instance: i.Instance, Upstream: e.Name, Address: e.Address, Priority: i.class.Tier,
 		Explain: Explain{
 			Waited: now.Sub(i.Arrived), Expected: i.expected, Floor: floor,
-			Candidates: choice.Kept, Score: choice.Score, Prefix: prefix,
+			Candidates: choice.Eligible, Score: choice.Score, Prefix: prefix,
 			InFlight: e.inFlight, Slots: e.Slots,
 		},
 	}
@@ -201,11 +201,11 @@
 // on has missed its level already.
 func (s *Scheduler) request(now time.Time, i *item) *pick.Request {
 	c := &i.class.Class
-	r := &pick.Request{Protected: c.Protected, Pace: c.BetweenTokens, Tokens: i.tokensExpected}
+	r := &pick.Request{Protected: c.Protected, TokenInterval: c.BetweenTokens, Tokens: i.tokensExpected}
 	if c.Total > 0 {
-		r.Left = max(i.Arrived.Add(c.Total).Sub(now), 1)
+		r.Remaining = max(i.Arrived.Add(c.Total).Sub(now), 1)
 	}
-	r.Patient = c.BetweenTokens > 0 && c.FirstToken > 0 && now.Sub(i.Arrived) < c.FirstToken*patientShare/4
+	r.MayWait = c.BetweenTokens > 0 && c.FirstToken > 0 && now.Sub(i.Arrived) < c.FirstToken*patientShare/4
 	return r
 }
 
--- a/instance/duty/scale.go
+++ b/instance/duty/scale.go
@@ -127,16 +127,16 @@
 		s.scale.planners[v.Name] = p
 	}
 	plan := p.Plan(now, v)
-	for i, w := range plan.Wants {
+	for i, w := range plan.Targets {
 		d := &v.Domains[i]
 		standard := s.orderOf(v, subject{v.Name, w.Domain, false}, d.Ready.Standard)
-		if !plan.Arriving || w.Standard < d.Ready.Standard {
+		if !plan.Registering || w.Standard < d.Ready.Standard {
 			s.order(now, p, v, standard, w.Standard)
 		}
 		if v.PreemptiblePrice > 0 {
 			// Both kinds together are bounded: until fewer standard ones are accepted there is
 			// no room for more of the others.
-			room := max(d.Ready.Preemptible, v.Max-max(w.Standard, standard.taken(plan.Arriving, v.Max)))
+			room := max(d.Ready.Preemptible, v.Max-max(w.Standard, standard.taken(plan.Registering, v.Max)))
 			s.order(now, p, v, s.orderOf(v, subject{v.Name, w.Domain, true}, d.Ready.Preemptible), min(w.Preemptible, room))
 		}
 	}
@@ -161,7 +161,7 @@
 		o = &order{subject: k}
 		s.scale.orders[k] = o
 	}
-	o.ready, o.boot = ready, v.Boot
+	o.ready, o.boot = ready, v.BootTime
 	return o
 }
 
--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -20,7 +20,7 @@
 
 // Question asks for the right to send requests to upstreams.
 type Question struct {
-	Wants []ratelimit.Want `codec:"w"`
+	Wants []ratelimit.Demand `codec:"w"`
 	// Forwarded says that a member asks the leader.
 	Forwarded bool `codec:"f,omitempty"`
 }
@@ -70,17 +70,17 @@
 	known atomic.Bool
 
 	mu     sync.Mutex
-	book   *ratelimit.Book
-	wallet *ratelimit.Wallet
+	book   *ratelimit.Tracker
+	wallet *ratelimit.TokenStore
 	// alone hands out this instance's part while no member answers; unanswered is since when
 	// that is, zero while one does.
-	alone      *ratelimit.Holder
+	alone      *ratelimit.Allocator
 	unanswered time.Time
 }
 
 // NewClient returns a client that has not started.
 func NewClient(cfg ClientConfig) *Client {
-	return &Client{cfg: cfg, wake: make(chan struct{}, 1), book: ratelimit.NewBook(), wallet: ratelimit.NewWallet()}
+	return &Client{cfg: cfg, wake: make(chan struct{}, 1), book: ratelimit.NewTracker(), wallet: ratelimit.NewTokenStore()}
 }
 
 // Start implements kernel.Service.
@@ -108,7 +108,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.book.Note(upstream, perSecond, sent, heard) {
+	if c.book.Record(upstream, perSecond, sent, heard) {
 		now, _ := c.book.Limit(upstream)
 		c.cfg.Log.Event("upstream_limit").Str("upstream", name).Float("per_second", now).End()
 	}
@@ -132,7 +132,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.book.Take(clock.Now(), list)
+	c.book.Merge(clock.Now(), list)
 	c.known.Store(!c.book.Empty())
 }
 
@@ -153,7 +153,7 @@
 func (c *Client) Has(upstream uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.wallet.Has(clock.Now(), upstream)
+	return c.wallet.Available(clock.Now(), upstream)
 }
 
 // Spend uses the right to send a request to a limited upstream, and reports whether there was
@@ -161,7 +161,7 @@
 func (c *Client) Spend(upstream uint64, urgency int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.wallet.Take(clock.Now(), upstream) {
+	if !c.wallet.Use(clock.Now(), upstream) {
 		return false
 	}
 	c.want(upstream, urgency)
@@ -177,7 +177,7 @@
 
 // want needs mu.
 func (c *Client) want(upstream uint64, urgency int) {
-	c.wallet.Want(upstream, urgency)
+	c.wallet.AddDemand(upstream, urgency)
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -210,14 +210,14 @@
 func (c *Client) forget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.book.Keep(clock.Now(), c.cfg.There)
+	c.book.Prune(clock.Now(), c.cfg.There)
 	c.known.Store(!c.book.Empty())
 }
 
 // ask puts one question to a member.
 func (c *Client) ask(ctx context.Context) {
 	c.mu.Lock()
-	wants := c.wallet.TakeWants()
+	wants := c.wallet.DrainDemands()
 	c.mu.Unlock()
 	if len(wants) == 0 {
 		return
@@ -242,7 +242,7 @@
 
 // ownPart returns what this instance may send by itself: its part of what upstreams take, once
 // no member has answered for a while. It needs mu.
-func (c *Client) ownPart(now time.Time, wants []ratelimit.Want) []ratelimit.Grant {
+func (c *Client) ownPart(now time.Time, wants []ratelimit.Demand) []ratelimit.Grant {
 	if c.unanswered.IsZero() {
 		c.unanswered = now
 	}
@@ -250,21 +250,21 @@
 		return nil
 	}
 	if c.alone == nil {
-		c.alone = ratelimit.NewHolder()
+		c.alone = ratelimit.NewAllocator()
 	}
-	own := &ratelimit.Ask{Wants: wants}
-	c.alone.Serve(clock.Now(), part{c.book, float64(max(1, c.cfg.Forwarders()))}, []*ratelimit.Ask{own})
+	own := &ratelimit.TokenRequest{Demands: wants}
+	c.alone.Allocate(clock.Now(), part{c.book, float64(max(1, c.cfg.Forwarders()))}, []*ratelimit.TokenRequest{own})
 	return own.Grants
 }
 
 // part is a part of the limits of a book.
 type part struct {
-	*ratelimit.Book
+	*ratelimit.Tracker
 	of float64
 }
 
 // Limit implements ratelimit.Limits.
 func (p part) Limit(upstream uint64) (perSecond float64, limited bool) {
-	perSecond, limited = p.Book.Limit(upstream)
+	perSecond, limited = p.Tracker.Limit(upstream)
 	return perSecond / p.of, limited
 }
--- a/instance/relay/exchange.go
+++ b/instance/relay/exchange.go
@@ -42,15 +42,15 @@
 	for _, p := range r.Placed {
 		// What was placed at an incarnation that has ended since is kept nowhere.
 		if u := f.byBegun[p.Begun]; u != nil {
-			u.kept.Hear(f.othersAt, p.Prompt)
+			u.kept.RecordAnnounced(f.othersAt, p.Prompt)
 		}
 	}
 	for service, loads := range routes {
-		f.poolsOf(service).SetOthers(loads)
+		f.poolsOf(service).SetRemoteLoads(loads)
 	}
 	for service, p := range f.pools {
 		if routes[service] == nil {
-			p.SetOthers(nil)
+			p.SetRemoteLoads(nil)
 		}
 	}
 }
@@ -115,7 +115,7 @@
 	}
 	for service, p := range f.pools {
 		perMS := f.pace(service).rate.PerMS()
-		for name, l := range p.Own(now) {
+		for name, l := range p.LocalLoads(now) {
 			r.Work.Routes = append(r.Work.Routes, servingsvc.RouteLoadOf(service, name, l, perMS))
 		}
 	}
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -131,7 +131,7 @@
 	list := f.services[r.service]
 	now := time.Now()
 	f.describe(r, list, now, domain, avoid, true)
-	q := &balance.Request{Affinity: r.affinity, Shared: r.shared, Own: r.tokens - r.shared, Domain: domain, Draw: rand.Float64(), FetchRate: r.fetchRate, MaxAhead: r.maxAhead}
+	q := &balance.Request{Affinity: r.affinity, Shared: r.shared, Unshared: r.tokens - r.shared, Domain: domain, Random: rand.Float64(), FetchRate: r.fetchRate, MaxQueueMS: r.maxAhead}
 	if r.tokens > 0 {
 		q.Rate = f.pace(r.service).rate.PerMS()
 	}
@@ -139,36 +139,36 @@
 	if c.Index == balance.None {
 		return nil, r.limited
 	}
-	r.predicted, r.upstream = c.Wait, list[c.Index].id
-	r.unread, r.ahead = int(balance.Unread(&f.scratch[c.Index], q)), f.scratch[c.Index].Reading
+	r.predicted, r.upstream = c.FirstEventMS, list[c.Index].id
+	r.unread, r.ahead = int(balance.UncachedTokens(&f.scratch[c.Index], q)), f.scratch[c.Index].QueuedTokens
 	if r.tokens > 0 && len(avoid) == 0 {
 		f.offer(r, q, c, now)
 		if r.shed {
 			return nil, true
 		}
 	}
-	if r.quick && c.Ahead > overflowShare*float64(r.route.Target.Milliseconds()) {
+	if r.quick && c.QueueMS > overflowShare*float64(r.route.Target.Milliseconds()) {
 		// A quick request harms nobody elsewhere; a long one among quick ones would.
 		f.describe(r, list, now, domain, avoid, false)
 		if c = f.pick(r, q, list); c.Index == balance.None {
 			return nil, r.limited
 		}
 	}
-	if c.Ahead > r.maxAhead && r.tokens > 0 {
+	if c.QueueMS > r.maxAhead && r.tokens > 0 {
 		return nil, true
 	}
 	u = list[c.Index]
 	if !f.spend(r, u) {
 		return nil, true
 	}
-	r.predicted, r.nominal = c.Wait, balance.Nominal(&f.scratch[c.Index], q)
-	r.upstream, r.unread, r.ahead = u.id, int(balance.Unread(&f.scratch[c.Index], q)), f.scratch[c.Index].Reading
+	r.predicted, r.nominal = c.FirstEventMS, balance.NominalWait(&f.scratch[c.Index], q)
+	r.upstream, r.unread, r.ahead = u.id, int(balance.UncachedTokens(&f.scratch[c.Index], q)), f.scratch[c.Index].QueuedTokens
 	r.fetchFrom = ""
-	if f.scratch[c.Index].Fetched {
+	if f.scratch[c.Index].Fetchable {
 		r.fetchFrom = f.holder.address
 	}
 	u.begin(r, now)
-	if r.affinity != 0 && len(f.placed) < maxPlaced && u.kept.Tell(now, r.affinity) {
+	if r.affinity != 0 && len(f.placed) < maxPlaced && u.kept.TryAnnounce(now, r.affinity) {
 		f.placed = append(f.placed, servingsvc.Placed{Prompt: r.affinity, Begun: u.begun})
 	}
 	return u, false
@@ -190,19 +190,19 @@
 		b, observed := u.describe(now)
 		if others := f.others[u.begun]; fresh {
 			b.Active += others.Active
-			b.Reading += others.Reading
-			b.Held += others.Held
+			b.QueuedTokens += others.Reading
+			b.UsedTokens += others.Held
 			observed.Add(f.observedByOthers[u.begun])
 		}
-		b.Capacity, b.Takes = r.capacity, f.takes(r, u)
-		b.Residence = pace.residence(quick[u.id]).MS()
+		b.Capacity, b.LimitShare = r.capacity, f.takes(r, u)
+		b.SlotTimeMS = pace.residence(quick[u.id]).MS()
 		b.Suspect = b.Suspect || u.domain != domain && f.domains.suspect(now, u.domain)
-		b.Elsewhere = pools && quick != nil && quick[u.id] != r.quick
+		b.OtherPool = pools && quick != nil && quick[u.id] != r.quick
 		b.Excluded = u.active >= u.maxConns || slices.Contains(avoid, u)
 		f.scratch = append(f.scratch, b)
 		f.observed = append(f.observed, observed)
 	}
-	balance.Judge(f.scratch, f.observed)
+	balance.ScorePeers(f.scratch, f.observed)
 	f.holder = nil
 	if r.affinity == 0 {
 		return
@@ -215,8 +215,8 @@
 func (f *fleet) describeKept(r *request, list []*upstream, now time.Time) {
 	for i, u := range list {
 		b := &f.scratch[i]
-		b.Kept = u.kept.Part(now, r.affinity)
-		if r.fetchRate > 0 && !b.Suspect && !b.Excluded && (f.holder == nil || u.active < f.holder.active) && u.kept.Ripe(now, r.affinity) {
+		b.CachedShare = u.kept.CachedShare(now, r.affinity)
+		if r.fetchRate > 0 && !b.Suspect && !b.Excluded && (f.holder == nil || u.active < f.holder.active) && u.kept.FullyCached(now, r.affinity) {
 			f.holder = u
 		}
 	}
@@ -224,7 +224,7 @@
 		return
 	}
 	for i := range f.scratch {
-		f.scratch[i].Fetched = f.scratch[i].Kept == 0
+		f.scratch[i].Fetchable = f.scratch[i].CachedShare == 0
 	}
 }
 
--- a/instance/relay/split.go
+++ b/instance/relay/split.go
@@ -11,12 +11,12 @@
 // for how long requests hold their slots, by what the engines are for and by route.
 type pace struct {
 	rate        balance.Rate
-	quick, long balance.Residence
-	routes      map[string]*balance.Residence
+	quick, long balance.SlotTime
+	routes      map[string]*balance.SlotTime
 }
 
 // residence returns the mean of the engines for quick requests, or of the others.
-func (p *pace) residence(quick bool) *balance.Residence {
+func (p *pace) residence(quick bool) *balance.SlotTime {
 	if quick {
 		return &p.quick
 	}
@@ -24,10 +24,10 @@
 }
 
 // route returns the mean of a route's requests.
-func (p *pace) route(name string) *balance.Residence {
+func (p *pace) route(name string) *balance.SlotTime {
 	r := p.routes[name]
 	if r == nil {
-		r = &balance.Residence{}
+		r = &balance.SlotTime{}
 		p.routes[name] = r
 	}
 	return r
@@ -37,7 +37,7 @@
 func (f *fleet) pace(service string) *pace {
 	p := f.paces[service]
 	if p == nil {
-		p = &pace{routes: map[string]*balance.Residence{}}
+		p = &pace{routes: map[string]*balance.SlotTime{}}
 		f.paces[service] = p
 	}
 	return p
@@ -69,7 +69,7 @@
 
 // offer describes the request to the pools.
 func (r *request) offer() balance.Offer {
-	return balance.Offer{Route: r.route.Name, Tokens: r.tokens, Gap: r.route.Gap, Rank: r.rank}
+	return balance.Offer{Route: r.route.Name, Tokens: r.tokens, MaxPause: r.route.MaxPause, Rank: r.rank}
 }
 
 // poolsOf returns the pools of a service; it needs mu.
@@ -92,26 +92,26 @@
 	p := f.pools[r.service]
 	o := r.offer()
 	chosen := &f.scratch[c.Index]
-	o.Unread = int(balance.Unread(chosen, q))
-	o.Cached = chosen.Fetched || chosen.Kept > 0 || r.shared == 0
-	o.Residence = f.pace(r.service).route(r.route.Name).Duration()
-	p.Note(now, &o)
+	o.UncachedTokens = int(balance.UncachedTokens(chosen, q))
+	o.Cached = chosen.Fetchable || chosen.CachedShare > 0 || r.shared == 0
+	o.SlotTime = f.pace(r.service).route(r.route.Name).Duration()
+	p.Record(now, &o)
 	if r.quick {
 		return
 	}
 	able := 0.0
 	for i := range f.scratch {
 		switch u := &f.scratch[i]; {
-		case u.Elsewhere || u.Suspect:
-		case u.Takes > 0:
-			able += u.Takes / max(1, u.Slowness)
+		case u.OtherPool || u.Suspect:
+		case u.LimitShare > 0:
+			able += u.LimitShare / max(1, u.Slowness)
 		case !u.Excluded:
 			able += 1 / max(1, u.Slowness)
 		}
 	}
-	part := p.Admitted(now, &o, able)
+	part := p.AdmittedShare(now, &o, able)
 	r.shed = part < 1 && rand.Float64() > part
 	if r.shed {
-		r.admission = admission{part: part, able: able, asked: p.Asked(now), cached: o.Cached}
+		r.admission = admission{part: part, able: able, asked: p.RequiredEngines(now), cached: o.Cached}
 	}
 }
--- a/instance/relay/upstream.go
+++ b/instance/relay/upstream.go
@@ -25,7 +25,7 @@
 	active  int
 	held    int
 	reading int
-	kept    balance.Kept
+	kept    balance.PromptCache
 
 	mu sync.Mutex
 	// failures counts failures in a row; until is when an upstream that failed may
@@ -48,7 +48,7 @@
 // describe returns what is known here of the upstream, and what was observed of its
 // answers. It needs the fleet's mutex.
 func (u *upstream) describe(now time.Time) (balance.Upstream, balance.Observed) {
-	b := balance.Upstream{ID: u.id, Domain: u.domain, Active: u.active, Slots: u.slots, Reading: u.reading, Held: u.held}
+	b := balance.Upstream{ID: u.id, Domain: u.domain, Active: u.active, Slots: u.slots, QueuedTokens: u.reading, UsedTokens: u.held}
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	b.Suspect = u.failures > 0 && (now.Before(u.until) || u.silent)
@@ -61,7 +61,7 @@
 	u.reading += r.unread
 	u.held += r.tokens
 	if r.affinity != 0 {
-		u.kept.Note(now, r.affinity)
+		u.kept.Record(now, r.affinity)
 	}
 }
 
--- a/instance/serving/fleet.go
+++ b/instance/serving/fleet.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		out := scale.Service{
-			Name: v.Name, Min: v.Scaling.Min, Max: v.Scaling.Max, Boot: v.Scaling.Boot, PreemptiblePrice: v.Scaling.PreemptiblePrice,
+			Name: v.Name, Min: v.Scaling.Min, Max: v.Scaling.Max, BootTime: v.Scaling.BootTime, PreemptiblePrice: v.Scaling.PreemptiblePrice,
 		}
 		for _, name := range slices.Sorted(maps.Keys(v.Scaling.Prices)) {
 			out.Domains = append(out.Domains, scale.Domain{Name: name, Price: v.Scaling.Prices[name]})
@@ -42,7 +42,7 @@
 		out.Known = told
 		if d, known := demand[v.Name]; known && v.Engine != nil {
 			engine := &balance.Engine{PerMS: d.PerMS, Slots: float64(v.Engine.Slots), Count: float64(ready)}
-			out.Need = balance.NeedOf(d.Loads, engine).Ample + s.lack(v.Name, upstreams, balance.EachPerSecond(d.Loads, engine))
+			out.Need = balance.EstimateNeed(d.Loads, engine).Comfortable + s.lack(v.Name, upstreams, balance.EachPerSecond(d.Loads, engine))
 		}
 		list = append(list, out)
 	}
@@ -58,7 +58,7 @@
 			continue
 		}
 		if perSecond, limited := s.Limit(u.Begun); limited {
-			sum += 1 - balance.TakenPart(perSecond, eachPerSecond)
+			sum += 1 - balance.LimitShare(perSecond, eachPerSecond)
 		}
 	}
 	return sum
--- a/instance/serving/limits.go
+++ b/instance/serving/limits.go
@@ -9,9 +9,9 @@
 )
 
 // limitBook holds the limits that upstreams name, as instances and members tell of them.
-type limitBook struct{ *ratelimit.Book }
+type limitBook struct{ *ratelimit.Tracker }
 
-func newLimitBook() limitBook { return limitBook{ratelimit.NewBook()} }
+func newLimitBook() limitBook { return limitBook{ratelimit.NewTracker()} }
 
 // statements returns what is known; nil for nothing.
 func (b limitBook) statements(now time.Time) []ratelimit.Statement {
@@ -23,7 +23,7 @@
 
 func (b limitBook) take(now time.Time, list []ratelimit.Statement) {
 	if len(list) > 0 {
-		b.Take(now, list)
+		b.Merge(now, list)
 	}
 }
 
@@ -50,5 +50,5 @@
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limits.Keep(now, func(upstream uint64) bool { return there[upstream] })
+	s.limits.Prune(now, func(upstream uint64) bool { return there[upstream] })
 }
--- a/instance/settings/scaling_test.go
+++ b/instance/settings/scaling_test.go
@@ -17,8 +17,8 @@
 		s, err := settings.LoadScaling(write(out.String()))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(s.Plan()).To(Equal(scale.Config{
-			Utilisation: scale.DefaultUtilisation, Start: scale.DefaultStart, StartFor: scale.DefaultStartFor, Hold: scale.DefaultHold,
-			Pace: scale.DefaultPace, Base: scale.DefaultBase, Bearable: scale.DefaultBearable, Most: scale.DefaultMost, Coming: scale.DefaultComing,
+			Utilisation: scale.DefaultUtilisation, StartShare: scale.DefaultStartShare, StartTimeout: scale.DefaultStartTimeout, HoldTime: scale.DefaultHoldTime,
+			ReleaseRate: scale.DefaultReleaseRate, MinStandard: scale.DefaultMinStandard, MaxUtilisation: scale.DefaultMaxUtilisation, MaxUpstreams: scale.DefaultMaxUpstreams, MaxPending: scale.DefaultMaxPending,
 		}))
 		Expect(s.DryRun).To(BeFalse())
 	})
