--- a/core/budget/budget.go
+++ b/core/budget/budget.go
@@ -48,8 +48,8 @@
 	return &Budgets{cfg: cfg, classes: map[string]*account{}}
 }
 
-// First notes a first attempt, which earns a share of a second one.
-func (b *Budgets) First(now time.Time, class string) {
+// RecordFirst notes a first attempt, which earns a share of a second one.
+func (b *Budgets) RecordFirst(now time.Time, class string) {
 	a := b.account(now, class)
 	a.saved = min(a.saved+b.cfg.Ratio, b.cfg.Burst)
 }
--- a/core/budget/budget_test.go
+++ b/core/budget/budget_test.go
@@ -24,7 +24,7 @@
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
-				b.First(now, "c")
+				b.RecordFirst(now, "c")
 				firsts++
 			case 1:
 				if b.Spend(now, "c") {
--- a/instance/dispatch/dispatch.go
+++ b/instance/dispatch/dispatch.go
@@ -102,7 +102,7 @@
 func (d *Dispatcher) first(class string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.retries.First(time.Now(), class)
+	d.retries.RecordFirst(time.Now(), class)
 }
 
 func (d *Dispatcher) spend(class string) bool {
