--- a/core/budget/window.go
+++ b/core/budget/window.go
@@ -36,8 +36,8 @@
 	return s
 }
 
-// Request notes a request.
-func (w *Window) Request(now time.Time) { w.at(now).requests++ }
+// RecordRequest notes a request.
+func (w *Window) RecordRequest(now time.Time) { w.at(now).requests++ }
 
 // Spend takes one repeat and reports whether it was there; share is this
 // instance's part of the slack.
--- a/core/budget/window_test.go
+++ b/core/budget/window_test.go
@@ -21,7 +21,7 @@
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
-				w.Request(now)
+				w.RecordRequest(now)
 				requests = append(requests, now)
 				continue
 			}
--- a/instance/relay/relay.go
+++ b/instance/relay/relay.go
@@ -173,7 +173,7 @@
 func (s *Service) countRequest(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.window(service).Request(clock.Now())
+	s.window(service).RecordRequest(clock.Now())
 }
 
 // mayRepeat takes one repeat out of the budget. The slack is shared by all
