--- a/core/sched/admit.go
+++ b/core/sched/admit.go
@@ -56,7 +56,7 @@
 	wait := s.expectedWait(now, i)
 	i.expected = wait
 	if limit := s.patience(now, i); wait > limit {
-		s.shed(i, ReasonLate, wait-limit)
+		s.shed(i, ReasonBacklog, wait-limit)
 		return false
 	}
 	return s.makeRoom(i, wait)
--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -117,7 +117,7 @@
 	}
 	g.Expect(len(refused)).To(BeNumerically(">=", 15))
 	for _, r := range refused {
-		g.Expect(r.Reason).To(Equal(sched.ReasonLate))
+		g.Expect(r.Reason).To(Equal(sched.ReasonBacklog))
 		g.Expect(r.RetryAfter).To(BeNumerically(">=", 400*time.Millisecond))
 	}
 }
--- a/core/sched/types.go
+++ b/core/sched/types.go
@@ -76,8 +76,8 @@
 
 // The reasons of a Shed.
 const (
-	// ReasonLate means that the backlog leaves no chance to meet the level.
-	ReasonLate Reason = "backlog"
+	// ReasonBacklog means that the backlog leaves no chance to meet the level.
+	ReasonBacklog Reason = "backlog"
 	// ReasonExpired means that the deadline passed in the queue.
 	ReasonExpired Reason = "deadline"
 	// ReasonFull means that a bound on queued work was reached.
