--- a/core/sched/admit.go
+++ b/core/sched/admit.go
@@ -46,7 +46,7 @@
 // admit decides whether a ticket may be queued; if not it sheds it.
 func (s *Scheduler) admit(now time.Time, i *item) bool {
 	if !now.Before(i.deadline) {
-		s.shed(i, ReasonTooLate, shortRetry)
+		s.shed(i, ReasonExpiredOnArrival, shortRetry)
 		return false
 	}
 	if !s.anyHolder(i) {
--- a/core/sched/types.go
+++ b/core/sched/types.go
@@ -89,8 +89,8 @@
 	ReasonNoUpstream Reason = "no_upstream"
 	// ReasonUnknownClass means that the intent in force has no such class.
 	ReasonUnknownClass Reason = "unknown_class"
-	// ReasonTooLate means that the request's deadline had passed on arrival.
-	ReasonTooLate Reason = "too_late"
+	// ReasonExpiredOnArrival means that the request's deadline had passed on arrival.
+	ReasonExpiredOnArrival Reason = "too_late"
 )
 
 // Effect is what the caller must do: a Grant or a Shed.
--- a/instance/schedule/state.go
+++ b/instance/schedule/state.go
@@ -258,7 +258,7 @@
 	}
 	s.forget(e.ID)
 	code := fault.Overloaded
-	if e.Reason == sched.ReasonExpired || e.Reason == sched.ReasonTooLate {
+	if e.Reason == sched.ReasonExpired || e.Reason == sched.ReasonExpiredOnArrival {
 		code = fault.DeadlineExceeded
 	}
 	r.reply <- reply{err: fault.New(code, "refused before it ran: %s", e.Reason).After(e.RetryAfter)}
