--- a/core/sched/admit.go
+++ b/core/sched/admit.go
@@ -185,7 +185,7 @@
 		s.evict(victim, ReasonDisplaced, s.backlogTime(victim))
 		return true
 	}
-	s.shed(i, ReasonFull, max(wait, s.backlogTime(i)))
+	s.shed(i, ReasonQueueFull, max(wait, s.backlogTime(i)))
 	return false
 }
 
--- a/core/sched/fault_test.go
+++ b/core/sched/fault_test.go
@@ -242,7 +242,7 @@
 	got := sheds(s.Submit(start, ticket("3", "review", "big", start)))
 	g.Expect(got).To(HaveLen(1))
 	g.Expect(got[0].ID).To(Equal("3"))
-	g.Expect(got[0].Reason).To(Equal(sched.ReasonFull))
+	g.Expect(got[0].Reason).To(Equal(sched.ReasonQueueFull))
 }
 
 // A slot stays taken for good when the scheduler's instance dies.
--- a/core/sched/property_test.go
+++ b/core/sched/property_test.go
@@ -132,7 +132,7 @@
 	switch e.Reason {
 	case sched.ReasonDisplaced:
 		w.Fatalf("protected %s was displaced", t.ID)
-	case sched.ReasonFull:
+	case sched.ReasonQueueFull:
 		for _, other := range w.queued {
 			if tiers[other.Class] > 0 {
 				w.Fatalf("protected %s shed as the queue is full while %s of %s is queued", t.ID, other.ID, other.Class)
--- a/core/sched/types.go
+++ b/core/sched/types.go
@@ -80,8 +80,8 @@
 	ReasonBacklog Reason = "backlog"
 	// ReasonExpired means that the deadline passed in the queue.
 	ReasonExpired Reason = "deadline"
-	// ReasonFull means that a bound on queued work was reached.
-	ReasonFull Reason = "queue_full"
+	// ReasonQueueFull means that a bound on queued work was reached.
+	ReasonQueueFull Reason = "queue_full"
 	// ReasonDisplaced means that the place went to a more urgent ticket.
 	ReasonDisplaced Reason = "displaced"
 	// ReasonNoUpstream means that no upstream holds the model, or that all that
