--- a/core/sched/fault_test.go
+++ b/core/sched/fault_test.go
@@ -33,7 +33,7 @@
 	ups[5].Load = &announce.Load{}
 	count := map[string]int{}
 	for part := range 4 {
-		s := sched.New(sched.Config{Apart: true, Headroom: 0.01}, rand.New(rand.NewSource(int64(part))))
+		s := sched.New(sched.Config{Uncoordinated: true, Headroom: 0.01}, rand.New(rand.NewSource(int64(part))))
 		s.SetClasses(document())
 		s.SetShare(part, 4)
 		s.SetUpstreams(start, ups)
--- a/core/sched/sched.go
+++ b/core/sched/sched.go
@@ -53,7 +53,7 @@
 func NewKnowing(cfg Config, rnd *rand.Rand, k *Knowledge) *Scheduler {
 	cfg = cfg.withDefaults()
 	picker := pick.Picker(pick.Best{})
-	if cfg.Apart {
+	if cfg.Uncoordinated {
 		picker = pick.TwoChoices{}
 	}
 	s := &Scheduler{
--- a/core/sched/types.go
+++ b/core/sched/types.go
@@ -160,9 +160,9 @@
 	// second; PriorTokens for the length of an unknown class's answer.
 	PriorTokenRate float64
 	PriorTokens    float64
-	// Apart says that other schedulers send to the same upstreams unseen, so
+	// Uncoordinated says that other schedulers send to the same upstreams unseen, so
 	// that choices must be spread (see pick.TwoChoices).
-	Apart bool
+	Uncoordinated bool
 }
 
 // Defaults of Config. They are starting points that were reasoned, not measured,
--- a/instance/schedule/domain.go
+++ b/instance/schedule/domain.go
@@ -86,7 +86,7 @@
 	s.up = upMessage{}
 	clear(s.heard)
 	policy := s.cfg.Policy
-	policy.Apart = as == roleAlone
+	policy.Uncoordinated = as == roleAlone
 	s.local = sched.NewKnowing(policy, s.rnd, s.known)
 	if as == roleAlone {
 		s.local.SetShare(rank(s.peers.Members(), s.self))
