--- a/core/sched/types.go
+++ b/core/sched/types.go
@@ -145,10 +145,10 @@
 type Config struct {
 	// MaxQueued bounds the queued tickets of the domain.
 	MaxQueued int
-	// MaxQueuedClass bounds those of one unprotected class, MaxQueuedShare those
+	// MaxQueuedPerClass bounds those of one unprotected class, MaxQueuedShare those
 	// of one organisation in one class.
-	MaxQueuedClass int
-	MaxQueuedShare int
+	MaxQueuedPerClass int
+	MaxQueuedShare    int
 	// MaxQueuedTokens bounds the queued work of one unprotected class.
 	MaxQueuedTokens float64
 	// Headroom is the share of each upstream's slots that unprotected classes
@@ -180,7 +180,7 @@
 
 func (c Config) withDefaults() Config {
 	defaults.Set(&c.MaxQueued, DefaultMaxQueued)
-	defaults.Set(&c.MaxQueuedClass, DefaultMaxQueuedClass)
+	defaults.Set(&c.MaxQueuedPerClass, DefaultMaxQueuedClass)
 	defaults.Set(&c.MaxQueuedShare, DefaultMaxQueuedShare)
 	defaults.Set(&c.MaxQueuedTokens, DefaultMaxQueuedTokens)
 	defaults.Set(&c.Headroom, DefaultHeadroom)
