--- a/core/sched/admit.go
+++ b/core/sched/admit.go
@@ -193,7 +193,7 @@
 	if s.queued >= s.cfg.MaxQueued {
 		return true
 	}
-	if a := i.class.accounts[i.Organisation]; a != nil && a.queued >= s.cfg.MaxQueuedShare {
+	if a := i.class.accounts[i.Organisation]; a != nil && a.queued >= s.cfg.MaxQueuedPerOrganisation {
 		return true
 	}
 	if i.class.Protected {
--- a/core/sched/property_test.go
+++ b/core/sched/property_test.go
@@ -146,7 +146,7 @@
 // late reports must never lead there, whatever their order.
 func TestEachTicketEndsOnceAndSlotsHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, sched.Config{MaxQueued: 12, MaxQueuedShare: 5, MaxQueuedPerClass: 8})
+		w := newWorld(t, sched.Config{MaxQueued: 12, MaxQueuedPerOrganisation: 5, MaxQueuedPerClass: 8})
 		t.Repeat(map[string]func(*rapid.T){
 			"submit": func(*rapid.T) { w.submit() },
 			"again":  func(*rapid.T) { w.submit() },
--- a/core/sched/types.go
+++ b/core/sched/types.go
@@ -147,8 +147,8 @@
 	MaxQueued int
 	// MaxQueuedPerClass bounds those of one unprotected class, MaxQueuedShare those
 	// of one organisation in one class.
-	MaxQueuedPerClass int
-	MaxQueuedShare    int
+	MaxQueuedPerClass        int
+	MaxQueuedPerOrganisation int
 	// MaxQueuedTokens bounds the queued work of one unprotected class.
 	MaxQueuedTokens float64
 	// Headroom is the share of each upstream's slots that unprotected classes
@@ -181,7 +181,7 @@
 func (c Config) withDefaults() Config {
 	defaults.Set(&c.MaxQueued, DefaultMaxQueued)
 	defaults.Set(&c.MaxQueuedPerClass, DefaultMaxQueuedClass)
-	defaults.Set(&c.MaxQueuedShare, DefaultMaxQueuedShare)
+	defaults.Set(&c.MaxQueuedPerOrganisation, DefaultMaxQueuedShare)
 	defaults.Set(&c.MaxQueuedTokens, DefaultMaxQueuedTokens)
 	defaults.Set(&c.Headroom, DefaultHeadroom)
 	defaults.Set(&c.PromptWeight, DefaultPromptWeight)
