--- a/core/sched/admit.go
+++ b/core/sched/admit.go
@@ -199,7 +199,7 @@
 	if i.class.Protected {
 		return false
 	}
-	return i.class.queued >= s.cfg.MaxQueuedPerClass || i.class.work+i.work > s.cfg.MaxQueuedTokens
+	return i.class.queued >= s.cfg.MaxQueuedPerClass || i.class.work+i.work > s.cfg.MaxQueuedWorkPerClass
 }
 
 // victim finds the queued ticket that goes first when room is needed: of the
--- a/core/sched/types.go
+++ b/core/sched/types.go
@@ -149,8 +149,8 @@
 	// of one organisation in one class.
 	MaxQueuedPerClass        int
 	MaxQueuedPerOrganisation int
-	// MaxQueuedTokens bounds the queued work of one unprotected class.
-	MaxQueuedTokens float64
+	// MaxQueuedWorkPerClass bounds the queued work of one unprotected class.
+	MaxQueuedWorkPerClass float64
 	// Headroom is the share of each upstream's slots that unprotected classes
 	// may not fill.
 	Headroom float64
@@ -182,7 +182,7 @@
 	defaults.Set(&c.MaxQueued, DefaultMaxQueued)
 	defaults.Set(&c.MaxQueuedPerClass, DefaultMaxQueuedClass)
 	defaults.Set(&c.MaxQueuedPerOrganisation, DefaultMaxQueuedShare)
-	defaults.Set(&c.MaxQueuedTokens, DefaultMaxQueuedTokens)
+	defaults.Set(&c.MaxQueuedWorkPerClass, DefaultMaxQueuedTokens)
 	defaults.Set(&c.Headroom, DefaultHeadroom)
 	defaults.Set(&c.PromptWeight, DefaultPromptWeight)
 	defaults.Set(&c.PriorTokenRate, DefaultPriorTokenRate)
