--- a/core/sched/knowledge.go
+++ b/core/sched/knowledge.go
@@ -22,7 +22,7 @@
 	cfg = cfg.withDefaults()
 	return &Knowledge{
 		promptWeight: cfg.PromptWeight,
-		lengths:      predict.New(cfg.PriorTokens, predictEntries),
+		lengths:      predict.New(cfg.PriorAnswerTokens, predictEntries),
 		engines:      map[string]*figures{},
 	}
 }
--- a/core/sched/types.go
+++ b/core/sched/types.go
@@ -158,8 +158,8 @@
 	PromptWeight float64
 	// PriorTokenRate is assumed for one stream of an unknown engine, in tokens a
 	// second; PriorTokens for the length of an unknown class's answer.
-	PriorTokenRate float64
-	PriorTokens    float64
+	PriorTokenRate    float64
+	PriorAnswerTokens float64
 	// Uncoordinated says that other schedulers send to the same upstreams unseen, so
 	// that choices must be spread (see pick.TwoChoices).
 	Uncoordinated bool
@@ -186,6 +186,6 @@
 	defaults.Set(&c.Headroom, DefaultHeadroom)
 	defaults.Set(&c.PromptWeight, DefaultPromptWeight)
 	defaults.Set(&c.PriorTokenRate, DefaultPriorTokenRate)
-	defaults.Set(&c.PriorTokens, DefaultPriorTokens)
+	defaults.Set(&c.PriorAnswerTokens, DefaultPriorTokens)
 	return c
 }
