--- a/core/sched/types.go
+++ b/core/sched/types.go
@@ -168,20 +168,20 @@
 // Defaults of Config. They are starting points that were reasoned, not measured,
 // unless docs say otherwise.
 const (
-	DefaultMaxQueued         = 8192
-	DefaultMaxQueuedPerClass = 2048
-	DefaultMaxQueuedShare    = 512
-	DefaultMaxQueuedTokens   = 4e6
-	DefaultHeadroom          = 0.1
-	DefaultPromptWeight      = 0.05
-	DefaultPriorTokenRate    = 30
-	DefaultPriorTokens       = 200
+	DefaultMaxQueued                = 8192
+	DefaultMaxQueuedPerClass        = 2048
+	DefaultMaxQueuedPerOrganisation = 512
+	DefaultMaxQueuedTokens          = 4e6
+	DefaultHeadroom                 = 0.1
+	DefaultPromptWeight             = 0.05
+	DefaultPriorTokenRate           = 30
+	DefaultPriorTokens              = 200
 )
 
 func (c Config) withDefaults() Config {
 	defaults.Set(&c.MaxQueued, DefaultMaxQueued)
 	defaults.Set(&c.MaxQueuedPerClass, DefaultMaxQueuedPerClass)
-	defaults.Set(&c.MaxQueuedPerOrganisation, DefaultMaxQueuedShare)
+	defaults.Set(&c.MaxQueuedPerOrganisation, DefaultMaxQueuedPerOrganisation)
 	defaults.Set(&c.MaxQueuedWorkPerClass, DefaultMaxQueuedTokens)
 	defaults.Set(&c.Headroom, DefaultHeadroom)
 	defaults.Set(&c.PromptWeight, DefaultPromptWeight)
