--- a/core/sched/types.go
+++ b/core/sched/types.go
@@ -171,7 +171,7 @@
 	DefaultMaxQueued                = 8192
 	DefaultMaxQueuedPerClass        = 2048
 	DefaultMaxQueuedPerOrganisation = 512
-	DefaultMaxQueuedTokens          = 4e6
+	DefaultMaxQueuedWorkPerClass    = 4e6
 	DefaultHeadroom                 = 0.1
 	DefaultPromptWeight             = 0.05
 	DefaultPriorTokenRate           = 30
@@ -182,7 +182,7 @@
 	defaults.Set(&c.MaxQueued, DefaultMaxQueued)
 	defaults.Set(&c.MaxQueuedPerClass, DefaultMaxQueuedPerClass)
 	defaults.Set(&c.MaxQueuedPerOrganisation, DefaultMaxQueuedPerOrganisation)
-	defaults.Set(&c.MaxQueuedWorkPerClass, DefaultMaxQueuedTokens)
+	defaults.Set(&c.MaxQueuedWorkPerClass, DefaultMaxQueuedWorkPerClass)
 	defaults.Set(&c.Headroom, DefaultHeadroom)
 	defaults.Set(&c.PromptWeight, DefaultPromptWeight)
 	defaults.Set(&c.PriorTokenRate, DefaultPriorTokenRate)
