--- a/core/sched/types.go
+++ b/core/sched/types.go
@@ -175,7 +175,7 @@
 	DefaultHeadroom                 = 0.1
 	DefaultPromptWeight             = 0.05
 	DefaultPriorTokenRate           = 30
-	DefaultPriorTokens              = 200
+	DefaultPriorAnswerTokens        = 200
 )
 
 func (c Config) withDefaults() Config {
@@ -186,6 +186,6 @@
 	defaults.Set(&c.Headroom, DefaultHeadroom)
 	defaults.Set(&c.PromptWeight, DefaultPromptWeight)
 	defaults.Set(&c.PriorTokenRate, DefaultPriorTokenRate)
-	defaults.Set(&c.PriorAnswerTokens, DefaultPriorTokens)
+	defaults.Set(&c.PriorAnswerTokens, DefaultPriorAnswerTokens)
 	return c
 }
