--- a/core/sched/dispatch.go
+++ b/core/sched/dispatch.go
@@ -185,7 +185,7 @@
 	s.send(now, i, e)
 	i.grant = Grant{
 		ID: i.ID, Instance: i.Instance, Upstream: e.Name, Address: e.Address, Priority: i.class.Tier,
-		Explain: Explain{
+		Explain: Explanation{
 			Waited: now.Sub(i.Arrived), Expected: i.expected, Floor: floor,
 			Candidates: choice.Kept, Score: choice.Score, Prefix: prefix,
 			InFlight: e.inFlight, Slots: e.Slots,
--- a/core/sched/types.go
+++ b/core/sched/types.go
@@ -96,8 +96,8 @@
 // Effect is what the caller must do: a Grant or a Shed.
 type Effect interface{ TicketID() string }
 
-// Explain tells why a grant went where it went.
-type Explain struct {
+// Explanation tells why a grant went where it went.
+type Explanation struct {
 	// Waited is the time in the queue.
 	Waited time.Duration `codec:"w,omitempty"`
 	// Expected is the wait that was estimated at arrival.
@@ -122,8 +122,8 @@
 	Upstream string `codec:"u,omitempty"`
 	Address  string `codec:"a,omitempty"`
 	// Priority is the class's tier, for the engine's own queue.
-	Priority int     `codec:"p,omitempty"`
-	Explain  Explain `codec:"x,omitempty"`
+	Priority int         `codec:"p,omitempty"`
+	Explain  Explanation `codec:"x,omitempty"`
 }
 
 // TicketID implements Effect.
--- a/instance/schedule/pack.go
+++ b/instance/schedule/pack.go
@@ -183,7 +183,7 @@
 func (m grantMessage) unpack(to string) sched.Grant {
 	return sched.Grant{
 		ID: m.ID, Instance: to, Upstream: m.Upstream, Address: m.Address, Priority: m.Priority,
-		Explain: sched.Explain{
+		Explain: sched.Explanation{
 			Waited: millis(m.Waited), Expected: millis(m.Expected), Floor: m.Floor, Candidates: m.Candidates,
 			Score: float64(m.Score) / mille, Prefix: float64(m.Prefix) / mille, InFlight: m.InFlight, Slots: m.Slots,
 		},
