--- a/core/sched/knowledge_test.go
+++ b/core/sched/knowledge_test.go
@@ -24,7 +24,7 @@
 		w.Started(start)
 		w.Progress(now, int(now.Sub(start)/(gap*time.Millisecond)))
 	}
-	s := sched.NewKnowing(sched.Config{}, rand.New(rand.NewSource(1)), k)
+	s := sched.NewWithEstimator(sched.Config{}, rand.New(rand.NewSource(1)), k)
 	s.SetClasses(&intent.Document{Classes: []intent.Class{
 		{Name: "answer", FirstToken: time.Second, BetweenTokens: 29 * time.Millisecond, Deadline: time.Minute},
 	}})
--- a/core/sched/sched.go
+++ b/core/sched/sched.go
@@ -46,11 +46,11 @@
 // New returns a scheduler without classes and upstreams; it refuses all tickets
 // until SetClasses and SetUpstreams were called.
 func New(cfg Config, rnd *rand.Rand) *Scheduler {
-	return NewKnowing(cfg, rnd, NewKnowledge(cfg))
+	return NewWithEstimator(cfg, rnd, NewKnowledge(cfg))
 }
 
-// NewKnowing is New with what was learned before; the scheduler goes on with k.
-func NewKnowing(cfg Config, rnd *rand.Rand, k *Knowledge) *Scheduler {
+// NewWithEstimator is New with what was learned before; the scheduler goes on with k.
+func NewWithEstimator(cfg Config, rnd *rand.Rand, k *Knowledge) *Scheduler {
 	cfg = cfg.withDefaults()
 	picker := pick.Picker(pick.Best{})
 	if cfg.Uncoordinated {
--- a/instance/schedule/domain.go
+++ b/instance/schedule/domain.go
@@ -87,7 +87,7 @@
 	clear(s.heard)
 	policy := s.cfg.Policy
 	policy.Uncoordinated = as == roleAlone
-	s.local = sched.NewKnowing(policy, s.rnd, s.known)
+	s.local = sched.NewWithEstimator(policy, s.rnd, s.known)
 	if as == roleAlone {
 		s.local.SetShare(rank(s.peers.Members(), s.self))
 	}
