--- a/core/sched/knowledge.go
+++ b/core/sched/knowledge.go
@@ -7,20 +7,20 @@
 	"github.com/comfreyladder/comfreyladder/core/predict"
 )
 
-// Knowledge is what was learned of engines and of the lengths of answers. It
+// Estimator is what was learned of engines and of the lengths of answers. It
 // outlives a Scheduler: an instance that follows learns from its own requests
 // (Watch), so that it knows slow engines and usual lengths when the role of the
 // scheduler moves to it. It is not safe for concurrent use.
-type Knowledge struct {
+type Estimator struct {
 	promptWeight float64
 	lengths      *predict.Predictor
 	engines      map[string]*figures
 }
 
 // NewKnowledge returns empty knowledge.
-func NewKnowledge(cfg Config) *Knowledge {
+func NewKnowledge(cfg Config) *Estimator {
 	cfg = cfg.withDefaults()
-	return &Knowledge{
+	return &Estimator{
 		promptWeight: cfg.PromptWeight,
 		lengths:      predict.New(cfg.PriorAnswerTokens, predictEntries),
 		engines:      map[string]*figures{},
@@ -28,7 +28,7 @@
 }
 
 // Keep forgets engines that are not listed.
-func (k *Knowledge) Keep(list []Upstream) {
+func (k *Estimator) Keep(list []Upstream) {
 	listed := make(map[string]*figures, len(list))
 	for i := range list {
 		if f := k.engines[list[i].Name]; f != nil {
@@ -38,7 +38,7 @@
 	k.engines = listed
 }
 
-func (k *Knowledge) engine(name string) *figures {
+func (k *Estimator) engine(name string) *figures {
 	f := k.engines[name]
 	if f == nil {
 		f = &figures{}
@@ -48,20 +48,20 @@
 }
 
 // workOf weighs a request's prompt and generated tokens.
-func (k *Knowledge) workOf(t *Ticket, tokens float64) float64 {
+func (k *Estimator) workOf(t *Ticket, tokens float64) float64 {
 	return tokens + k.promptWeight*float64(t.PromptTokens) + 1
 }
 
 // Watch learns from one granted request where no Scheduler does.
 type Watch struct {
-	k      *Knowledge
+	k      *Estimator
 	ticket Ticket
 	engine *figures
 	stream stream
 }
 
 // Watch begins to learn from a request that was granted now.
-func (k *Knowledge) Watch(now time.Time, t Ticket, upstream string) *Watch {
+func (k *Estimator) Watch(now time.Time, t Ticket, upstream string) *Watch {
 	return &Watch{k: k, ticket: t, engine: k.engine(upstream), stream: stream{grantedAt: now}}
 }
 
--- a/core/sched/sched.go
+++ b/core/sched/sched.go
@@ -15,7 +15,7 @@
 	cfg   Config
 	rnd   *rand.Rand
 	chain *pick.Chain
-	known *Knowledge
+	known *Estimator
 
 	classes map[string]*class
 	// order lists the classes by tier, the most urgent first.
@@ -50,7 +50,7 @@
 }
 
 // NewWithEstimator is New with what was learned before; the scheduler goes on with k.
-func NewWithEstimator(cfg Config, rnd *rand.Rand, k *Knowledge) *Scheduler {
+func NewWithEstimator(cfg Config, rnd *rand.Rand, k *Estimator) *Scheduler {
 	cfg = cfg.withDefaults()
 	picker := pick.Picker(pick.Best{})
 	if cfg.Uncoordinated {
--- a/instance/schedule/state.go
+++ b/instance/schedule/state.go
@@ -61,7 +61,7 @@
 	// local is the scheduler that runs here; nil for followers. known is what
 	// was learned, whoever schedules.
 	local *sched.Scheduler
-	known *sched.Knowledge
+	known *sched.Estimator
 
 	requests map[string]*request
 	draining bool
