--- a/core/sched/knowledge.go
+++ b/core/sched/knowledge.go
@@ -17,8 +17,8 @@
 	engines      map[string]*figures
 }
 
-// NewKnowledge returns empty knowledge.
-func NewKnowledge(cfg Config) *Estimator {
+// NewEstimator returns empty knowledge.
+func NewEstimator(cfg Config) *Estimator {
 	cfg = cfg.withDefaults()
 	return &Estimator{
 		promptWeight: cfg.PromptWeight,
--- a/core/sched/knowledge_test.go
+++ b/core/sched/knowledge_test.go
@@ -17,7 +17,7 @@
 // had learned nothing from its own requests.
 func TestSchedulerBeginsWithWhatItsInstanceLearned(t *testing.T) {
 	g := NewWithT(t)
-	k := sched.NewKnowledge(sched.Config{})
+	k := sched.NewEstimator(sched.Config{})
 	now := start.Add(800 * time.Millisecond)
 	for n, gap := range []time.Duration{20, 60, 20, 20} {
 		w := k.Watch(start, ticket(fmt.Sprint(n), "draft", "big", start), fmt.Sprint("e", n))
--- a/core/sched/sched.go
+++ b/core/sched/sched.go
@@ -46,7 +46,7 @@
 // New returns a scheduler without classes and upstreams; it refuses all tickets
 // until SetClasses and SetUpstreams were called.
 func New(cfg Config, rnd *rand.Rand) *Scheduler {
-	return NewWithEstimator(cfg, rnd, NewKnowledge(cfg))
+	return NewWithEstimator(cfg, rnd, NewEstimator(cfg))
 }
 
 // NewWithEstimator is New with what was learned before; the scheduler goes on with k.
--- a/instance/schedule/service.go
+++ b/instance/schedule/service.go
@@ -88,7 +88,7 @@
 	s.state = &state{
 		cfg: cfg, peers: peers, self: peers.Self(), rnd: rand.New(rand.NewSource(cfg.Seed)),
 		requests: map[string]*request{}, heard: map[string]time.Time{}, down: map[string]*downMessage{},
-		doc: &intent.Document{}, known: sched.NewKnowledge(cfg.Policy),
+		doc: &intent.Document{}, known: sched.NewEstimator(cfg.Policy),
 	}
 	peers.Handle(channelUp, func(_ context.Context, from string, d Decoder) {
 		var m upMessage
