--- a/core/sched/knowledge.go
+++ b/core/sched/knowledge.go
@@ -52,8 +52,8 @@
 	return tokens + k.promptWeight*float64(t.PromptTokens) + 1
 }
 
-// Watch learns from one granted request where no Scheduler does.
-type Watch struct {
+// Observation learns from one granted request where no Scheduler does.
+type Observation struct {
 	k      *Estimator
 	ticket Ticket
 	engine *figures
@@ -61,25 +61,25 @@
 }
 
 // Watch begins to learn from a request that was granted now.
-func (k *Estimator) Watch(now time.Time, t Ticket, upstream string) *Watch {
-	return &Watch{k: k, ticket: t, engine: k.engine(upstream), stream: stream{grantedAt: now}}
+func (k *Estimator) Watch(now time.Time, t Ticket, upstream string) *Observation {
+	return &Observation{k: k, ticket: t, engine: k.engine(upstream), stream: stream{grantedAt: now}}
 }
 
 // Started notes the first token.
-func (w *Watch) Started(now time.Time) {
+func (w *Observation) Started(now time.Time) {
 	if w.stream.startedAt.IsZero() {
 		w.engine.started(now, &w.stream, w.engine.alpha(now))
 	}
 }
 
 // Progress notes how many tokens came so far.
-func (w *Watch) Progress(now time.Time, tokens int) {
+func (w *Observation) Progress(now time.Time, tokens int) {
 	w.Started(now)
 	w.engine.pace(now, &w.stream, tokens, w.engine.alpha(now))
 }
 
 // Finish notes the end.
-func (w *Watch) Finish(now time.Time, o Outcome) {
+func (w *Observation) Finish(now time.Time, o Outcome) {
 	if o.Complete {
 		w.k.lengths.Observe(w.ticket.Class, w.ticket.Organisation, o.Tokens)
 	}
--- a/instance/schedule/state.go
+++ b/instance/schedule/state.go
@@ -36,7 +36,7 @@
 	tokens  int
 	started bool
 	// watch learns from the request while no scheduler runs here.
-	watch *sched.Watch
+	watch *sched.Observation
 }
 
 type reply struct {
@@ -152,7 +152,7 @@
 	s.tell(now, e)
 }
 
-func learn(now time.Time, w *sched.Watch, e event) {
+func learn(now time.Time, w *sched.Observation, e event) {
 	switch e.Kind {
 	case eventStarted:
 		w.Started(now)
