--- a/core/sched/knowledge.go
+++ b/core/sched/knowledge.go
@@ -60,8 +60,8 @@
 	stream stream
 }
 
-// Watch begins to learn from a request that was granted now.
-func (k *Estimator) Watch(now time.Time, t Ticket, upstream string) *Observation {
+// Observe begins to learn from a request that was granted now.
+func (k *Estimator) Observe(now time.Time, t Ticket, upstream string) *Observation {
 	return &Observation{k: k, ticket: t, engine: k.engine(upstream), stream: stream{grantedAt: now}}
 }
 
--- a/core/sched/knowledge_test.go
+++ b/core/sched/knowledge_test.go
@@ -20,7 +20,7 @@
 	k := sched.NewEstimator(sched.Config{})
 	now := start.Add(800 * time.Millisecond)
 	for n, gap := range []time.Duration{20, 60, 20, 20} {
-		w := k.Watch(start, ticket(fmt.Sprint(n), "draft", "big", start), fmt.Sprint("e", n))
+		w := k.Observe(start, ticket(fmt.Sprint(n), "draft", "big", start), fmt.Sprint("e", n))
 		w.Started(start)
 		w.Progress(now, int(now.Sub(start)/(gap*time.Millisecond)))
 	}
--- a/instance/schedule/state.go
+++ b/instance/schedule/state.go
@@ -231,7 +231,7 @@
 	}
 	r.flying, r.grant = true, g
 	if s.local == nil {
-		r.watch = s.known.Watch(now, r.ticket, g.Upstream)
+		r.watch = s.known.Observe(now, r.ticket, g.Upstream)
 	}
 	if giver != s.self && s.local != nil {
 		s.local.Restore(now, r.ticket, g.Upstream, 0)
