--- a/core/sched/knowledge.go
+++ b/core/sched/knowledge.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// Keep forgets engines that are not listed.
-func (k *Estimator) Keep(list []Upstream) {
+// Retain forgets engines that are not listed.
+func (k *Estimator) Retain(list []Upstream) {
 	listed := make(map[string]*figures, len(list))
 	for i := range list {
 		if f := k.engines[list[i].Name]; f != nil {
--- a/instance/schedule/state.go
+++ b/instance/schedule/state.go
@@ -92,7 +92,7 @@
 func (s *state) setUpstreams(now time.Time, list []sched.Upstream) {
 	s.upstreams = list
 	if s.local == nil {
-		s.known.Keep(list)
+		s.known.Retain(list)
 		return
 	}
 	s.apply(now, s.local.SetUpstreams(now, list))
