--- a/core/sched/fault_test.go
+++ b/core/sched/fault_test.go
@@ -251,7 +251,7 @@
 func TestSuccessorTakesOverGrantsInFlight(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{}, engines(1, 2))
-	s.Hold(start.Add(500 * time.Millisecond))
+	s.HoldGrants(start.Add(500 * time.Millisecond))
 	g.Expect(s.Submit(start, ticket("new", "draft", "big", start))).To(BeEmpty())
 	s.Restore(start, ticket("old1", "draft", "big", start), "e0", 10)
 	s.Restore(start, ticket("old1", "draft", "big", start), "e0", 10)
--- a/core/sched/sched.go
+++ b/core/sched/sched.go
@@ -68,9 +68,9 @@
 	return s
 }
 
-// Hold lets nothing be granted before the given time, while a new scheduler
+// HoldGrants lets nothing be granted before the given time, while a new scheduler
 // still learns of the grants of the one before it.
-func (s *Scheduler) Hold(until time.Time) { s.holdUntil = until }
+func (s *Scheduler) HoldGrants(until time.Time) { s.holdUntil = until }
 
 // Submit takes in a waiting request. An ID that is known already changes
 // nothing, so that a ticket may be sent again after a lost message.
--- a/instance/schedule/domain.go
+++ b/instance/schedule/domain.go
@@ -101,7 +101,7 @@
 		}
 	}
 	if as == roleScheduler {
-		s.local.Hold(now.Add(s.cfg.HandOver))
+		s.local.HoldGrants(now.Add(s.cfg.HandOver))
 	}
 	for _, r := range requests {
 		if !r.flying {
