--- a/core/sched/fault_test.go
+++ b/core/sched/fault_test.go
@@ -270,7 +270,7 @@
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{}, engines(1, 2))
 	s.Restore(start, ticket("old", "draft", "big", start), "left", 10)
-	_, granted := s.Of("i")
+	_, granted := s.TicketsOf("i")
 	g.Expect(granted).To(Equal([]string{"old"}))
 	for n := range 4 {
 		for _, gr := range grants(s.Submit(start, ticket(fmt.Sprint(n), "draft", "big", start))) {
--- a/core/sched/status.go
+++ b/core/sched/status.go
@@ -62,8 +62,8 @@
 	return out
 }
 
-// Of returns the IDs of an instance's tickets: those queued and those granted.
-func (s *Scheduler) Of(instance string) (queued, granted []string) {
+// TicketsOf returns the IDs of an instance's tickets: those queued and those granted.
+func (s *Scheduler) TicketsOf(instance string) (queued, granted []string) {
 	for id, i := range s.items {
 		switch {
 		case i.Instance != instance:
@@ -90,7 +90,7 @@
 // whose upstreams cancel streams that nobody reads. The queued ones go first, so
 // that no slot that becomes free is granted to the dead.
 func (s *Scheduler) DropInstance(now time.Time, instance string) []Effect {
-	queued, granted := s.Of(instance)
+	queued, granted := s.TicketsOf(instance)
 	slices.Sort(granted)
 	var out []Effect
 	for _, id := range append(queued, granted...) {
--- a/instance/schedule/domain.go
+++ b/instance/schedule/domain.go
@@ -222,7 +222,7 @@
 			d.Grants = append(d.Grants, packGrant(g))
 		}
 	}
-	queued, granted := s.local.Of(from)
+	queued, granted := s.local.TicketsOf(from)
 	for _, id := range append(queued, granted...) {
 		if !has[id] {
 			s.apply(now, s.local.Cancel(now, id))
@@ -233,7 +233,7 @@
 // compare acknowledges a beat and asks for a full exchange when the digests
 // differ: a message was lost, or one is on its way, which costs only a message.
 func (s *state) compare(from string, m *upMessage) {
-	queued, granted := s.local.Of(from)
+	queued, granted := s.local.TicketsOf(from)
 	d := s.downTo(from)
 	d.Resync = digestOf(queued) != m.Waiting || digestOf(granted) != m.Flying
 }
