--- a/core/sched/fault_test.go
+++ b/core/sched/fault_test.go
@@ -35,7 +35,7 @@
 	for part := range 4 {
 		s := sched.New(sched.Config{Uncoordinated: true, Headroom: 0.01}, rand.New(rand.NewSource(int64(part))))
 		s.SetClasses(document())
-		s.SetShare(part, 4)
+		s.SetSlotShare(part, 4)
 		s.SetUpstreams(start, ups)
 		for n := range 12 {
 			for _, gr := range grants(s.Submit(start, ticket(fmt.Sprint(n), "draft", "big", start))) {
@@ -304,7 +304,7 @@
 	total := 0
 	for part := range 3 {
 		s := newScheduler(sched.Config{Headroom: 0.001}, engines(5, 4))
-		s.SetShare(part, 3)
+		s.SetSlotShare(part, 3)
 		for n := range 40 {
 			total += len(grants(s.Submit(start, ticket(fmt.Sprint(n), "review", "big", start))))
 		}
--- a/core/sched/settings.go
+++ b/core/sched/settings.go
@@ -73,11 +73,11 @@
 	return 1
 }
 
-// SetShare gives this scheduler one of parts equal parts of each upstream's
+// SetSlotShare gives this scheduler one of parts equal parts of each upstream's
 // slots, for times in which several instances schedule for themselves; part
 // counts from 0. What does not divide evenly goes to a part that differs from
 // upstream to upstream.
-func (s *Scheduler) SetShare(part, parts int) {
+func (s *Scheduler) SetSlotShare(part, parts int) {
 	s.part, s.parts = part, max(parts, 1)
 	s.countSlots()
 }
--- a/instance/schedule/domain.go
+++ b/instance/schedule/domain.go
@@ -23,7 +23,7 @@
 	if s.role == roleScheduler {
 		s.endLeases(now)
 	} else {
-		s.local.SetShare(rank(s.peers.Members(), s.self))
+		s.local.SetSlotShare(rank(s.peers.Members(), s.self))
 	}
 	s.apply(now, s.local.Tick(now))
 }
@@ -89,7 +89,7 @@
 	policy.Uncoordinated = as == roleAlone
 	s.local = sched.NewWithEstimator(policy, s.rnd, s.known)
 	if as == roleAlone {
-		s.local.SetShare(rank(s.peers.Members(), s.self))
+		s.local.SetSlotShare(rank(s.peers.Members(), s.self))
 	}
 	s.local.SetClasses(s.doc)
 	s.local.SetOrganisations(s.doc)
