--- a/core/sched/status.go
+++ b/core/sched/status.go
@@ -31,8 +31,8 @@
 	Slots    int `codec:"slots" json:"slots"`
 	InFlight int `codec:"in_flight" json:"in_flight"`
 	Used     int `codec:"used" json:"used"`
-	// Aside says that it is a straggler, Down that nothing comes from it.
-	Aside    bool `codec:"aside" json:"aside"`
+	// Ejected says that it is a straggler, Down that nothing comes from it.
+	Ejected  bool `codec:"aside" json:"aside"`
 	Down     bool `codec:"down" json:"down"`
 	Draining bool `codec:"draining" json:"draining"`
 	// FirstToken is the smoothed time to the first token; TokenRate the smoothed
@@ -55,7 +55,7 @@
 	}
 	for _, e := range s.engines {
 		out.Upstreams = append(out.Upstreams, UpstreamStatus{
-			Name: e.Name, Slots: e.slots, InFlight: e.inFlight, Used: e.used(now), Aside: e.aside, Down: e.down,
+			Name: e.Name, Slots: e.slots, InFlight: e.inFlight, Used: e.used(now), Ejected: e.aside, Down: e.down,
 			Draining: e.Draining || e.gone, FirstToken: seconds(e.firstToken), TokenRate: e.tokenRate,
 		})
 	}
