--- a/core/sched/types.go
+++ b/core/sched/types.go
@@ -100,8 +100,8 @@
 type Explanation struct {
 	// Waited is the time in the queue.
 	Waited time.Duration `codec:"w,omitempty"`
-	// Expected is the wait that was estimated at arrival.
-	Expected time.Duration `codec:"e,omitempty"`
+	// ExpectedWait is the wait that was estimated at arrival.
+	ExpectedWait time.Duration `codec:"e,omitempty"`
 	// Floor says that the class went first because it was below its floor.
 	Floor bool `codec:"l,omitempty"`
 	// Candidates is how many upstreams were open to it; Score is the chosen
