--- a/core/sched/types.go
+++ b/core/sched/types.go
@@ -102,8 +102,8 @@
 	Waited time.Duration `codec:"w,omitempty"`
 	// ExpectedWait is the wait that was estimated at arrival.
 	ExpectedWait time.Duration `codec:"e,omitempty"`
-	// Floor says that the class went first because it was below its floor.
-	Floor bool `codec:"l,omitempty"`
+	// BelowFloor says that the class went first because it was below its floor.
+	BelowFloor bool `codec:"l,omitempty"`
 	// Candidates is how many upstreams were open to it; Score is the chosen
 	// one's, in [0,1].
 	Candidates int     `codec:"c,omitempty"`
--- a/instance/schedule/pack.go
+++ b/instance/schedule/pack.go
@@ -175,7 +175,7 @@
 	x := g.Explain
 	return grantMessage{
 		ID: g.ID, Upstream: g.Upstream, Address: g.Address, Priority: g.Priority,
-		Waited: x.Waited.Milliseconds(), Expected: x.ExpectedWait.Milliseconds(), Floor: x.Floor, Candidates: x.Candidates,
+		Waited: x.Waited.Milliseconds(), Expected: x.ExpectedWait.Milliseconds(), Floor: x.BelowFloor, Candidates: x.Candidates,
 		Score: inMille(x.Score), Prefix: inMille(x.Prefix), InFlight: x.InFlight, Slots: x.Slots,
 	}
 }
@@ -184,7 +184,7 @@
 	return sched.Grant{
 		ID: m.ID, Instance: to, Upstream: m.Upstream, Address: m.Address, Priority: m.Priority,
 		Explain: sched.Explanation{
-			Waited: millis(m.Waited), ExpectedWait: millis(m.Expected), Floor: m.Floor, Candidates: m.Candidates,
+			Waited: millis(m.Waited), ExpectedWait: millis(m.Expected), BelowFloor: m.Floor, Candidates: m.Candidates,
 			Score: float64(m.Score) / mille, Prefix: float64(m.Prefix) / mille, InFlight: m.InFlight, Slots: m.Slots,
 		},
 	}
