--- a/core/sched/dispatch.go
+++ b/core/sched/dispatch.go
@@ -187,7 +187,7 @@
 		ID: i.ID, Instance: i.Instance, Upstream: e.Name, Address: e.Address, Priority: i.class.Tier,
 		Explain: Explanation{
 			Waited: now.Sub(i.Arrived), ExpectedWait: i.expected, BelowFloor: floor,
-			Candidates: choice.Kept, Score: choice.Score, Prefix: prefix,
+			Candidates: choice.Kept, Score: choice.Score, CachedPrefix: prefix,
 			InFlight: e.inFlight, Slots: e.Slots,
 		},
 	}
--- a/core/sched/types.go
+++ b/core/sched/types.go
@@ -108,8 +108,8 @@
 	// one's, in [0,1].
 	Candidates int     `codec:"c,omitempty"`
 	Score      float64 `codec:"s,omitempty"`
-	// Prefix is the share of the prompt believed to be cached there.
-	Prefix float64 `codec:"p,omitempty"`
+	// CachedPrefix is the share of the prompt believed to be cached there.
+	CachedPrefix float64 `codec:"p,omitempty"`
 	// InFlight and Slots are the chosen upstream's, with this grant.
 	InFlight int `codec:"n,omitempty"`
 	Slots    int `codec:"t,omitempty"`
--- a/instance/schedule/pack.go
+++ b/instance/schedule/pack.go
@@ -176,7 +176,7 @@
 	return grantMessage{
 		ID: g.ID, Upstream: g.Upstream, Address: g.Address, Priority: g.Priority,
 		Waited: x.Waited.Milliseconds(), Expected: x.ExpectedWait.Milliseconds(), Floor: x.BelowFloor, Candidates: x.Candidates,
-		Score: inMille(x.Score), Prefix: inMille(x.Prefix), InFlight: x.InFlight, Slots: x.Slots,
+		Score: inMille(x.Score), Prefix: inMille(x.CachedPrefix), InFlight: x.InFlight, Slots: x.Slots,
 	}
 }
 
@@ -185,7 +185,7 @@
 		ID: m.ID, Instance: to, Upstream: m.Upstream, Address: m.Address, Priority: m.Priority,
 		Explain: sched.Explanation{
 			Waited: millis(m.Waited), ExpectedWait: millis(m.Expected), BelowFloor: m.Floor, Candidates: m.Candidates,
-			Score: float64(m.Score) / mille, Prefix: float64(m.Prefix) / mille, InFlight: m.InFlight, Slots: m.Slots,
+			Score: float64(m.Score) / mille, CachedPrefix: float64(m.Prefix) / mille, InFlight: m.InFlight, Slots: m.Slots,
 		},
 	}
 }
--- a/instance/schedule/pack_test.go
+++ b/instance/schedule/pack_test.go
@@ -73,7 +73,7 @@
 	}
 	grant := sched.Grant{
 		ID: ticket.ID, Instance: "entry-1", Upstream: "e2", Address: "127.0.0.1:1", Priority: 3,
-		Explain: sched.Explanation{Waited: time.Second, ExpectedWait: 2 * time.Second, BelowFloor: true, Candidates: 4, Score: 0.625, Prefix: 0.25, InFlight: 5, Slots: 6},
+		Explain: sched.Explanation{Waited: time.Second, ExpectedWait: 2 * time.Second, BelowFloor: true, Candidates: 4, Score: 0.625, CachedPrefix: 0.25, InFlight: 5, Slots: 6},
 	}
 	up := upMessage{Submits: []ticketMessage{packTicket(ticket, now)}, Events: []event{{Kind: eventProgress, ID: ticket.ID, Tokens: 64, at: now.Add(-30 * time.Millisecond)}}}
 	up.stamp(now)
