--- a/core/budget/budget.go
+++ b/core/budget/budget.go
@@ -30,8 +30,8 @@
 }
 
 type account struct {
-	saved float64
-	at    time.Time
+	balance   float64
+	updatedAt time.Time
 }
 
 // New returns budgets that start full; zero fields of cfg take the defaults.
@@ -51,35 +51,35 @@
 // RecordFirst notes a first attempt, which earns a share of a second one.
 func (b *Budgets) RecordFirst(now time.Time, class string) {
 	a := b.account(now, class)
-	a.saved = min(a.saved+b.cfg.Ratio, b.cfg.Burst)
+	a.balance = min(a.balance+b.cfg.Ratio, b.cfg.Burst)
 }
 
 // Spend takes one second attempt from the budget and reports whether it was
 // there; if not, nothing is taken.
 func (b *Budgets) Spend(now time.Time, class string) bool {
 	a := b.account(now, class)
-	if a.saved < 1 {
+	if a.balance < 1 {
 		return false
 	}
-	a.saved--
+	a.balance--
 	return true
 }
 
 // Refund gives back a second attempt that was not made after all.
 func (b *Budgets) Refund(now time.Time, class string) {
 	a := b.account(now, class)
-	a.saved = min(a.saved+1, b.cfg.Burst)
+	a.balance = min(a.balance+1, b.cfg.Burst)
 }
 
 func (b *Budgets) account(now time.Time, class string) *account {
 	a, ok := b.classes[class]
 	if !ok {
-		a = &account{saved: b.cfg.Burst, at: now}
+		a = &account{balance: b.cfg.Burst, updatedAt: now}
 		b.classes[class] = a
 	}
-	if passed := now.Sub(a.at); passed > 0 {
-		a.saved = min(a.saved+passed.Seconds()*b.cfg.PerSecond, b.cfg.Burst)
-		a.at = now
+	if passed := now.Sub(a.updatedAt); passed > 0 {
+		a.balance = min(a.balance+passed.Seconds()*b.cfg.PerSecond, b.cfg.Burst)
+		a.updatedAt = now
 	}
 	return a
 }
--- a/core/budget/window.go
+++ b/core/budget/window.go
@@ -25,7 +25,7 @@
 // NewWindow returns a window without counts.
 func NewWindow(ratio float64, span time.Duration) *Window { return &Window{ratio: ratio, span: span} }
 
-func (w *Window) at(now time.Time) *step {
+func (w *Window) currentStep(now time.Time) *step {
 	number := now.UnixNano() / int64(w.span/windowSteps)
 	number = max(number, w.latest)
 	w.latest = number
@@ -37,12 +37,12 @@
 }
 
 // RecordRequest notes a request.
-func (w *Window) RecordRequest(now time.Time) { w.at(now).requests++ }
+func (w *Window) RecordRequest(now time.Time) { w.currentStep(now).requests++ }
 
 // Spend takes one repeat and reports whether it was there; share is this
 // instance's part of the slack.
 func (w *Window) Spend(now time.Time, share float64) bool {
-	s := w.at(now)
+	s := w.currentStep(now)
 	requests, repeats := 0, 0
 	for i := range w.steps {
 		if w.latest-w.steps[i].number <= windowSteps {
--- a/core/predict/predict.go
+++ b/core/predict/predict.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// perOctave is how many buckets cover a factor of two.
-	perOctave = 4
-	octaves   = 18
-	buckets   = perOctave * octaves
-	// window is the count after which old observations weigh half.
-	window = 512
-	// enough is the count from which a histogram speaks for itself.
-	enough = 16
+	// bucketsPerOctave is how many buckets cover a factor of two.
+	bucketsPerOctave = 4
+	octaves          = 18
+	bucketCount      = bucketsPerOctave * octaves
+	// halvingWindow is the count after which old observations weigh half.
+	halvingWindow = 512
+	// minObservations is the count from which a histogram speaks for itself.
+	minObservations = 16
 )
 
 // Key names one distribution. An empty Organisation stands for the whole class.
@@ -57,10 +57,10 @@
 		p.classes[class] = h
 	}
 	h.add(tokens)
-	p.organisation(Key{class, organisation}).add(tokens)
+	p.organisationHistogram(Key{class, organisation}).add(tokens)
 }
 
-func (p *Predictor) organisation(k Key) *histogram {
+func (p *Predictor) organisationHistogram(k Key) *histogram {
 	if at, ok := p.entries[k]; ok {
 		p.recent.MoveToFront(at)
 		return &at.Value.(*entry).hist
@@ -77,7 +77,7 @@
 
 // Mean returns the expected length in tokens.
 func (p *Predictor) Mean(class, organisation string) float64 {
-	h := p.best(class, organisation)
+	h := p.histogramFor(class, organisation)
 	if h == nil {
 		return p.prior
 	}
@@ -87,7 +87,7 @@
 // Quantile returns the length that a share q, in [0,1], of answers stays at or
 // below, exact to a bucket (19%).
 func (p *Predictor) Quantile(class, organisation string, q float64) float64 {
-	h := p.best(class, organisation)
+	h := p.histogramFor(class, organisation)
 	if h == nil {
 		return p.prior
 	}
@@ -97,13 +97,13 @@
 // Len returns how many organisations' histograms are held.
 func (p *Predictor) Len() int { return p.recent.Len() }
 
-func (p *Predictor) best(class, organisation string) *histogram {
+func (p *Predictor) histogramFor(class, organisation string) *histogram {
 	if at, ok := p.entries[Key{class, organisation}]; ok {
-		if h := &at.Value.(*entry).hist; h.total >= enough {
+		if h := &at.Value.(*entry).hist; h.total >= minObservations {
 			return h
 		}
 	}
-	if h := p.classes[class]; h != nil && h.total >= enough {
+	if h := p.classes[class]; h != nil && h.total >= minObservations {
 		return h
 	}
 	return nil
@@ -112,16 +112,16 @@
 // histogram has logarithmic buckets whose counts are halved now and then, so
 // that the distribution follows a change of the traffic.
 type histogram struct {
-	counts [buckets]uint32
+	counts [bucketCount]uint32
 	total  uint32
 	sum    float64
 }
 
 func (h *histogram) add(tokens int) {
-	h.counts[bucket(tokens)]++
+	h.counts[bucketIndex(tokens)]++
 	h.total++
 	h.sum += float64(tokens)
-	if h.total >= 2*window {
+	if h.total >= 2*halvingWindow {
 		h.halve()
 	}
 }
@@ -144,22 +144,22 @@
 	for i, n := range h.counts {
 		seen += n
 		if n > 0 && seen >= rank {
-			return upper(i)
+			return bucketUpperBound(i)
 		}
 	}
-	return upper(buckets - 1)
+	return bucketUpperBound(bucketCount - 1)
 }
 
-func bucket(tokens int) int {
+func bucketIndex(tokens int) int {
 	if tokens < 1 {
 		return 0
 	}
 	octave := bits.Len(uint(tokens)) - 1
 	part := math.Log2(float64(tokens)) - float64(octave)
-	i := octave*perOctave + int(part*perOctave)
-	return min(i, buckets-1)
+	i := octave*bucketsPerOctave + int(part*bucketsPerOctave)
+	return min(i, bucketCount-1)
 }
 
-func upper(bucket int) float64 {
-	return math.Exp2(float64(bucket+1) / perOctave)
+func bucketUpperBound(bucket int) float64 {
+	return math.Exp2(float64(bucket+1) / bucketsPerOctave)
 }
--- a/core/sched/heap.go
+++ b/core/sched/heap.go
@@ -1,50 +1,50 @@
 package sched
 
-// indexed is a binary heap whose elements know their position, so that any of
+// indexedHeap is a binary heap whose elements know their position, so that any of
 // them can be moved or removed in logarithmic time.
-type indexed[T any] struct {
+type indexedHeap[T any] struct {
 	items []T
 	less  func(a, b T) bool
-	// place stores an element's position; it is -1 outside the heap.
-	place func(v T, at int)
+	// setIndex stores an element's position; it is -1 outside the heap.
+	setIndex func(v T, at int)
 }
 
-func (h *indexed[T]) len() int { return len(h.items) }
+func (h *indexedHeap[T]) len() int { return len(h.items) }
 
-func (h *indexed[T]) top() T { return h.items[0] }
+func (h *indexedHeap[T]) top() T { return h.items[0] }
 
-func (h *indexed[T]) push(v T) {
+func (h *indexedHeap[T]) push(v T) {
 	h.items = append(h.items, v)
-	h.place(v, len(h.items)-1)
+	h.setIndex(v, len(h.items)-1)
 	h.up(len(h.items) - 1)
 }
 
-func (h *indexed[T]) remove(at int) {
+func (h *indexedHeap[T]) remove(at int) {
 	last := len(h.items) - 1
 	gone := h.items[at]
 	h.swap(at, last)
 	var zero T
 	h.items[last] = zero
 	h.items = h.items[:last]
-	h.place(gone, -1)
+	h.setIndex(gone, -1)
 	if at < last {
 		h.fix(at)
 	}
 }
 
-func (h *indexed[T]) fix(at int) {
+func (h *indexedHeap[T]) fix(at int) {
 	if !h.down(at) {
 		h.up(at)
 	}
 }
 
-func (h *indexed[T]) swap(a, b int) {
+func (h *indexedHeap[T]) swap(a, b int) {
 	h.items[a], h.items[b] = h.items[b], h.items[a]
-	h.place(h.items[a], a)
-	h.place(h.items[b], b)
+	h.setIndex(h.items[a], a)
+	h.setIndex(h.items[b], b)
 }
 
-func (h *indexed[T]) up(at int) {
+func (h *indexedHeap[T]) up(at int) {
 	for at > 0 {
 		parent := (at - 1) / 2
 		if !h.less(h.items[at], h.items[parent]) {
@@ -55,7 +55,7 @@
 	}
 }
 
-func (h *indexed[T]) down(at int) bool {
+func (h *indexedHeap[T]) down(at int) bool {
 	start := at
 	for {
 		child := 2*at + 1
--- a/core/sched/meter.go
+++ b/core/sched/meter.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// meterMemory is the time constant of a meter.
-const meterMemory = 5 * time.Second
+// meterTimeConstant is the time constant of a meter.
+const meterTimeConstant = 5 * time.Second
 
-// meter measures a rate in units a second with exponential forgetting.
-type meter struct {
+// rateMeter measures a rate in units a second with exponential forgetting.
+type rateMeter struct {
 	rate float64
 	at   time.Time
 }
 
-func (m *meter) add(now time.Time, amount float64) {
-	m.rate = m.read(now) + amount/meterMemory.Seconds()
+func (m *rateMeter) add(now time.Time, amount float64) {
+	m.rate = m.rateAt(now) + amount/meterTimeConstant.Seconds()
 	m.at = now
 }
 
-func (m *meter) read(now time.Time) float64 {
+func (m *rateMeter) rateAt(now time.Time) float64 {
 	if m.at.IsZero() {
 		return 0
 	}
 	passed := max(now.Sub(m.at), 0)
-	return m.rate * math.Exp(-passed.Seconds()/meterMemory.Seconds())
+	return m.rate * math.Exp(-passed.Seconds()/meterTimeConstant.Seconds())
 }
 
 // smooth moves old towards sample by the share alpha; a zero old is replaced.
--- a/core/sched/prompts.go
+++ b/core/sched/prompts.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// promptMemory is the time constant with which sent prompts are forgotten: what
+// promptTimeConstant is the time constant with which sent prompts are forgotten: what
 // an engine takes for one of a few thousand tokens while it goes on generating.
-const promptMemory = time.Second
+const promptTimeConstant = time.Second
 
-// promptsNow is how many prompt tokens the engine still has to work through.
-func (e *engine) promptsNow(now time.Time) float64 {
-	return e.prompts * math.Exp(-max(now.Sub(e.promptsAt), 0).Seconds()/promptMemory.Seconds())
+// pendingPromptTokens is how many prompt tokens the engine still has to work through.
+func (e *engine) pendingPromptTokens(now time.Time) float64 {
+	return e.promptTokens * math.Exp(-max(now.Sub(e.promptTokensAt), 0).Seconds()/promptTimeConstant.Seconds())
 }
 
-// prompted notes the prompt of a grant; it is called before its prefixes count
+// addPrompt notes the prompt of a grant; it is called before its prefixes count
 // as cached.
-func (e *engine) prompted(now time.Time, i *item) {
-	e.prompts = e.promptsNow(now) + float64(i.PromptTokens)*(1-e.prefix(i.PrefixHashes))
-	e.promptsAt = now
+func (e *engine) addPrompt(now time.Time, i *item) {
+	e.promptTokens = e.pendingPromptTokens(now) + float64(i.PromptTokens)*(1-e.cachedPrefixShare(i.PrefixHashes))
+	e.promptTokensAt = now
 }
--- a/core/sched/queue.go
+++ b/core/sched/queue.go
@@ -9,30 +9,30 @@
 // item is a ticket that is queued or granted.
 type item struct {
 	Ticket
-	stream
-	class *class
-	lane  *lane
-	share *share
-	// work is the expected work in weighted tokens, tokensExpected the part of
+	streamTiming
+	class             *class
+	modelQueue        *modelQueue
+	organisationQueue *organisationQueue
+	// work is the expected work in weighted tokens, expectedTokens the part of
 	// it that will be generated.
-	work, tokensExpected float64
+	work, expectedTokens float64
 	// target is when the level is missed, deadline when the answer is worthless.
 	target, deadline time.Time
-	// run is the expected time from grant to end.
-	run      time.Duration
-	expected time.Duration
-	// late marks a ticket whose target passed in the queue.
-	late bool
-	// atShare and atExpiry are positions in the two heaps, -1 outside.
-	atShare, atExpiry int
+	// expectedDuration is the expected time from grant to end.
+	expectedDuration time.Duration
+	expectedWait     time.Duration
+	// missedTarget marks a ticket whose target passed in the queue.
+	missedTarget bool
+	// queueHeapIndex and deadlineHeapIndex are positions in the two heaps, -1 outside.
+	queueHeapIndex, deadlineHeapIndex int
 
 	engine  *engine
 	grant   Grant
 	charged float64
 	tokens  int
 	probe   bool
-	// unprotected and withPace are as the class was at the grant.
-	unprotected, withPace bool
+	// unprotected and paced are as the class was at the grant.
+	unprotected, paced bool
 }
 
 // before orders the items of one organisation: those that can still meet their
@@ -40,8 +40,8 @@
 // overload makes every ticket late: each is served just after its target, at
 // the expense of the next.
 func (i *item) before(o *item) bool {
-	if i.late != o.late {
-		return o.late
+	if i.missedTarget != o.missedTarget {
+		return o.missedTarget
 	}
 	return i.target.Before(o.target)
 }
@@ -50,72 +50,72 @@
 type class struct {
 	intent.Class
 	floor float64
-	// credit is the work owed to the class by its floor.
-	credit float64
-	queued int
-	work   float64
-	// virtual is the virtual token count up to which the class was served; a
+	// floorCredit is the work owed to the class by its floor.
+	floorCredit float64
+	queued      int
+	work        float64
+	// virtualTokens is the virtualTokens token count up to which the class was served; a
 	// newly active organisation starts there, so that idling earns nothing.
-	virtual  float64
-	accounts map[string]*account
-	lanes    map[string]*lane
-	granted  map[string]*meter
-	gone     bool
+	virtualTokens float64
+	accounts      map[string]*account
+	modelQueues   map[string]*modelQueue
+	grantedWork   map[string]*rateMeter
+	removed       bool
 }
 
 // account is one organisation's use of one class.
 type account struct {
-	organisation string
-	weight       float64
-	virtual      float64
-	queued       int
-	work         float64
-	shares       []*share
-}
-
-// lane is the queue of one class for one model.
-type lane struct {
-	class  *class
-	model  string
-	queued int
-	work   float64
-	shares map[string]*share
-	order  indexed[*share]
-	// blocked is the dispatch in which none of the lane's tickets fitted.
-	blocked uint64
-}
-
-// share is one organisation's queue in a lane.
-type share struct {
-	account *account
-	lane    *lane
-	items   indexed[*item]
-	work    float64
-	at      int
+	organisation  string
+	weight        float64
+	virtualTokens float64
+	queued        int
+	work          float64
+	queues        []*organisationQueue
+}
+
+// modelQueue is the queue of one class for one model.
+type modelQueue struct {
+	class              *class
+	model              string
+	queued             int
+	work               float64
+	organisationQueues map[string]*organisationQueue
+	byVirtualTokens    indexedHeap[*organisationQueue]
+	// blockedInRound is the dispatch in which none of the lane's tickets fitted.
+	blockedInRound uint64
+}
+
+// organisationQueue is one organisation's queue in a lane.
+type organisationQueue struct {
+	account    *account
+	modelQueue *modelQueue
+	items      indexedHeap[*item]
+	work       float64
+	heapIndex  int
 }
 
 func newClass(c intent.Class) *class {
 	return &class{
-		Class: c, accounts: map[string]*account{}, lanes: map[string]*lane{}, granted: map[string]*meter{},
+		Class: c, accounts: map[string]*account{}, modelQueues: map[string]*modelQueue{}, grantedWork: map[string]*rateMeter{},
 	}
 }
 
-func (c *class) lane(model string) *lane {
-	l := c.lanes[model]
+func (c *class) modelQueue(model string) *modelQueue {
+	l := c.modelQueues[model]
 	if l == nil {
-		l = &lane{class: c, model: model, shares: map[string]*share{}}
-		l.order.less = func(a, b *share) bool { return a.account.virtual < b.account.virtual }
-		l.order.place = func(s *share, at int) { s.at = at }
-		c.lanes[model] = l
+		l = &modelQueue{class: c, model: model, organisationQueues: map[string]*organisationQueue{}}
+		l.byVirtualTokens.less = func(a, b *organisationQueue) bool { return a.account.virtualTokens < b.account.virtualTokens }
+		l.byVirtualTokens.setIndex = func(s *organisationQueue, at int) { s.heapIndex = at }
+		c.modelQueues[model] = l
 	}
 	return l
 }
 
-func (c *class) meter(model string) *meter {
-	m := c.granted[model]
+func (c *class) grantedWorkMeter(model string) *rateMeter {
+	m := c.grantedWork[model]
 	if m == nil {
-		m = &meter{}
-		c.granted[model] = m
+		m = &rateMeter{}
+		c.grantedWork[model] = m
 	}
 	return m
 }
@@ -123,21 +123,21 @@
 func (c *class) account(organisation string, weight float64) *account {
 	a := c.accounts[organisation]
 	if a == nil {
-		a = &account{organisation: organisation, virtual: c.virtual}
+		a = &account{organisation: organisation, virtualTokens: c.virtualTokens}
 		c.accounts[organisation] = a
 	}
 	a.weight = weight
 	return a
 }
 
-func (l *lane) share(a *account) *share {
-	s := l.shares[a.organisation]
+func (l *modelQueue) organisationQueue(a *account) *organisationQueue {
+	s := l.organisationQueues[a.organisation]
 	if s == nil {
-		s = &share{account: a, lane: l, at: -1}
+		s = &organisationQueue{account: a, modelQueue: l, heapIndex: -1}
 		s.items.less = func(a, b *item) bool { return a.before(b) }
-		s.items.place = func(i *item, at int) { i.atShare = at }
-		l.shares[a.organisation] = s
-		a.shares = append(a.shares, s)
+		s.items.setIndex = func(i *item, at int) { i.queueHeapIndex = at }
+		l.organisationQueues[a.organisation] = s
+		a.queues = append(a.queues, s)
 	}
 	return s
 }
@@ -145,55 +145,55 @@
 // enqueue puts an item into its class's queue.
 func (c *class) enqueue(i *item, weight float64) {
 	a := c.account(i.Organisation, weight)
-	l := c.lane(i.Model)
+	l := c.modelQueue(i.Model)
 	if a.queued == 0 {
-		a.virtual = max(a.virtual, c.start(l))
+		a.virtualTokens = max(a.virtualTokens, c.initialVirtualTokens(l))
 	}
-	s := l.share(a)
-	i.class, i.lane, i.share = c, l, s
+	s := l.organisationQueue(a)
+	i.class, i.modelQueue, i.organisationQueue = c, l, s
 	s.items.push(i)
-	if s.at < 0 {
-		l.order.push(s)
+	if s.heapIndex < 0 {
+		l.byVirtualTokens.push(s)
 	}
-	c.count(i, 1)
+	c.adjustCounts(i, 1)
 }
 
-// start is the virtual count at which a newly active organisation begins.
-func (c *class) start(l *lane) float64 {
-	if l.order.len() == 0 {
-		return c.virtual
+// initialVirtualTokens is the virtual count at which a newly active organisation begins.
+func (c *class) initialVirtualTokens(l *modelQueue) float64 {
+	if l.byVirtualTokens.len() == 0 {
+		return c.virtualTokens
 	}
-	return min(c.virtual, l.order.top().account.virtual)
+	return min(c.virtualTokens, l.byVirtualTokens.top().account.virtualTokens)
 }
 
 // dequeue takes an item out of its class's queue.
 func (c *class) dequeue(i *item) {
-	s := i.share
-	s.items.remove(i.atShare)
-	c.count(i, -1)
+	s := i.organisationQueue
+	s.items.remove(i.queueHeapIndex)
+	c.adjustCounts(i, -1)
 	if s.items.len() > 0 {
 		return
 	}
-	s.lane.order.remove(s.at)
-	delete(s.lane.shares, s.account.organisation)
-	s.account.drop(s)
-	if s.lane.queued == 0 {
-		delete(c.lanes, s.lane.model)
+	s.modelQueue.byVirtualTokens.remove(s.heapIndex)
+	delete(s.modelQueue.organisationQueues, s.account.organisation)
+	s.account.removeQueue(s)
+	if s.modelQueue.queued == 0 {
+		delete(c.modelQueues, s.modelQueue.model)
 	}
 	if c.queued == 0 {
-		c.credit = min(c.credit, 0)
+		c.floorCredit = min(c.floorCredit, 0)
 	}
 }
 
-func (c *class) count(i *item, sign int) {
+func (c *class) adjustCounts(i *item, sign int) {
 	w := float64(sign) * i.work
 	c.queued += sign
 	c.work += w
-	i.lane.queued += sign
-	i.lane.work += w
-	i.share.work += w
-	i.share.account.queued += sign
-	i.share.account.work += w
+	i.modelQueue.queued += sign
+	i.modelQueue.work += w
+	i.organisationQueue.work += w
+	i.organisationQueue.account.queued += sign
+	i.organisationQueue.account.work += w
 	if c.queued == 0 {
 		c.work = 0
 	}
@@ -206,25 +206,25 @@
 	if a == nil {
 		return
 	}
-	a.virtual += work / a.weight
-	for _, s := range a.shares {
-		if s.at >= 0 {
-			s.lane.order.fix(s.at)
+	a.virtualTokens += work / a.weight
+	for _, s := range a.queues {
+		if s.heapIndex >= 0 {
+			s.modelQueue.byVirtualTokens.fix(s.heapIndex)
 		}
 	}
 }
 
-// forget drops an idle account that has nothing to its debit.
-func (c *class) forget(organisation string) {
-	if a := c.accounts[organisation]; a != nil && a.queued == 0 && a.virtual <= c.virtual {
+// dropIdleAccount drops an idle account that has nothing to its debit.
+func (c *class) dropIdleAccount(organisation string) {
+	if a := c.accounts[organisation]; a != nil && a.queued == 0 && a.virtualTokens <= c.virtualTokens {
 		delete(c.accounts, organisation)
 	}
 }
 
-func (a *account) drop(s *share) {
-	for i, v := range a.shares {
+func (a *account) removeQueue(s *organisationQueue) {
+	for i, v := range a.queues {
 		if v == s {
-			a.shares = append(a.shares[:i], a.shares[i+1:]...)
+			a.queues = append(a.queues[:i], a.queues[i+1:]...)
 			return
 		}
 	}
--- a/core/sched/sched.go
+++ b/core/sched/sched.go
@@ -7,40 +7,40 @@
 	"github.com/comfreyladder/comfreyladder/core/pick"
 )
 
-// predictEntries bounds the length histograms of single organisations.
-const predictEntries = 8192
+// maxOrganisationHistograms bounds the length histograms of single organisations.
+const maxOrganisationHistograms = 8192
 
 // Scheduler is the state machine. See the package comment.
 type Scheduler struct {
-	cfg   Config
-	rnd   *rand.Rand
-	chain *pick.Chain
-	known *Estimator
+	cfg       Config
+	rnd       *rand.Rand
+	chain     *pick.Chain
+	estimator *Estimator
 
 	classes map[string]*class
-	// order lists the classes by tier, the most urgent first.
-	order   []*class
-	weights map[string]float64
-	engines []*engine
-	byName  map[string]*engine
-
-	items  map[string]*item
-	queued int
-	expiry indexed[*item]
-	// part and parts say which share of all slots is this scheduler's.
-	part, parts int
-	holdUntil   time.Time
-	nextHealth  time.Time
-	// whole is the work a second of all slots, as far as known beforehand.
-	whole float64
-	// round numbers the dispatches.
-	round uint64
-
-	out  []Effect
-	free map[string]*room
+	// classesByTier lists the classes by tier, the most urgent first.
+	classesByTier []*class
+	weights       map[string]float64
+	engines       []*engine
+	enginesByName map[string]*engine
+
+	items      map[string]*item
+	queued     int
+	byDeadline indexedHeap[*item]
+	// shareIndex and shareCount say which share of all slots is this scheduler's.
+	shareIndex, shareCount int
+	holdUntil              time.Time
+	nextHealth             time.Time
+	// priorCapacity is the work a second of all slots, as far as known beforehand.
+	priorCapacity float64
+	// dispatchRound numbers the dispatches.
+	dispatchRound uint64
+
+	effects   []Effect
+	freeSlots map[string]*slotCounts
 	// candidates and holders are buffers of a choice, by the same positions.
-	candidates []pick.Candidate
-	holders    []*engine
+	candidates       []pick.Candidate
+	candidateEngines []*engine
 }
 
 // New returns a scheduler without classes and upstreams; it refuses all tickets
@@ -58,13 +58,13 @@
 	}
 	s := &Scheduler{
 		cfg: cfg, rnd: rnd, chain: pick.Default(picker),
-		known:   k,
-		classes: map[string]*class{}, weights: map[string]float64{},
-		byName: map[string]*engine{}, items: map[string]*item{},
-		free: map[string]*room{}, parts: 1,
+		estimator: k,
+		classes:   map[string]*class{}, weights: map[string]float64{},
+		enginesByName: map[string]*engine{}, items: map[string]*item{},
+		freeSlots: map[string]*slotCounts{}, shareCount: 1,
 	}
-	s.expiry.less = func(a, b *item) bool { return a.deadline.Before(b.deadline) }
-	s.expiry.place = func(i *item, at int) { i.atExpiry = at }
+	s.byDeadline.less = func(a, b *item) bool { return a.deadline.Before(b.deadline) }
+	s.byDeadline.setIndex = func(i *item, at int) { i.deadlineHeapIndex = at }
 	return s
 }
 
@@ -79,28 +79,28 @@
 		return nil
 	}
 	c := s.classes[t.Class]
-	if c == nil || c.gone {
-		s.shed(&item{Ticket: t}, ReasonUnknownClass, shortRetry)
-		return s.take()
+	if c == nil || c.removed {
+		s.shed(&item{Ticket: t}, ReasonUnknownClass, defaultRetryAfter)
+		return s.takeEffects()
 	}
 	i := s.newItem(t, c)
 	if s.admit(now, i) {
 		s.enqueue(i)
 		s.dispatchModel(now, t.Model)
 	}
-	return s.take()
+	return s.takeEffects()
 }
 
 func (s *Scheduler) enqueue(i *item) {
 	i.class.enqueue(i, s.weight(i.Organisation))
-	s.expiry.push(i)
+	s.byDeadline.push(i)
 	s.items[i.ID] = i
 	s.queued++
 }
 
 func (s *Scheduler) dequeue(i *item) {
 	i.class.dequeue(i)
-	s.expiry.remove(i.atExpiry)
+	s.byDeadline.remove(i.deadlineHeapIndex)
 	s.queued--
 }
 
@@ -116,7 +116,7 @@
 	}
 	s.dequeue(i)
 	delete(s.items, id)
-	i.class.forget(i.Organisation)
+	i.class.dropIdleAccount(i.Organisation)
 	return nil
 }
 
@@ -126,7 +126,7 @@
 	if i == nil || i.engine == nil || !i.startedAt.IsZero() {
 		return
 	}
-	i.engine.start(now, i)
+	i.engine.handleFirstToken(now, i)
 }
 
 // Progress notes how many tokens were generated so far; use beyond what was
@@ -138,7 +138,7 @@
 	}
 	s.Started(now, id)
 	i.tokens = max(i.tokens, tokens)
-	i.engine.pace(now, &i.stream, tokens, i.engine.alpha(now))
+	i.engine.recordProgress(now, &i.streamTiming, tokens, i.engine.alpha(now))
 	if used := s.workOf(i, float64(i.tokens)); used > i.charged {
 		i.class.charge(i.Organisation, used-i.charged)
 		i.charged = used
@@ -155,21 +155,21 @@
 	delete(s.items, id)
 	e := i.engine
 	delete(e.unstarted, id)
-	e.flight(now, i, -1)
+	e.addInFlight(now, i, -1)
 	used := s.workOf(i, float64(o.Tokens))
 	if o.Unused {
 		used = 0
 	}
 	i.class.charge(i.Organisation, used-i.charged)
-	i.class.forget(i.Organisation)
-	e.learn(now, i, o, used)
+	i.class.dropIdleAccount(i.Organisation)
+	e.recordOutcome(now, i, o, used)
 	if o.Complete {
-		s.known.lengths.Observe(i.Class, i.Organisation, o.Tokens)
+		s.estimator.lengths.Observe(i.Class, i.Organisation, o.Tokens)
 	}
-	s.judgeProbe(now, i, o)
-	s.dropGone()
+	s.evaluateProbe(now, i, o)
+	s.dropRemovedEngines()
 	s.dispatch(now)
-	return s.take()
+	return s.takeEffects()
 }
 
 // Restore takes in a grant that another scheduler gave: after it died, the
@@ -180,11 +180,11 @@
 	if c == nil {
 		return
 	}
-	e := s.byName[upstream]
+	e := s.enginesByName[upstream]
 	if e == nil {
 		// The upstream left while the request runs on it.
 		e = s.addEngine(upstream)
-		e.gone = true
+		e.removed = true
 	}
 	if known := s.items[t.ID]; known != nil {
 		if known.engine != nil {
@@ -198,40 +198,40 @@
 	i.restored = true
 	s.items[t.ID] = i
 	c.account(t.Organisation, s.weight(t.Organisation))
-	e.flight(now, i, 1)
+	e.addInFlight(now, i, 1)
 }
 
 // Tick does what time alone demands: it sheds what expired, judges upstreams
 // and grants what became possible. Call it every 50 to 200 ms.
 func (s *Scheduler) Tick(now time.Time) []Effect {
-	s.expire(now)
+	s.shedExpired(now)
 	if !now.Before(s.nextHealth) {
 		s.nextHealth = now.Add(healthInterval)
-		s.health(now)
-		s.dropStranded()
+		s.checkHealth(now)
+		s.shedUnservable()
 	}
 	s.dispatch(now)
-	return s.take()
+	return s.takeEffects()
 }
 
-func (s *Scheduler) take() []Effect {
-	out := s.out
-	s.out = nil
+func (s *Scheduler) takeEffects() []Effect {
+	out := s.effects
+	s.effects = nil
 	return out
 }
 
 func (s *Scheduler) newItem(t Ticket, c *class) *item {
-	i := &item{Ticket: t, class: c, atShare: -1, atExpiry: -1}
+	i := &item{Ticket: t, class: c, queueHeapIndex: -1, deadlineHeapIndex: -1}
 	tokens := s.expectedTokens(i)
 	i.work = s.workOf(i, tokens)
-	i.tokensExpected = tokens
-	i.run = time.Duration(tokens / s.streamRate(t.Model) * float64(time.Second))
-	s.setTimes(i)
+	i.expectedTokens = tokens
+	i.expectedDuration = time.Duration(tokens / s.medianTokenRate(t.Model) * float64(time.Second))
+	s.setTargetAndDeadline(i)
 	return i
 }
 
 func (s *Scheduler) expectedTokens(i *item) float64 {
-	tokens := s.known.lengths.Mean(i.Class, i.Organisation)
+	tokens := s.estimator.lengths.Mean(i.Class, i.Organisation)
 	for _, bound := range []int{i.MaxTokens, i.class.MaxTokens} {
 		if bound > 0 {
 			tokens = min(tokens, float64(bound))
@@ -241,5 +241,5 @@
 }
 
 func (s *Scheduler) workOf(i *item, tokens float64) float64 {
-	return s.known.workOf(&i.Ticket, tokens)
+	return s.estimator.workOf(&i.Ticket, tokens)
 }
--- a/core/sched/settings.go
+++ b/core/sched/settings.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// leastFloor is the share of capacity of a class without a declared floor,
+	// minFloor is the share of capacity of a class without a declared floor,
 	// so that none starves; all such classes together get at most leastFloors.
-	leastFloor  = 0.01
-	leastFloors = 0.05
+	minFloor         = 0.01
+	maxTotalMinFloor = 0.05
 )
 
 // SetClasses puts the classes of a document in force. Queued tickets of a class
@@ -21,27 +21,27 @@
 	for _, c := range doc.Classes {
 		seen[c.Name] = true
 		if old := s.classes[c.Name]; old != nil {
-			old.Class, old.gone = c, false
+			old.Class, old.removed = c, false
 			continue
 		}
 		s.classes[c.Name] = newClass(c)
 	}
 	for name, c := range s.classes {
-		c.gone = !seen[name]
+		c.removed = !seen[name]
 	}
 	s.sortClasses()
 }
 
 func (s *Scheduler) sortClasses() {
-	s.order = s.order[:0]
+	s.classesByTier = s.classesByTier[:0]
 	undeclared := 0
 	for _, c := range s.classes {
-		s.order = append(s.order, c)
+		s.classesByTier = append(s.classesByTier, c)
 		if c.Floor == 0 {
 			undeclared++
 		}
 	}
-	slices.SortFunc(s.order, func(a, b *class) int {
+	slices.SortFunc(s.classesByTier, func(a, b *class) int {
 		if a.Tier != b.Tier {
 			return a.Tier - b.Tier
 		}
@@ -50,10 +50,10 @@
 		}
 		return 1
 	})
-	for _, c := range s.order {
+	for _, c := range s.classesByTier {
 		c.floor = c.Floor
 		if c.Floor == 0 {
-			c.floor = min(leastFloor, leastFloors/float64(undeclared))
+			c.floor = min(minFloor, maxTotalMinFloor/float64(undeclared))
 		}
 	}
 }
@@ -78,27 +78,27 @@
 // counts from 0. What does not divide evenly goes to a part that differs from
 // upstream to upstream.
 func (s *Scheduler) SetSlotShare(part, parts int) {
-	s.part, s.parts = part, max(parts, 1)
-	s.countSlots()
+	s.shareIndex, s.shareCount = part, max(parts, 1)
+	s.updateSlots()
 }
 
-func (s *Scheduler) countSlots() {
-	s.whole = 0
+func (s *Scheduler) updateSlots() {
+	s.priorCapacity = 0
 	for _, e := range s.engines {
-		e.slots = s.slotsOf(e)
-		if !e.gone {
-			s.whole += s.cfg.PriorTokenRate * float64(e.slots)
+		e.slots = s.slotShare(e)
+		if !e.removed {
+			s.priorCapacity += s.cfg.PriorTokenRate * float64(e.slots)
 		}
 	}
 }
 
-func (s *Scheduler) slotsOf(e *engine) int {
-	whole, rest := e.Slots/s.parts, e.Slots%s.parts
+func (s *Scheduler) slotShare(e *engine) int {
+	whole, rest := e.Slots/s.shareCount, e.Slots%s.shareCount
 	turn := 0
 	for _, b := range []byte(e.Name) {
-		turn = (turn*31 + int(b)) % s.parts
+		turn = (turn*31 + int(b)) % s.shareCount
 	}
-	if (s.part+turn)%s.parts < rest {
+	if (s.shareIndex+turn)%s.shareCount < rest {
 		whole++
 	}
 	return whole
@@ -108,36 +108,36 @@
 // listed stay counted until they finish.
 func (s *Scheduler) SetUpstreams(now time.Time, list []Upstream) []Effect {
 	for _, e := range s.engines {
-		e.gone = true
+		e.removed = true
 	}
 	for _, u := range list {
-		e := s.byName[u.Name]
+		e := s.enginesByName[u.Name]
 		if e == nil {
 			e = s.addEngine(u.Name)
 		}
 		e.update(u)
 	}
-	s.countSlots()
-	s.dropGone()
+	s.updateSlots()
+	s.dropRemovedEngines()
 	s.dispatch(now)
-	return s.take()
+	return s.takeEffects()
 }
 
 func (s *Scheduler) addEngine(name string) *engine {
-	e := &engine{figures: s.known.engine(name), unstarted: map[string]*item{}, sent: map[uint64]struct{}{}}
+	e := &engine{engineStats: s.estimator.engine(name), unstarted: map[string]*item{}, sentPrefixes: map[uint64]struct{}{}}
 	e.Name = name
-	s.byName[name] = e
+	s.enginesByName[name] = e
 	s.engines = append(s.engines, e)
 	return e
 }
 
-func (s *Scheduler) dropGone() {
+func (s *Scheduler) dropRemovedEngines() {
 	s.engines = slices.DeleteFunc(s.engines, func(e *engine) bool {
-		if !e.gone || e.inFlight > 0 {
+		if !e.removed || e.inFlight > 0 {
 			return false
 		}
-		delete(s.byName, e.Name)
-		delete(s.known.engines, e.Name)
+		delete(s.enginesByName, e.Name)
+		delete(s.estimator.engines, e.Name)
 		return true
 	})
 }
--- a/core/sched/status.go
+++ b/core/sched/status.go
@@ -50,13 +50,13 @@
 // Status returns a snapshot, classes by tier.
 func (s *Scheduler) Status(now time.Time) Status {
 	var out Status
-	for _, c := range s.order {
+	for _, c := range s.classesByTier {
 		out.Classes = append(out.Classes, ClassStatus{Class: c.Name, Queued: c.queued, Work: c.work})
 	}
 	for _, e := range s.engines {
 		out.Upstreams = append(out.Upstreams, UpstreamStatus{
-			Name: e.Name, Slots: e.slots, InFlight: e.inFlight, Used: e.used(now), Ejected: e.aside, Down: e.down,
-			Draining: e.Draining || e.gone, FirstToken: seconds(e.firstToken), TokenRate: e.tokenRate,
+			Name: e.Name, Slots: e.slots, InFlight: e.inFlight, Used: e.estimatedInFlight(now), Ejected: e.ejected, Down: e.down,
+			Draining: e.Draining || e.removed, FirstToken: secondsToDuration(e.firstToken), TokenRate: e.tokenRate,
 		})
 	}
 	return out
