--- a/core/budget/budget.go
+++ b/core/budget/budget.go
@@ -1,25 +1,26 @@
-// Package budget bounds second attempts (retries and hedges). Without a bound
-// an overload feeds itself: each failed attempt becomes two. A budget allows a
-// ratio of second attempts to first ones, by class, and a small minimum so that
-// quiet classes can retry at all.
+// Package budget limits second attempts (retries and hedges). Without a limit, an
+// overload amplifies itself, because each failed attempt causes another one. A budget
+// allows second attempts in proportion to first ones, by class, and a small minimum
+// rate so that classes with little traffic can retry at all.
 package budget
 
 import "time"
 
-// Defaults, as commonly used for retry budgets: a tenth of the traffic.
+// Default values, as commonly used for retry budgets: a tenth of the traffic.
 const (
 	DefaultRatio     = 0.1
 	DefaultPerSecond = 0.5
 	DefaultBurst     = 10
 )
 
-// Config says how much a budget allows.
+// Config holds the limits of a budget.
 type Config struct {
-	// Ratio is how many second attempts one first attempt pays for.
+	// Ratio is the number of second attempts that each first attempt earns.
 	Ratio float64
-	// PerSecond is earned by time alone, for each class.
+	// PerSecond is the number of second attempts that each class earns a second,
+	// whatever its traffic.
 	PerSecond float64
-	// Burst is the most that can be saved up.
+	// Burst is the maximum balance.
 	Burst float64
 }
 
@@ -34,7 +35,7 @@
 	updatedAt time.Time
 }
 
-// New returns budgets that start full; zero fields of cfg take the defaults.
+// New returns budgets with a full balance; zero fields of cfg take the defaults.
 func New(cfg Config) *Budgets {
 	if cfg.Ratio == 0 {
 		cfg.Ratio = DefaultRatio
@@ -48,14 +49,14 @@
 	return &Budgets{cfg: cfg, classes: map[string]*account{}}
 }
 
-// RecordFirst notes a first attempt, which earns a share of a second one.
+// RecordFirst records a first attempt, which earns Ratio second attempts.
 func (b *Budgets) RecordFirst(now time.Time, class string) {
 	a := b.account(now, class)
 	a.balance = min(a.balance+b.cfg.Ratio, b.cfg.Burst)
 }
 
-// Spend takes one second attempt from the budget and reports whether it was
-// there; if not, nothing is taken.
+// Spend withdraws one second attempt and reports whether the balance sufficed; if not,
+// the balance is unchanged.
 func (b *Budgets) Spend(now time.Time, class string) bool {
 	a := b.account(now, class)
 	if a.balance < 1 {
@@ -65,7 +66,7 @@
 	return true
 }
 
-// Refund gives back a second attempt that was not made after all.
+// Refund returns a second attempt that was not made.
 func (b *Budgets) Refund(now time.Time, class string) {
 	a := b.account(now, class)
 	a.balance = min(a.balance+1, b.cfg.Burst)
--- a/core/budget/budget_test.go
+++ b/core/budget/budget_test.go
@@ -10,10 +10,9 @@
 	"github.com/comfreyladder/comfreyladder/core/budget"
 )
 
-// Callers see an overload that does not end when its cause is gone.
-// First an engine slows down, then attempts time out and are sent again, and
-// the second attempts keep the engine slow. The cause: nothing ties the count
-// of second attempts to the count of first ones.
+// Guards against an overload that outlasts its cause. An engine slows down, attempts
+// time out and are repeated, and the second attempts keep the engine slow. It comes
+// about if the number of second attempts is not tied to that of first ones.
 func TestSecondAttemptsStayWithinTheRatio(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := budget.Config{Ratio: 0.1, PerSecond: 1, Burst: 5}
@@ -36,7 +35,7 @@
 		}
 		most := cfg.Burst + cfg.Ratio*float64(firsts) + cfg.PerSecond*now.Sub(start).Seconds()
 		if float64(seconds) > most+1e-6 {
-			t.Fatalf("%d second attempts, at most %.2f are paid for", seconds, most)
+			t.Fatalf("%d second attempts, the budget allows %.2f", seconds, most)
 		}
 	})
 }
--- a/core/budget/window.go
+++ b/core/budget/window.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// windowSteps is into how many steps a window is cut. The oldest step counts in
-// full until it has left, so that the sum is never too small.
+// windowSteps is the number of steps into which a window is divided. The oldest step
+// counts in full until it has left the window, so that the sum is never too small.
 const windowSteps = 20
 
-// Window bounds repeats in any span of time: at most Ratio of the requests of the
-// span, and this instance's share of a slack that all instances have together.
-// Counting in a sliding window, and not by tokens that refill, is what keeps the
-// bound in each span. It is not safe for concurrent use.
+// Window limits the repeats in any time span: at most ratio of the requests in the
+// span, plus this instance's share of an allowance common to all instances. A sliding
+// window keeps this limit in each span, which a token bucket with refills does not. It
+// is not safe for concurrent use.
 type Window struct {
 	ratio  float64
 	span   time.Duration
@@ -22,7 +22,7 @@
 	requests, repeats int
 }
 
-// NewWindow returns a window without counts.
+// NewWindow returns an empty window.
 func NewWindow(ratio float64, span time.Duration) *Window { return &Window{ratio: ratio, span: span} }
 
 func (w *Window) currentStep(now time.Time) *step {
@@ -36,11 +36,11 @@
 	return s
 }
 
-// RecordRequest notes a request.
+// RecordRequest counts a request.
 func (w *Window) RecordRequest(now time.Time) { w.currentStep(now).requests++ }
 
-// Spend takes one repeat and reports whether it was there; share is this
-// instance's part of the slack.
+// Spend counts one repeat and reports whether the limit allows it; share is this
+// instance's share of the common allowance.
 func (w *Window) Spend(now time.Time, share float64) bool {
 	s := w.currentStep(now)
 	requests, repeats := 0, 0
--- a/core/budget/window_test.go
+++ b/core/budget/window_test.go
@@ -9,10 +9,10 @@
 	"github.com/comfreyladder/comfreyladder/core/budget"
 )
 
-// Upstreams fail for a while and every instance repeats what it may. In no span of
-// the window's length may the repeats exceed the ratio of its requests and the
-// slack, or an overload would feed itself.
-func TestNoSpanHasMoreRepeatsThanAllowed(t *testing.T) {
+// Guards against an overload that amplifies itself while upstreams fail and every
+// instance repeats what it may. In no span of the window's length may the repeats
+// exceed the ratio of its requests plus the allowance.
+func TestRepeatsStayWithinLimitInEverySpan(t *testing.T) {
 	const span, share, ratio = 10 * time.Second, 5.0, 0.2
 	rapid.Check(t, func(t *rapid.T) {
 		w := budget.NewWindow(ratio, span)
@@ -29,14 +29,14 @@
 				continue
 			}
 			repeats = append(repeats, now)
-			if float64(within(repeats, now, span)) > ratio*float64(within(requests, now, span+span/20))+share {
-				t.Fatalf("%d repeats for %d requests", within(repeats, now, span), within(requests, now, span))
+			if float64(countWithin(repeats, now, span)) > ratio*float64(countWithin(requests, now, span+span/20))+share {
+				t.Fatalf("%d repeats for %d requests", countWithin(repeats, now, span), countWithin(requests, now, span))
 			}
 		}
 	})
 }
 
-func within(list []time.Time, now time.Time, span time.Duration) int {
+func countWithin(list []time.Time, now time.Time, span time.Duration) int {
 	n := 0
 	for _, at := range list {
 		if now.Sub(at) < span {
--- a/core/predict/predict.go
+++ b/core/predict/predict.go
@@ -1,7 +1,7 @@
-// Package predict estimates how many tokens an answer will have, as a
-// distribution learned by class and organisation. Nobody knows a length before
-// the answer ends; the scheduler uses the estimate only to weigh backlogs and to
-// charge shares before the true length corrects it.
+// Package predict estimates the length of answers in tokens, as distributions learned
+// by class and organisation. The length of an answer is unknown until it ends; the
+// scheduler uses the estimate only to weigh backlogs and to charge organisations until
+// the true length corrects it.
 package predict
 
 import (
@@ -11,20 +11,23 @@
 )
 
 const (
-	// bucketsPerOctave is how many buckets cover a factor of two.
+	// bucketsPerOctave is the number of buckets for each factor of two.
 	bucketsPerOctave = 4
 	octaves          = 18
 	bucketCount      = bucketsPerOctave * octaves
-	// halvingWindow is the count after which old observations weigh half.
+	// halvingWindow is the number of observations after which the weight of older ones
+	// is halved.
 	halvingWindow = 512
-	// minObservations is the count from which a histogram speaks for itself.
+	// minObservations is the number of observations that a histogram needs before it is
+	// used.
 	minObservations = 16
 )
 
-// Key names one distribution. An empty Organisation stands for the whole class.
+// Key names the distribution of one organisation in one class.
 type Key struct{ Class, Organisation string }
 
-// Predictor holds the distributions. It is not safe for concurrent use.
+// Predictor holds the distributions of answer lengths. It is not safe for concurrent
+// use.
 type Predictor struct {
 	prior   float64
 	limit   int
@@ -38,10 +41,10 @@
 	hist histogram
 }
 
-// New returns a predictor that answers prior tokens before it has seen any
-// answer. It keeps at most limit histograms of single organisations (about 350
-// bytes each) and drops the one that was observed least recently: that
-// organisation falls back to its class.
+// New returns a predictor that estimates prior tokens until enough answers were
+// observed. It keeps at most limit histograms of single organisations (about 350 bytes
+// each) and evicts the one observed least recently; that organisation falls back to its
+// class.
 func New(prior float64, limit int) *Predictor {
 	return &Predictor{
 		prior: prior, limit: limit,
@@ -49,7 +52,7 @@
 	}
 }
 
-// Observe learns the length of one whole answer.
+// Observe records the length of one complete answer.
 func (p *Predictor) Observe(class, organisation string, tokens int) {
 	h := p.classes[class]
 	if h == nil {
@@ -84,8 +87,8 @@
 	return h.mean()
 }
 
-// Quantile returns the length that a share q, in [0,1], of answers stays at or
-// below, exact to a bucket (19%).
+// Quantile returns the length that a share q, in [0,1], of answers does not exceed,
+// accurate to one bucket (19%).
 func (p *Predictor) Quantile(class, organisation string, q float64) float64 {
 	h := p.histogramFor(class, organisation)
 	if h == nil {
@@ -94,7 +97,7 @@
 	return h.quantile(q)
 }
 
-// Len returns how many organisations' histograms are held.
+// Len returns the number of histograms of single organisations.
 func (p *Predictor) Len() int { return p.recent.Len() }
 
 func (p *Predictor) histogramFor(class, organisation string) *histogram {
@@ -109,8 +112,8 @@
 	return nil
 }
 
-// histogram has logarithmic buckets whose counts are halved now and then, so
-// that the distribution follows a change of the traffic.
+// histogram counts lengths in logarithmic buckets. The counts are halved from time to
+// time, so that the distribution follows changes of the traffic.
 type histogram struct {
 	counts [bucketCount]uint32
 	total  uint32
--- a/core/predict/predict_test.go
+++ b/core/predict/predict_test.go
@@ -10,7 +10,7 @@
 	"github.com/comfreyladder/comfreyladder/core/predict"
 )
 
-func TestQuantilesFollowTheLengths(t *testing.T) {
+func TestQuantilesMatchObservedLengths(t *testing.T) {
 	g := NewWithT(t)
 	p := predict.New(100, 8)
 	g.Expect(p.Mean("draft", "a")).To(Equal(100.0))
@@ -33,7 +33,7 @@
 	g.Expect(p.Mean("other", "a")).To(Equal(100.0))
 }
 
-func TestMemoryIsBoundedAtManyOrganisations(t *testing.T) {
+func TestOrganisationHistogramsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	p := predict.New(100, 64)
 	for i := range 1600 {
--- a/core/sched/admit.go
+++ b/core/sched/admit.go
@@ -5,19 +5,18 @@
 )
 
 const (
-	// unlimitedWait stands for "no limit" on a wait.
+	// unlimitedWait stands for a wait without a limit.
 	unlimitedWait = 24 * time.Hour
-	// defaultRetryAfter is the hint where the backlog is not the cause.
+	// defaultRetryAfter is the retry hint where the backlog is not the cause.
 	defaultRetryAfter = 2 * time.Second
-	// minRetryAfter and mostRetry bound the hints worked out from the backlog.
+	// minRetryAfter and maxRetryAfter limit the hints computed from the backlog.
 	minRetryAfter = 500 * time.Millisecond
 	maxRetryAfter = time.Minute
-	// retryJitter spreads hints by this share each way, so that refused callers
-	// do not return together.
+	// retryJitter is the share by which hints are randomised in each direction, so that
+	// refused callers do not retry all at once.
 	retryJitter = 0.2
 )
 
-// setTargetAndDeadline works out an item's target and deadline.
 func (s *Scheduler) setTargetAndDeadline(i *item) {
 	c := &i.class.Class
 	i.deadline = i.Deadline
@@ -43,7 +42,7 @@
 	return a
 }
 
-// admit decides whether a ticket may be queued; if not it sheds it.
+// admit decides whether a ticket may be queued and sheds it if not.
 func (s *Scheduler) admit(now time.Time, i *item) bool {
 	if !now.Before(i.deadline) {
 		s.shed(i, ReasonExpiredOnArrival, defaultRetryAfter)
@@ -62,7 +61,8 @@
 	return s.enforceQueueBounds(i, wait)
 }
 
-// hasEligibleUpstream reports whether some upstream could ever take the ticket.
+// hasEligibleUpstream reports whether any upstream could serve the ticket, now or
+// later.
 func (s *Scheduler) hasEligibleUpstream(i *item) bool {
 	for _, e := range s.engines {
 		if !e.removed && !e.Draining && e.modelSet[i.Model] && !contains(i.Excluded, e.Name) {
@@ -72,40 +72,41 @@
 	return false
 }
 
-// maxWait is how long the ticket may wait for its grant and still be of use.
-// Unprotected work has to meet its level. Protected work only has to be done
-// before its deadline: late is better than refused.
+// maxWait returns how long the ticket may wait for its grant and still be useful.
+// Unprotected requests must meet their service level. Protected requests only have to
+// finish before their deadline: a late answer is better than a refusal.
 func (s *Scheduler) maxWait(now time.Time, i *item) time.Duration {
 	first := s.medianFirstToken(i.Model)
 	if i.class.Protected {
 		return i.deadline.Sub(now) - min(i.expectedDuration, i.deadline.Sub(now)/2)
 	}
 	limit := i.target.Sub(now) - first
-	// A level that even an idle engine misses must not refuse everything.
+	// A service level that even an idle engine misses must not shed every request.
 	return max(limit, first)
 }
 
-// expectedWait estimates the time to a grant from the work that goes before the
-// ticket and the rate at which its class is served. Half of its own work stands
-// for the time until the first slot becomes free.
+// expectedWait estimates the time to a grant from the work ahead of the ticket and the
+// rate at which its class is served. Half of the ticket's own work approximates the
+// time until the first slot becomes free.
 func (s *Scheduler) expectedWait(now time.Time, i *item) time.Duration {
 	ahead := s.higherPriorityWork(i)
-	lane := i.class.modelQueues[i.Model]
-	if ahead == 0 && lane == nil && s.hasFreeSlot(now, i) {
+	queue := i.class.modelQueues[i.Model]
+	if ahead == 0 && queue == nil && s.hasFreeSlot(now, i) {
 		return 0
 	}
 	rate := s.serviceRate(now, i)
-	if lane != nil {
-		whole := secondsToDuration((ahead + lane.work + i.work/2) / rate)
-		if whole <= s.maxWait(now, i) {
-			return whole
+	if queue != nil {
+		totalWait := secondsToDuration((ahead + queue.work + i.work/2) / rate)
+		if totalWait <= s.maxWait(now, i) {
+			return totalWait
 		}
-		ahead += s.fairShareBacklog(lane, i)
+		ahead += s.fairShareBacklog(queue, i)
 	}
 	return secondsToDuration((ahead + i.work/2) / rate)
 }
 
-// higherPriorityWork sums the queued work that goes before any of the ticket's class.
+// higherPriorityWork sums the queued work for the model in the other classes that are
+// served before the ticket's class.
 func (s *Scheduler) higherPriorityWork(i *item) float64 {
 	sum := 0.0
 	for _, c := range s.classesByTier {
@@ -119,9 +120,10 @@
 	return sum
 }
 
-// fairShareBacklog is the work of the ticket's own class that goes before it: all of
-// its own organisation's, and of each other at most as much, by weight. A small
-// organisation is thus not refused for the backlog of a large one.
+// fairShareBacklog returns the work of the ticket's own class that is served before the
+// ticket: all of its own organisation's, and of each other organisation at most as
+// much, scaled by weight. A small organisation is thus not refused because of the
+// backlog of a large one.
 func (s *Scheduler) fairShareBacklog(l *modelQueue, i *item) float64 {
 	own := i.work
 	if sh := l.organisationQueues[i.Organisation]; sh != nil {
@@ -137,29 +139,29 @@
 	return sum
 }
 
-// serviceRate is the work a second that serves the ticket's class for its model. For
-// protected work it is the whole capacity: lower tiers are no reason to refuse
-// it. For the others it is what more urgent classes were seen to leave, without
-// the floors of waiting lower ones, and at least the class's own floor.
+// serviceRate returns the work a second available to the ticket's class for its model.
+// For protected classes it is the whole capacity: lower tiers are no reason to refuse
+// them. For other classes it is the capacity less the measured usage of more urgent
+// classes and the floors of other waiting classes, but at least the class's own floor.
 func (s *Scheduler) serviceRate(now time.Time, i *item) float64 {
-	whole := s.capacity(i.Model)
+	total := s.capacity(i.Model)
 	if i.class.Protected {
-		return whole
+		return total
 	}
-	left := whole
+	remaining := total
 	for _, c := range s.classesByTier {
 		switch m := c.grantedWork[i.Model]; {
 		case c == i.class:
 		case c.Tier < i.class.Tier && m != nil:
-			left -= m.rateAt(now)
+			remaining -= m.rateAt(now)
 		case c.modelQueues[i.Model] != nil:
-			left -= c.floor * whole
+			remaining -= c.floor * total
 		}
 	}
-	return max(left, i.class.floor*whole, 1e-3)
+	return max(remaining, i.class.floor*total, 1e-3)
 }
 
-// capacity is the work a second that the model's upstreams do together.
+// capacity returns the work a second of all the model's upstreams together.
 func (s *Scheduler) capacity(model string) float64 {
 	sum := 0.0
 	for _, e := range s.engines {
@@ -175,8 +177,8 @@
 	return max(sum, 1e-3)
 }
 
-// enforceQueueBounds enforces the bounds on queued work. Protected work takes the place of
-// the least urgent queued ticket before it is refused.
+// enforceQueueBounds applies the limits on queued work. A protected ticket displaces
+// the least urgent queued ticket before it is shed itself.
 func (s *Scheduler) enforceQueueBounds(i *item, wait time.Duration) bool {
 	if !s.exceedsQueueBounds(i) {
 		return true
@@ -202,10 +204,10 @@
 	return i.class.queued >= s.cfg.MaxQueuedPerClass || i.class.work+i.work > s.cfg.MaxQueuedWorkPerClass
 }
 
-// displacementVictim finds the queued ticket that goes first when room is needed: of the
-// least urgent class below the ticket's, from the organisation with the most
-// queued work, the one with the latest target. Only protected work displaces,
-// and only unprotected work of a lower tier is displaced.
+// displacementVictim returns the queued ticket to evict in favour of i, or nil. It
+// belongs to the least urgent class below that of i, there to the organisation with the
+// most queued work, and has the latest target. Only protected tickets displace others,
+// and only unprotected tickets of a lower tier are displaced.
 func (s *Scheduler) displacementVictim(i *item) *item {
 	if !i.class.Protected {
 		return nil
@@ -223,16 +225,16 @@
 }
 
 func latestOfLargestQueue(c *class) *item {
-	var most *organisationQueue
+	var largest *organisationQueue
 	for _, l := range c.modelQueues {
 		for _, sh := range l.byVirtualTokens.items {
-			if most == nil || sh.work > most.work {
-				most = sh
+			if largest == nil || sh.work > largest.work {
+				largest = sh
 			}
 		}
 	}
-	last := most.items.top()
-	for _, i := range most.items.items {
+	last := largest.items.top()
+	for _, i := range largest.items.items {
 		if last.before(i) {
 			last = i
 		}
@@ -240,8 +242,8 @@
 	return last
 }
 
-// drainTime is how long the class's queue for the model takes to drain at the
-// whole capacity.
+// drainTime estimates how long the class's queue for the model takes to drain at full
+// capacity.
 func (s *Scheduler) drainTime(i *item) time.Duration {
 	l := i.class.modelQueues[i.Model]
 	if l == nil {
@@ -264,8 +266,8 @@
 	s.effects = append(s.effects, Shed{ID: i.ID, Instance: i.Instance, Reason: why, RetryAfter: retry})
 }
 
-// shedExpired sheds queued tickets whose answer can no longer be of use, at once, so
-// that their callers learn it without waiting for the deadline.
+// shedExpired sheds queued tickets as soon as their deadline has passed, so that their
+// callers need not wait until it would have been their turn.
 func (s *Scheduler) shedExpired(now time.Time) {
 	for s.byDeadline.len() > 0 && !now.Before(s.byDeadline.top().deadline) {
 		i := s.byDeadline.top()
@@ -273,8 +275,8 @@
 	}
 }
 
-// shedUnservable sheds queued tickets that no upstream can take any more, or whose
-// class is gone.
+// shedUnservable sheds queued tickets that no upstream can serve any more or whose
+// class was removed.
 func (s *Scheduler) shedUnservable() {
 	for n := s.byDeadline.len() - 1; n >= 0; n-- {
 		if n >= s.byDeadline.len() {
--- a/core/sched/bench_test.go
+++ b/core/sched/bench_test.go
@@ -11,9 +11,9 @@
 	"github.com/comfreyladder/comfreyladder/core/sched"
 )
 
-// fullSize is one failure domain at the letter's size: 76 upstreams, 9 models,
-// 5 classes and 1,600 organisations, with all slots taken and queued tickets.
-func fullSize(queued int) (*sched.Scheduler, func(n int) sched.Ticket, []string) {
+// fullSizeDomain returns one failure domain at its specified size: 76 upstreams, 9
+// models, 5 classes and 1,600 organisations, with all slots taken and tickets queued.
+func fullSizeDomain(queued int) (*sched.Scheduler, func(n int) sched.Ticket, []string) {
 	doc := &intent.Document{}
 	for tier := range 5 {
 		doc.Classes = append(doc.Classes, intent.Class{Name: fmt.Sprint("c", tier), Tier: tier, Protected: tier == 0, Floor: 0.05})
@@ -33,43 +33,43 @@
 	s.SetClasses(doc)
 	s.SetOrganisations(doc)
 	s.SetUpstreams(start, ups)
-	make1 := func(n int) sched.Ticket {
+	newTicket := func(n int) sched.Ticket {
 		return sched.Ticket{
 			ID: fmt.Sprint("t", n), Instance: "i", Organisation: fmt.Sprint("o", rnd.Intn(1600)),
 			Class: fmt.Sprint("c", rnd.Intn(5)), Model: fmt.Sprint("m", rnd.Intn(9)), PromptTokens: 500,
 			PrefixHashes: []uint64{rnd.Uint64(), uint64(rnd.Intn(100))}, Arrived: start,
 		}
 	}
-	var flying []string
+	var inFlight []string
 	for n := 0; ; n++ {
-		for _, g := range grants(s.Submit(start, make1(-n-1))) {
-			flying = append(flying, g.ID)
+		for _, g := range grants(s.Submit(start, newTicket(-n-1))) {
+			inFlight = append(inFlight, g.ID)
 		}
 		total := 0
 		for _, c := range s.Status(start).Classes {
 			total += c.Queued
 		}
 		if total >= queued {
-			return s, make1, flying
+			return s, newTicket, inFlight
 		}
 	}
 }
 
-// BenchmarkRequest is one request's whole cost: Submit, Started, three notes of
-// progress and Finish, which grants the next queued ticket. A domain has 224
-// requests a second at the letter's size: multiply.
+// BenchmarkRequest measures the whole cost of one request: Submit, Started, three calls
+// of Progress and Finish, which grants the next queued ticket. A domain of the
+// specified size handles 224 requests a second, so multiply by that.
 func BenchmarkRequest(b *testing.B) {
 	for _, queued := range []int{1, 500, 2000, 4000} {
 		b.Run(fmt.Sprintf("queued=%d", queued), func(b *testing.B) {
-			s, next, flying := fullSize(queued)
+			s, newTicket, inFlight := fullSizeDomain(queued)
 			now := start
 			b.ReportAllocs()
 			b.ResetTimer()
 			for n := range b.N {
 				now = now.Add(4 * time.Millisecond)
-				effects := s.Submit(now, next(n))
-				at := n % len(flying)
-				id := flying[at]
+				effects := s.Submit(now, newTicket(n))
+				at := n % len(inFlight)
+				id := inFlight[at]
 				s.Started(now, id)
 				for p := range 3 {
 					s.Progress(now, id, 64*(p+1))
@@ -78,23 +78,23 @@
 				got := grants(effects)
 				for k, g := range got {
 					if k == 0 {
-						flying[at] = g.ID
+						inFlight[at] = g.ID
 						continue
 					}
-					flying = append(flying, g.ID)
+					inFlight = append(inFlight, g.ID)
 				}
 				if len(got) == 0 {
-					flying = append(flying[:at], flying[at+1:]...)
+					inFlight = append(inFlight[:at], inFlight[at+1:]...)
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkTick is the cost of one Tick at the letter's size; a scheduler ticks
-// ten times a second.
+// BenchmarkTick measures one Tick at the specified size; a scheduler ticks ten times a
+// second.
 func BenchmarkTick(b *testing.B) {
-	s, _, _ := fullSize(2000)
+	s, _, _ := fullSizeDomain(2000)
 	now := start
 	for b.Loop() {
 		now = now.Add(100 * time.Millisecond)
--- a/core/sched/compare_test.go
+++ b/core/sched/compare_test.go
@@ -13,36 +13,38 @@
 	"github.com/comfreyladder/comfreyladder/core/sched"
 )
 
-// queued is a policy with one queue, an order and a choice.
-type queued struct {
-	s        *sim
-	queue    []*job
-	inFlight int
-	most     int
-	turn     int
-	rnd      *rand.Rand
-	before   func(a, b *job) int
-	choose   func(q *queued, j *job) *simEngine
-	useless  func(now float64, j *job) bool
+// queuePolicy is a policy with a single queue, an ordering and an engine selection.
+type queuePolicy struct {
+	s           *sim
+	queue       []*job
+	inFlight    int
+	maxInFlight int
+	nextEngine  int
+	rnd         *rand.Rand
+	before      func(a, b *job) int
+	choose      func(q *queuePolicy, j *job) *simEngine
+	isUseless   func(now float64, j *job) bool
 }
 
-func (q *queued) submit(_ float64, j *job) { q.queue = append(q.queue, j); q.grant() }
-func (q *queued) first(float64, *job)      {}
-func (q *queued) ended(_ float64, _ *job)  { q.inFlight--; q.grant() }
-func (q *queued) tick(float64)             { q.grant() }
-func (q *queued) gone(j *job) bool         { return q.s.now >= j.deadline() || q.useless(q.s.now, j) }
-func never(float64, *job) bool             { return false }
-func byArrival(a, b *job) int              { return cmp.Compare(a.arrived, b.arrived) }
-func byTier(a, b *job) int                 { return cmp.Or(cmp.Compare(a.kind, b.kind), byArrival(a, b)) }
-func roundRobin(q *queued, _ *job) *simEngine {
-	q.turn++
-	return q.s.engines[q.turn%engineCount]
+func (q *queuePolicy) submit(_ float64, j *job) { q.queue = append(q.queue, j); q.grant() }
+func (q *queuePolicy) firstToken(float64, *job) {}
+func (q *queuePolicy) ended(_ float64, _ *job)  { q.inFlight--; q.grant() }
+func (q *queuePolicy) tick(float64)             { q.grant() }
+func (q *queuePolicy) shouldDrop(j *job) bool {
+	return q.s.now >= j.deadline() || q.isUseless(q.s.now, j)
+}
+func neverDrop(float64, *job) bool { return false }
+func byArrival(a, b *job) int      { return cmp.Compare(a.arrived, b.arrived) }
+func byTier(a, b *job) int         { return cmp.Or(cmp.Compare(a.classIndex, b.classIndex), byArrival(a, b)) }
+func roundRobin(q *queuePolicy, _ *job) *simEngine {
+	q.nextEngine++
+	return q.s.engines[q.nextEngine%engineCount]
 }
 
-func (q *queued) grant() {
-	q.queue = slices.DeleteFunc(q.queue, q.gone)
+func (q *queuePolicy) grant() {
+	q.queue = slices.DeleteFunc(q.queue, q.shouldDrop)
 	slices.SortStableFunc(q.queue, q.before)
-	for len(q.queue) > 0 && q.inFlight < q.most {
+	for len(q.queue) > 0 && q.inFlight < q.maxInFlight {
 		j := q.queue[0]
 		e := q.choose(q, j)
 		if e == nil {
@@ -54,7 +56,7 @@
 	}
 }
 
-func leastByReport(q *queued, _ *job) *simEngine {
+func leastLoadedByReport(q *queuePolicy, _ *job) *simEngine {
 	r := q.s.report()
 	best := q.rnd.Intn(engineCount)
 	for n := range r {
@@ -65,8 +67,8 @@
 	return q.s.engines[best]
 }
 
-// trueBest knows each engine's true state and speed.
-func trueBest(q *queued, _ *job) *simEngine {
+// fastestFreeEngine selects by each engine's true state and speed.
+func fastestFreeEngine(q *queuePolicy, _ *job) *simEngine {
 	var best *simEngine
 	for _, e := range q.s.engines {
 		if len(e.running) < engineSlots && (best == nil || e.speed(q.s.now) > best.speed(q.s.now)) {
@@ -76,23 +78,23 @@
 	return best
 }
 
-// hopeless knows the length: such a job can't end before its deadline or misses
-// its level already.
-func hopeless(now float64, j *job) bool {
+// cannotMeetLevel uses the true answer length. It reports whether a job cannot end
+// before its deadline or already misses its service level.
+func cannotMeetLevel(now float64, j *job) bool {
 	first := now + 0.1 + float64(j.prompt)*1e-4
 	return first > j.arrived+j.class().FirstToken.Seconds() || first+float64(j.tokens)/streamRate > j.deadline()
 }
 
-// ours is the scheduler of this package.
-type ours struct {
-	s    *sim
-	core *sched.Scheduler
-	next float64
+// schedulerPolicy runs the scheduler of this package.
+type schedulerPolicy struct {
+	s          *sim
+	scheduler  *sched.Scheduler
+	nextReport float64
 }
 
-func at(now float64) time.Time { return start.Add(time.Duration(now * float64(time.Second))) }
+func simTime(now float64) time.Time { return start.Add(time.Duration(now * float64(time.Second))) }
 
-func (o *ours) apply(effects []sched.Effect) {
+func (o *schedulerPolicy) apply(effects []sched.Effect) {
 	for _, g := range grants(effects) {
 		for _, e := range o.s.engines {
 			if e.name == g.Upstream {
@@ -102,71 +104,71 @@
 	}
 }
 
-func (o *ours) submit(now float64, j *job) {
-	o.apply(o.core.Submit(at(now), sched.Ticket{
-		ID: j.id, Instance: "i", Organisation: j.org, Class: j.class().Name, Model: "m", PromptTokens: j.prompt, Arrived: at(now),
+func (o *schedulerPolicy) submit(now float64, j *job) {
+	o.apply(o.scheduler.Submit(simTime(now), sched.Ticket{
+		ID: j.id, Instance: "i", Organisation: j.org, Class: j.class().Name, Model: "m", PromptTokens: j.prompt, Arrived: simTime(now),
 	}))
 }
-func (o *ours) first(now float64, j *job) { o.core.Started(at(now), j.id) }
-func (o *ours) ended(now float64, j *job) {
-	o.apply(o.core.Finish(at(now), j.id, sched.Outcome{Tokens: j.tokens, Complete: j.finished}))
+func (o *schedulerPolicy) firstToken(now float64, j *job) { o.scheduler.Started(simTime(now), j.id) }
+func (o *schedulerPolicy) ended(now float64, j *job) {
+	o.apply(o.scheduler.Finish(simTime(now), j.id, sched.Outcome{Tokens: j.tokens, Complete: j.finished}))
 }
 
-func (o *ours) tick(now float64) {
-	if now >= o.next {
-		o.next = now + 1
+func (o *schedulerPolicy) tick(now float64) {
+	if now >= o.nextReport {
+		o.nextReport = now + 1
 		ups := engines(engineCount, engineSlots)
 		for n, r := range o.s.report() {
-			ups[n].Load, ups[n].LoadAt = &announce.Load{Running: r}, at(now-reportLag)
+			ups[n].Load, ups[n].LoadAt = &announce.Load{Running: r}, simTime(now-reportLag)
 		}
-		o.apply(o.core.SetUpstreams(at(now), ups))
+		o.apply(o.scheduler.SetUpstreams(simTime(now), ups))
 	}
-	o.apply(o.core.Tick(at(now)))
+	o.apply(o.scheduler.Tick(simTime(now)))
 }
 
-func newOurs(cfg sched.Config) func(*sim) policy {
+func newSchedulerPolicy(cfg sched.Config) func(*sim) policy {
 	return func(s *sim) policy {
-		o := &ours{s: s, core: sched.New(cfg, rand.New(rand.NewSource(1)))}
+		o := &schedulerPolicy{s: s, scheduler: sched.New(cfg, rand.New(rand.NewSource(1)))}
 		doc := &intent.Document{}
-		for _, l := range loads {
+		for _, l := range classLoads {
 			doc.Classes = append(doc.Classes, l.class)
 		}
-		o.core.SetClasses(doc)
-		o.core.SetUpstreams(start, engines(engineCount, engineSlots))
+		o.scheduler.SetClasses(doc)
+		o.scheduler.SetUpstreams(start, engines(engineCount, engineSlots))
 		return o
 	}
 }
 
-func newQueued(before func(a, b *job) int, choose func(*queued, *job) *simEngine, useless func(float64, *job) bool) func(*sim) policy {
+func newQueuePolicy(before func(a, b *job) int, choose func(*queuePolicy, *job) *simEngine, useless func(float64, *job) bool) func(*sim) policy {
 	return func(s *sim) policy {
-		return &queued{s: s, most: engineCount * engineSlots, rnd: rand.New(rand.NewSource(1)), before: before, choose: choose, useless: useless}
+		return &queuePolicy{s: s, maxInFlight: engineCount * engineSlots, rnd: rand.New(rand.NewSource(1)), before: before, choose: choose, isUseless: useless}
 	}
 }
 
 func BenchmarkPolicies(b *testing.B) {
 	policies := []struct {
-		name  string
-		make1 func(*sim) policy
+		name      string
+		newPolicy func(*sim) policy
 	}{
-		{"(a) FIFO, round robin", newQueued(byArrival, roundRobin, never)},
-		{"(b) priority, least by report", newQueued(byTier, leastByReport, never)},
-		{"comfreyladder", newOurs(sched.Config{})},
-		{"  without headroom", newOurs(sched.Config{Headroom: 1e-6})},
-		{"  headroom 0.25", newOurs(sched.Config{Headroom: 0.25})},
-		{"(c) lengths and states known", newQueued(byTier, trueBest, hopeless)},
+		{"(a) FIFO, round robin", newQueuePolicy(byArrival, roundRobin, neverDrop)},
+		{"(b) priority, least by report", newQueuePolicy(byTier, leastLoadedByReport, neverDrop)},
+		{"comfreyladder", newSchedulerPolicy(sched.Config{})},
+		{"  without headroom", newSchedulerPolicy(sched.Config{Headroom: 1e-6})},
+		{"  headroom 0.25", newSchedulerPolicy(sched.Config{Headroom: 0.25})},
+		{"(c) lengths and states known", newQueuePolicy(byTier, fastestFreeEngine, cannotMeetLevel)},
 	}
 	const seeds = 5
 	for b.Loop() {
 		b.Logf("%-30s %s", "mean of 5 seeds (worst)", "review         answer         question       status         draft          goodput/s      wasted")
 		for _, p := range policies {
-			line := make([][]float64, len(loads)+2)
+			line := make([][]float64, len(classLoads)+2)
 			for seed := range seeds {
-				s := newSim(int64(seed+1), p.make1)
-				for k := range loads {
-					line[k] = append(line[k], float64(s.met[k])/float64(s.offered[k]))
+				s := newSim(int64(seed+1), p.newPolicy)
+				for k := range classLoads {
+					line[k] = append(line[k], float64(s.metTarget[k])/float64(s.offered[k]))
 				}
-				line[len(loads)] = append(line[len(loads)], s.good/loadSeconds)
-				line[len(loads)+1] = append(line[len(loads)+1], s.wasted/s.made)
+				line[len(classLoads)] = append(line[len(classLoads)], s.goodTokens/loadSeconds)
+				line[len(classLoads)+1] = append(line[len(classLoads)+1], s.wastedTokens/s.generatedTokens)
 			}
 			text := ""
 			for k, v := range line {
--- a/core/sched/dispatch.go
+++ b/core/sched/dispatch.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// maxFloorDelay is for how long a class's floor may be put off while more
-	// urgent work waits; the credit is kept and paid back after that.
+	// maxFloorDelay limits how long a class's floor is deferred while more urgent work
+	// waits. The credit is kept and served afterwards.
 	maxFloorDelay = 5 * time.Second
-	// maxOrganisationsTried is how many organisations are tried when the first one's
-	// ticket fits none of the free upstreams.
+	// maxOrganisationsTried limits how many organisations of a queue are tried when the
+	// first one's ticket fits none of the free upstreams.
 	maxOrganisationsTried = 8
-	// patienceQuarters is for how many quarters of the time to the first token a
+	// patienceQuarters is the number of quarters of the first-token target for which a
 	// request waits for an engine that is fast enough for it.
 	patienceQuarters = 3
 )
 
-// slotCounts counts the slots that are free for one model.
+// slotCounts holds the number of slots that are free for one model.
 type slotCounts struct{ protected, unprotected int }
 
-// dispatch grants as long as a waiting ticket fits a free upstream.
+// dispatch issues grants as long as a waiting ticket fits a free upstream.
 func (s *Scheduler) dispatch(now time.Time) {
 	if s.queued == 0 || now.Before(s.holdUntil) {
 		return
@@ -37,7 +37,8 @@
 	}
 }
 
-// dispatchModel is dispatch after a Submit: only one model's queue has grown.
+// dispatchModel runs dispatch after a Submit, which has only added to the queue of one
+// model.
 func (s *Scheduler) dispatchModel(now time.Time, model string) {
 	if s.modelFreeSlots(now, model).protected > 0 {
 		s.dispatch(now)
@@ -83,7 +84,7 @@
 	return r.unprotected > 0
 }
 
-// canServe reports whether a ticket of the lane could be granted now.
+// canServe reports whether a ticket of the queue could be granted now.
 func (s *Scheduler) canServe(l *modelQueue) bool {
 	r := s.freeSlots[l.model]
 	if r == nil || l.queued == 0 || l.blockedInRound == s.dispatchRound {
@@ -95,42 +96,43 @@
 	return r.unprotected > 0
 }
 
-// nextQueue chooses the lane to serve: the class with the most floor credit, unless
-// that can be put off for more urgent work, else the most urgent tier.
+// nextQueue selects the queue to serve: that of the class with the most floor credit,
+// unless its floor can be deferred for more urgent work, else the most urgent tier.
 func (s *Scheduler) nextQueue() (l *modelQueue, floor bool) {
-	var first, owed *modelQueue
+	var mostUrgent, mostOwed *modelQueue
 	for _, c := range s.classesByTier {
 		for _, l := range c.modelQueues {
 			if !s.canServe(l) {
 				continue
 			}
-			if first == nil || c.Tier == first.class.Tier && l.headBefore(first) {
-				first = l
+			if mostUrgent == nil || c.Tier == mostUrgent.class.Tier && l.headBefore(mostUrgent) {
+				mostUrgent = l
 			}
-			if s.floorDue(l, first) && (owed == nil || c.floorCredit > owed.class.floorCredit) {
-				owed = l
+			if s.floorDue(l, mostUrgent) && (mostOwed == nil || c.floorCredit > mostOwed.class.floorCredit) {
+				mostOwed = l
 			}
 		}
 	}
-	if owed != nil {
-		return owed, true
+	if mostOwed != nil {
+		return mostOwed, true
 	}
-	return first, false
+	return mostUrgent, false
 }
 
-// floorDue reports whether the lane's class is owed work by its floor. While a more
-// urgent class waits, the floor is put off until half of the most credit has
-// gathered: a short burst of urgent work is then not slowed at all, and a long
-// one leaves the floor its full rate, later by at most floorDelay.
-func (s *Scheduler) floorDue(l *modelQueue, first *modelQueue) bool {
+// floorDue reports whether the floor of the queue's class must be served now. While a
+// more urgent class waits, the floor is deferred until half of the maximum credit has
+// accumulated. A short burst of urgent work is then not delayed at all, and a long one
+// leaves the floor its full rate, delayed by at most maxFloorDelay.
+func (s *Scheduler) floorDue(l *modelQueue, mostUrgent *modelQueue) bool {
 	c := l.class
 	if c.floorCredit <= 0 {
 		return false
 	}
-	return first.class.Tier >= c.Tier || c.floorCredit >= s.maxFloorCredit(c)/2
+	return mostUrgent.class.Tier >= c.Tier || c.floorCredit >= s.maxFloorCredit(c)/2
 }
 
-// maxFloorCredit bounds what a class can be owed; it covers at least two tickets.
+// maxFloorCredit returns the limit on a class's floor credit, which covers at least two
+// tickets.
 func (s *Scheduler) maxFloorCredit(c *class) float64 {
 	mean := c.work / float64(max(c.queued, 1))
 	return max(c.floor*s.priorCapacity*maxFloorDelay.Seconds(), 2*mean)
@@ -140,9 +142,9 @@
 	return l.byVirtualTokens.top().items.top().before(o.byVirtualTokens.top().items.top())
 }
 
-// serve grants one ticket of the lane, or leaves the lane out for the rest of
-// this dispatch when none of its tickets fits: all free upstreams were tried by
-// those tickets before.
+// serve grants one ticket of the queue. If none of the tickets tried fits a free
+// upstream, for example because each was tried there before, the queue is skipped for
+// the rest of this dispatch.
 func (s *Scheduler) serve(now time.Time, l *modelQueue, floor bool) {
 	for n := 0; n < min(maxOrganisationsTried, l.byVirtualTokens.len()); n++ {
 		i := s.nextItem(now, l.byVirtualTokens.items[n])
@@ -153,8 +155,8 @@
 	l.blockedInRound = s.dispatchRound
 }
 
-// nextItem returns the organisation's next ticket, after moving those behind that
-// missed their target while they waited.
+// nextItem returns the organisation's next ticket, after moving tickets that missed
+// their target while queued behind the others.
 func (s *Scheduler) nextItem(now time.Time, sh *organisationQueue) *item {
 	for {
 		i := sh.items.top()
@@ -195,10 +197,10 @@
 	return true
 }
 
-// pickRequest describes the item for a choice. One with a target for its first token
-// is patient for most of the time to it: a slot at a good engine becomes free
-// every few hundred milliseconds, and an answer that crawls from its first token
-// on has missed its level already.
+// pickRequest describes the item to the picker. A request with targets for its first
+// token and between tokens is patient for most of the time to its first-token target: a
+// slot on a fast engine becomes free every few hundred milliseconds, and an answer that
+// is generated too slowly misses its service level anyway.
 func (s *Scheduler) pickRequest(now time.Time, i *item) *pick.Request {
 	c := &i.class.Class
 	r := &pick.Request{Protected: c.Protected, Pace: c.BetweenTokens, Tokens: i.expectedTokens}
@@ -209,8 +211,8 @@
 	return r
 }
 
-// chargeGrant books a grant: floor credits of all waiting classes grow, the served
-// one's shrinks, and the organisation is charged with the expected work.
+// chargeGrant accounts for a grant: the floor credits of all waiting classes grow, that
+// of the served class shrinks, and the organisation is charged with the expected work.
 func (s *Scheduler) chargeGrant(now time.Time, i *item, floor bool) {
 	for _, c := range s.classesByTier {
 		if c.queued > 0 {
--- a/core/sched/down_test.go
+++ b/core/sched/down_test.go
@@ -10,11 +10,11 @@
 	"github.com/comfreyladder/comfreyladder/core/sched"
 )
 
-// A burst of status replies is told "not run" while most engines have room soon.
-// One engine crashes while the others are full; each request that is sent there
-// fails at once, so that its slots look free and the next one goes there too.
-// The cause: a refused connection used no slot and so counted as no failure.
-func TestCrashedEngineDrawsNoRequests(t *testing.T) {
+// Guards against a crashed engine that attracts all requests while the others are full,
+// so that callers get "not run" although slots become free soon. Each request sent to
+// it fails immediately and leaves its slot free for the next one. This happens if a
+// refused connection, which used no slot, is not counted as a failure.
+func TestCrashedEngineAttractsNoRequests(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{}, engines(2, 2))
 	place := func(id string, now time.Time) []sched.Grant {
@@ -26,15 +26,15 @@
 	for n := range 4 {
 		place(fmt.Sprint("first", n), start)
 	}
-	var dead []string
+	var onCrashed []string
 	for _, id := range []string{"first0", "first1", "first2", "first3"} {
 		if gr, _ := s.GrantOf(id); gr.Upstream == "e0" {
-			dead = append(dead, id)
+			onCrashed = append(onCrashed, id)
 		}
 	}
-	g.Expect(dead).To(HaveLen(2))
+	g.Expect(onCrashed).To(HaveLen(2))
 	place("waits", start)
-	for _, id := range dead {
+	for _, id := range onCrashed {
 		g.Expect(fail(id, start)).To(BeEmpty(), "e0 is down, e1 is full")
 	}
 
@@ -44,13 +44,13 @@
 	g.Expect(probes[0].Upstream).To(Equal("e0"), "the probe")
 	g.Expect(place("behind", now)).To(BeEmpty(), "one probe at a time")
 	s.Started(now, "waits")
-	g.Expect(grants(s.Tick(now))).To(HaveLen(1), "it answers again")
+	g.Expect(grants(s.Tick(now))).To(HaveLen(1), "available again after its first token")
 }
 
-// An operator sees engine after engine set out of use while all of them are well.
-// One caller sends requests that every engine answers with a failure; each is
-// tried elsewhere. The cause: a bad request counted against the engine.
-func TestBadRequestsTakeNoEngineOutOfUse(t *testing.T) {
+// Guards against healthy engines being taken out of use one after another by a caller
+// whose requests every engine answers with a failure. This happens if each invalid
+// request, which is also retried elsewhere, counts against the engine.
+func TestInvalidRequestsDoNotMakeEngineUnavailable(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{}, engines(1, 4))
 	for n := range 5 {
--- a/core/sched/engine.go
+++ b/core/sched/engine.go
@@ -7,49 +7,51 @@
 )
 
 const (
-	// defaultAlpha is the weight of a new observation of an engine.
+	// defaultAlpha is the smoothing weight of a new measurement of an engine.
 	defaultAlpha = 0.2
-	// probeAlpha is the weight of an observation of a straggler, so that one
-	// or two good probes bring it back.
+	// probeAlpha is the smoothing weight of a measurement of an ejected engine. It is
+	// high, so that one or two good probes reinstate the engine.
 	probeAlpha = 0.6
-	// maxReportAge is the age from which a load report says nothing any more.
+	// maxReportAge is the age beyond which a load report is ignored.
 	maxReportAge = 10 * time.Second
-	// maxMeasurementAge is the time without an answer after which an engine's figures
-	// count as unknown. A slow engine that is never chosen would otherwise keep
-	// its bad figures, and never be chosen, for ever.
+	// maxMeasurementAge is the time without an answer after which an engine's
+	// measurements count as unknown. Otherwise a slow engine that is never chosen would
+	// keep its bad measurements and never be chosen again.
 	maxMeasurementAge = 5 * time.Second
-	// maxSentPrefixes is how many prefixes that were sent to an engine are
-	// remembered until its own cache events tell of them.
+	// maxSentPrefixes is the number of prefixes sent to an engine that are remembered
+	// until the engine's own cache events report them.
 	maxSentPrefixes = 256
 )
 
-// engine is what is known about one upstream.
+// engine is the scheduler's state for one upstream.
 type engine struct {
 	Upstream
 	*engineStats
 	modelSet map[string]bool
-	// slots is this scheduler's part of the upstream's slots.
+	// slots is this scheduler's share of the upstream's slots.
 	slots int
-	// inFlight counts grants; unprotectedInFlight those of unprotectedInFlight classes.
+	// inFlight counts grants; unprotectedInFlight counts those of unprotected classes.
 	inFlight, unprotectedInFlight int
 	// pacedInFlight counts those of classes with a target between tokens.
 	pacedInFlight int
-	// unstarted holds the grants without a first token.
+	// unstarted holds the grants that have no first token yet.
 	unstarted map[string]*item
-	// inFlightHistory remembers counts in flight, to correct reports that lag.
+	// inFlightHistory records earlier in-flight counts, to correct delayed load
+	// reports.
 	inFlightHistory []inFlightSample
-	// otherRequests is how many requests of otherRequests the latest report showed.
+	// otherRequests is the number of requests from other sources in the latest load
+	// report.
 	otherRequests int
-	// consecutiveFailures counts consecutiveFailures in a row, engineFailures those of them that the engine
-	// alone can be blamed for.
+	// consecutiveFailures counts failures in a row; engineFailures counts those of them
+	// that only the engine can have caused.
 	consecutiveFailures, engineFailures int
 	ejected                             bool
-	// down says that the engine is aside because nothing came from it: it gets
-	// single probes, whatever waits.
+	// down is set if the engine is ejected because it does not respond. It then gets
+	// single probes, whatever is queued.
 	down                 bool
 	ejectedAt, nextProbe time.Time
-	// promptTokens is how many uncached prompt tokens were sent of late, forgotten
-	// exponentially; promptsAt is when that was true.
+	// promptTokens counts the uncached prompt tokens sent recently, with exponential
+	// decay; promptTokensAt is the time of that value.
 	promptTokens    float64
 	promptTokensAt  time.Time
 	sentPrefixes    map[uint64]struct{}
@@ -79,11 +81,13 @@
 	}
 }
 
-// addInFlight changes the count in addInFlight and remembers when.
+// addInFlight changes the in-flight counts by sign and records the total in the
+// history.
 func (e *engine) addInFlight(now time.Time, i *item, sign int) {
 	e.inFlight += sign
 	if sign > 0 {
-		// A change of the class in between must not leave a count behind.
+		// The settings are kept until the grant ends, so that a class that changes in
+		// between leaves no count behind.
 		i.unprotected, i.paced = !i.class.Protected, i.class.BetweenTokens > 0
 	}
 	if i.unprotected {
@@ -103,7 +107,7 @@
 	e.inFlightHistory = append(e.inFlightHistory[:0], e.inFlightHistory[keep:]...)
 }
 
-// inFlightAt returns how many grants were in flight at the given time.
+// inFlightAt returns the number of grants in flight at the given time.
 func (e *engine) inFlightAt(at time.Time) int {
 	for n := len(e.inFlightHistory) - 1; n >= 0; n-- {
 		if !e.inFlightHistory[n].at.After(at) {
@@ -113,10 +117,10 @@
 	return 0
 }
 
-// estimatedInFlight estimates how many requests the engine has now. What was granted here is
-// known exactly; a report adds only what others had there at the report's time.
-// Taking a late report at its word is the failure this guards against: an engine
-// that was idle two seconds ago looks idle after fifty grants.
+// estimatedInFlight estimates the number of requests that the engine has now. Grants of
+// this scheduler are known exactly; a load report only adds the requests of others at
+// the time of the report. A delayed report must not be used as it is: an engine that
+// was idle two seconds ago would still look idle after fifty grants.
 func (e *engine) estimatedInFlight(now time.Time) int {
 	if e.Load == nil || now.Sub(e.LoadAt) > maxReportAge {
 		return e.inFlight
@@ -124,9 +128,9 @@
 	return e.inFlight + e.otherRequests
 }
 
-// freeSlots returns how many slots are open to a class. Unprotected classes may not
-// fill the last slots of an engine: a protected request must not wait for the
-// end of a long answer of a lower tier.
+// freeSlots returns the number of slots open to a class. Unprotected classes may not
+// fill the last slots of an engine, so that a protected request need not wait for a
+// long answer of a lower tier to end.
 func (e *engine) freeSlots(now time.Time, protected bool, headroom float64) int {
 	if e.removed || e.Draining || e.down && (protected || now.Before(e.nextProbe)) {
 		return 0
@@ -139,7 +143,7 @@
 	return min(open, e.slots-reserved-e.unprotectedInFlight)
 }
 
-// candidate describes the engine, which holds the item's model, for a choice.
+// candidate describes the engine, which holds the item's model, to the picker.
 func (e *engine) candidate(now time.Time, i *item, headroom float64) pick.Candidate {
 	first, rate := e.firstToken, e.tokenRate
 	if e.stale(now) {
@@ -169,7 +173,8 @@
 	}
 }
 
-// cachedPrefixShare returns the share of the prompt's prefixes that the engine holds.
+// cachedPrefixShare returns the share of the prompt's prefixes that the engine is
+// believed to have cached.
 func (e *engine) cachedPrefixShare(longestFirst []uint64) float64 {
 	for n, h := range longestFirst {
 		_, announced := e.Prefixes[h]
@@ -195,7 +200,7 @@
 	}
 }
 
-// recordOutcome takes in one finished grant.
+// recordOutcome updates the failure counts or the measurements after a grant ended.
 func (e *engine) recordOutcome(now time.Time, i *item, o Outcome, work float64) {
 	if o.Failed {
 		e.recordFailure(now, i, o)
@@ -211,7 +216,8 @@
 	e.recordFinish(now, &i.streamTiming, o, work, e.alpha(now))
 }
 
-// handleFirstToken takes in a first token.
+// handleFirstToken records the first token of a grant and reinstates an engine that was
+// down.
 func (e *engine) handleFirstToken(now time.Time, i *item) {
 	delete(e.unstarted, i.ID)
 	if e.down {
@@ -221,7 +227,8 @@
 	e.recordFirstToken(now, &i.streamTiming, e.alpha(now))
 }
 
-// alpha is the weight of the next observation: larger for a straggler.
+// alpha returns the smoothing weight of the next measurement, which is at least
+// probeAlpha for an ejected engine.
 func (e *engine) alpha(now time.Time) float64 {
 	alpha := e.engineStats.alpha(now)
 	if e.ejected {
@@ -230,7 +237,8 @@
 	return alpha
 }
 
-// longestFirstTokenWait returns the time that the oldest grant waits for its first token.
+// longestFirstTokenWait returns how long the oldest unstarted grant has been waiting
+// for its first token.
 func (e *engine) longestFirstTokenWait(now time.Time) time.Duration {
 	longest := time.Duration(0)
 	for _, i := range e.unstarted {
--- a/core/sched/knowledge.go
+++ b/core/sched/estimator.go
@@ -7,17 +7,17 @@
 	"github.com/comfreyladder/comfreyladder/core/predict"
 )
 
-// Estimator is what was learned of engines and of the lengths of answers. It
-// outlives a Scheduler: an instance that follows learns from its own requests
-// (Watch), so that it knows slow engines and usual lengths when the role of the
-// scheduler moves to it. It is not safe for concurrent use.
+// Estimator holds measurements of engines and answer lengths. It outlives a Scheduler:
+// an instance that does not schedule learns from its own requests (Observe), so that it
+// knows slow engines and typical lengths when it becomes the scheduler. It is not safe
+// for concurrent use.
 type Estimator struct {
 	promptWeight float64
 	lengths      *predict.Predictor
 	engines      map[string]*engineStats
 }
 
-// NewEstimator returns empty knowledge.
+// NewEstimator returns an Estimator without measurements.
 func NewEstimator(cfg Config) *Estimator {
 	cfg = cfg.withDefaults()
 	return &Estimator{
@@ -27,7 +27,7 @@
 	}
 }
 
-// Retain forgets engines that are not listed.
+// Retain removes the measurements of engines that are not listed.
 func (k *Estimator) Retain(list []Upstream) {
 	listed := make(map[string]*engineStats, len(list))
 	for i := range list {
@@ -47,12 +47,13 @@
 	return f
 }
 
-// workOf weighs a request's prompt and generated tokens.
+// workOf returns the work of a request: the generated tokens, the weighted prompt
+// tokens and 1 for the request itself.
 func (k *Estimator) workOf(t *Ticket, tokens float64) float64 {
 	return tokens + k.promptWeight*float64(t.PromptTokens) + 1
 }
 
-// Observation learns from one granted request where no Scheduler does.
+// Observation measures one granted request where no Scheduler does.
 type Observation struct {
 	k      *Estimator
 	ticket Ticket
@@ -60,25 +61,25 @@
 	stream streamTiming
 }
 
-// Observe begins to learn from a request that was granted now.
+// Observe starts measuring a request that was granted now.
 func (k *Estimator) Observe(now time.Time, t Ticket, upstream string) *Observation {
 	return &Observation{k: k, ticket: t, engine: k.engine(upstream), stream: streamTiming{grantedAt: now}}
 }
 
-// Started notes the first token.
+// Started records the first token.
 func (w *Observation) Started(now time.Time) {
 	if w.stream.startedAt.IsZero() {
 		w.engine.recordFirstToken(now, &w.stream, w.engine.alpha(now))
 	}
 }
 
-// Progress notes how many tokens came so far.
+// Progress records the number of tokens received so far.
 func (w *Observation) Progress(now time.Time, tokens int) {
 	w.Started(now)
 	w.engine.recordProgress(now, &w.stream, tokens, w.engine.alpha(now))
 }
 
-// Finish notes the end.
+// Finish records the end of the request.
 func (w *Observation) Finish(now time.Time, o Outcome) {
 	if o.Complete {
 		w.k.lengths.Observe(w.ticket.Class, w.ticket.Organisation, o.Tokens)
@@ -88,25 +89,26 @@
 	}
 }
 
-// engineStats are what was measured of one engine.
+// engineStats holds the measurements of one engine.
 type engineStats struct {
-	// firstToken is in seconds, tokenRate in tokens a second of one stream,
-	// slotRate in work a second of one slot; 0 means unknown.
+	// firstToken is in seconds, tokenRate in tokens a second of one stream, slotRate in
+	// work a second of one slot; 0 means unknown.
 	firstToken, tokenRate, slotRate float64
 	samples                         int
-	// observed is when the figures were last confirmed.
+	// observed is when the engine was last seen to generate tokens or to finish a
+	// request.
 	observed time.Time
 }
 
 // streamTiming holds the times of one grant.
 type streamTiming struct {
 	grantedAt, startedAt time.Time
-	// measuredAt and paced are the time and the count of tokens from which the
+	// measuredAt and measuredTokens are the time and the token count from which the
 	// rate is measured next; a zero time means that none is known.
 	measuredAt     time.Time
 	measuredTokens int
-	// restored says that another scheduler gave the grant, so that its times
-	// are not known.
+	// restored is set if another scheduler issued the grant, so that its times are not
+	// known.
 	restored bool
 }
 
@@ -120,28 +122,28 @@
 }
 
 const (
-	// minMeasuredTokens is how many tokens a measurement of a stream's rate needs; fewer
-	// say more about the time that messages take.
+	// minMeasuredTokens is the number of tokens needed to measure a stream's rate. With
+	// fewer, the time that messages take dominates.
 	minMeasuredTokens = 4
-	// rateDropFactor is the factor by which a measurement must be below the known rate
-	// to count as a change of the engine and not as noise; it then weighs
-	// paceDropAlpha. All streams of an engine share its steps, so that one of
-	// them speaks for all.
+	// rateDropFactor is the factor by which a measured rate must be below the known one
+	// to count as a change of the engine and not as noise; the measurement is then
+	// weighted with rateDropAlpha. All streams of an engine share its steps, so that a
+	// single stream is representative.
 	rateDropFactor = 2
 	rateDropAlpha  = 0.6
 )
 
-// recordProgress learns the engine's rate from a stream that runs. Waiting for the end of
-// the stream is the failure this guards against: an engine that slows down ends
-// few streams, so that its slowness would be learned after many seconds, in
-// which it gets requests at the rate of a healthy one.
+// recordProgress measures the engine's token rate from a running stream. Measuring only
+// when a stream ends would be too late: an engine that slows down finishes few streams,
+// so that its slowness would be noticed after many seconds, in which it would get
+// requests at the rate of a healthy engine.
 func (f *engineStats) recordProgress(now time.Time, s *streamTiming, tokens int, alpha float64) {
 	more := tokens - s.measuredTokens
 	if more < minMeasuredTokens {
 		return
 	}
-	if took := now.Sub(s.measuredAt).Seconds(); !s.measuredAt.IsZero() && took > 0 {
-		rate := float64(more) / took
+	if elapsed := now.Sub(s.measuredAt).Seconds(); !s.measuredAt.IsZero() && elapsed > 0 {
+		rate := float64(more) / elapsed
 		if rate*rateDropFactor < f.tokenRate {
 			alpha = max(alpha, rateDropAlpha)
 		}
@@ -161,20 +163,20 @@
 	}
 }
 
-// invalidate drops what was measured, so that old figures do not set an engine aside
-// again before new ones are there.
+// invalidate marks the measurements as stale, so that old ones do not eject an engine
+// again before there are new ones.
 func (f *engineStats) invalidate() {
 	f.samples = min(f.samples, 1)
 	f.observed = time.Time{}
 }
 
-// stale reports whether nothing was learned of the engine for long.
+// stale reports whether the measurements are older than maxMeasurementAge.
 func (f *engineStats) stale(now time.Time) bool {
 	return now.Sub(f.observed) > maxMeasurementAge
 }
 
-// lastTokenRate is the last rate that was measured, or 0 when that was so long ago
-// that the engine must be tried again.
+// lastTokenRate returns the last measured token rate, or 0 if it is so old that the
+// engine must be tried again.
 func (f *engineStats) lastTokenRate(now time.Time) float64 {
 	if now.Sub(f.observed) > maxEjectionTime {
 		return 0
@@ -182,7 +184,8 @@
 	return f.tokenRate
 }
 
-// alpha is the weight of the next observation: all of it when the figures are old.
+// alpha returns the smoothing weight of the next measurement, which replaces stale
+// measurements altogether.
 func (f *engineStats) alpha(now time.Time) float64 {
 	if f.stale(now) {
 		return 1
--- a/core/sched/knowledge_test.go
+++ b/core/sched/estimator_test.go
@@ -12,10 +12,10 @@
 	"github.com/comfreyladder/comfreyladder/core/sched"
 )
 
-// After each change of the domain's scheduler, answers crawl on an engine that
-// was known as slow for long. The new scheduler had only followed until then and
-// had learned nothing from its own requests.
-func TestSchedulerBeginsWithWhatItsInstanceLearned(t *testing.T) {
+// Guards against slow answers after each change of the domain's scheduler, on an engine
+// long known to be slow. This happens if an instance that does not schedule learns
+// nothing from its own requests.
+func TestSchedulerStartsWithExistingMeasurements(t *testing.T) {
 	g := NewWithT(t)
 	k := sched.NewEstimator(sched.Config{})
 	now := start.Add(800 * time.Millisecond)
@@ -36,9 +36,9 @@
 	}
 }
 
-// An engine looks faster or slower than it is after a change of the scheduler:
-// the times of grants that another one gave are not known.
-func TestRestoredGrantsTellNothingOfSpeed(t *testing.T) {
+// Guards against an engine looking faster or slower than it is after a change of the
+// scheduler: the start times of grants issued by another scheduler are unknown.
+func TestRestoredGrantsAreNotMeasuredFromTheirStart(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{}, engines(1, 4))
 	s.Restore(start, ticket("a", "draft", "big", start), "e0", 0)
--- a/core/sched/fault_test.go
+++ b/core/sched/fault_test.go
@@ -18,12 +18,11 @@
 	return slices.Sorted(maps.Keys(m))
 }
 
-// First tokens come late from one engine while seven idle.
-// First the link to the domain's scheduler goes silent, so that four instances
-// schedule for themselves; all hold the same report, two seconds old, by which
-// one engine is idle, and all send to that one. The cause: the same best choice
-// made from the same stale figures.
-func TestInstancesApartDoNotHerd(t *testing.T) {
+// Guards against herding: four instances that lost the domain's scheduler schedule
+// independently, all hold the same two second old report that shows one idle engine,
+// and all send to that engine while seven others idle. It comes about if each makes the
+// same best choice from the same stale report.
+func TestUncoordinatedSchedulersSpreadRequests(t *testing.T) {
 	g := NewWithT(t)
 	ups := engines(8, 32)
 	for n := range ups {
@@ -52,10 +51,10 @@
 	g.Expect(count).To(HaveLen(8))
 }
 
-// Slots of an engine are lost for good after a crash.
-// First it dies with four grants in flight and leaves the list, then the ends of
-// the grants arrive one by one, then it comes back under the same name.
-func TestEngineDiesWithGrantsInFlight(t *testing.T) {
+// Guards against slots that are lost for good after a crash. An engine dies with four
+// grants in flight and leaves the list, then the grants end one by one, then the engine
+// returns under the same name.
+func TestSlotsAreReleasedAfterEngineCrash(t *testing.T) {
 	g := NewWithT(t)
 	ups := engines(2, 2)
 	s := newScheduler(sched.Config{}, ups)
@@ -63,8 +62,8 @@
 		s.Submit(start, ticket(fmt.Sprint(n), "draft", "big", start))
 	}
 	g.Expect(s.SetUpstreams(start, ups[1:])).To(BeEmpty())
-	flying := s.InFlight()
-	g.Expect(flying["e0"]).To(Equal(2))
+	inFlight := s.InFlight()
+	g.Expect(inFlight["e0"]).To(Equal(2))
 	now := start.Add(time.Second)
 	for n := range 4 {
 		for _, gr := range grants(s.Finish(now, fmt.Sprint(n), sched.Outcome{Failed: true})) {
@@ -76,15 +75,15 @@
 	g.Expect(grants(s.Submit(now, ticket("again", "draft", "big", now)))).To(HaveLen(1))
 }
 
-// bench places requests on chosen engines by excluding the others.
-type bench struct {
+// harness places requests on chosen engines by excluding the others.
+type harness struct {
 	*GomegaWithT
 	s    *sched.Scheduler
 	now  time.Time
 	next int
 }
 
-func (b *bench) place(engine int) string {
+func (b *harness) place(engine int) string {
 	t := ticket(fmt.Sprint(b.next), "draft", "big", b.now)
 	b.next++
 	for n := range 4 {
@@ -96,18 +95,18 @@
 	return t.ID
 }
 
-func (b *bench) answer(id string, first time.Duration) {
+func (b *harness) answer(id string, first time.Duration) {
 	b.s.Started(b.now.Add(first), id)
 	b.s.Finish(b.now.Add(10*first), id, sched.Outcome{Tokens: 100, Complete: true})
 }
 
-// warm lets all engines answer; then all but e1 become three quarters full.
-func (b *bench) warm(e1 time.Duration) {
+// warmUp lets all engines answer, then fills all but e1 to three quarters.
+func (b *harness) warmUp(e1FirstToken time.Duration) {
 	for range 8 {
 		for n := range 4 {
 			first := 100 * time.Millisecond
 			if n == 1 {
-				first = e1
+				first = e1FirstToken
 			}
 			b.answer(b.place(n), first)
 		}
@@ -119,7 +118,7 @@
 	}
 }
 
-func (b *bench) send(class string) string {
+func (b *harness) send(class string) string {
 	b.s.Tick(b.now)
 	id := fmt.Sprint(b.next)
 	b.next++
@@ -128,16 +127,16 @@
 	return got[0].Upstream
 }
 
-func newBench(t *testing.T) *bench {
-	return &bench{GomegaWithT: NewWithT(t), s: newScheduler(sched.Config{}, engines(4, 8)), now: start}
+func newHarness(t *testing.T) *harness {
+	return &harness{GomegaWithT: NewWithT(t), s: newScheduler(sched.Config{}, engines(4, 8)), now: start}
 }
 
-// Half of the technicians' answers crawl although most engines are fast.
-// One engine slows to a tenth; it finishes little, so it has free slots and looks
-// the least loaded. The cause: load alone says nothing about speed.
-func TestStragglerIsSetAsideAndProbedBack(t *testing.T) {
-	b := newBench(t)
-	b.warm(time.Second)
+// Guards against answers that are slow although most engines are fast. An engine that
+// slows down to a tenth finishes little, so it has free slots and looks the least
+// loaded; selection by load alone ignores its speed.
+func TestStragglerIsEjectedAndReinstatedByProbes(t *testing.T) {
+	b := newHarness(t)
+	b.warmUp(time.Second)
 	for range 3 {
 		b.Expect(b.send("review")).NotTo(Equal("e1"))
 		b.s.Started(b.now.Add(100*time.Millisecond), fmt.Sprint(b.next-1))
@@ -156,10 +155,10 @@
 	b.Expect(b.send("review")).To(Equal("e1"), "recovered")
 }
 
-// An engine that slowed down once is never used again, while others queue.
-// Its figures are bad, so that it is not chosen, so that its figures stay bad.
-func TestFiguresOfAnUnusedEngineGrowOld(t *testing.T) {
-	b := newBench(t)
+// Guards against an engine that slowed down once and is never used again while requests
+// queue: bad measurements keep it from being chosen, and so they are never updated.
+func TestMeasurementsOfUnusedEngineExpire(t *testing.T) {
+	b := newHarness(t)
 	for n := range 4 {
 		b.answer(b.place(n), time.Duration(1+9*(n%2))*100*time.Millisecond)
 	}
@@ -172,12 +171,12 @@
 	b.Expect(count["e1"]).To(BeNumerically(">=", 3), "%v", count)
 }
 
-// Requests hang at an engine that froze; new ones follow them there.
-// It finishes nothing, so no figure of it gets worse. The cause: only finished
-// answers are measured.
-func TestFrozenEngineIsSetAside(t *testing.T) {
-	b := newBench(t)
-	b.warm(100 * time.Millisecond)
+// Guards against new requests being sent to a frozen engine on which others hang. It
+// finishes nothing, so its measurements do not get worse if only finished answers are
+// measured.
+func TestFrozenEngineIsEjected(t *testing.T) {
+	b := newHarness(t)
+	b.warmUp(100 * time.Millisecond)
 	b.place(1)
 	b.now = b.now.Add(2 * time.Second)
 	for range 3 {
@@ -185,19 +184,19 @@
 	}
 }
 
-// An engine refuses each request at once and so always has free slots: it draws
-// all requests of the domain and fails them.
-func TestFailingEngineIsSetAside(t *testing.T) {
-	b := newBench(t)
-	b.warm(100 * time.Millisecond)
+// Guards against an engine that refuses each request immediately: it always has free
+// slots, so it attracts all requests of the domain and fails them.
+func TestFailingEngineIsEjected(t *testing.T) {
+	b := newHarness(t)
+	b.warmUp(100 * time.Millisecond)
 	for range 3 {
 		b.s.Finish(b.now, b.place(1), sched.Outcome{Failed: true})
 	}
 	b.Expect(b.send("review")).NotTo(Equal("e1"))
 }
 
-// An instance dies; its own queued request is granted the slot that its death
-// frees, and the slot stays taken until a lease ends.
+// Guards against a dead instance's queued request being granted the slot that its own
+// removal frees. That slot would stay taken until a lease ends.
 func TestDeadInstanceGetsNoGrant(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{}, engines(1, 1))
@@ -211,8 +210,8 @@
 	g.Expect(got[0].Instance).To(Equal("alive"))
 }
 
-// A nurse's review is refused because drafts fill the queue.
-// First drafts reach the bound on queued tickets, then the review arrives.
+// Guards against a protected request being shed because unprotected ones have reached
+// the limit on queued tickets before it arrives.
 func TestProtectedWorkDisplacesTheLowestTier(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{MaxQueued: 2}, engines(1, 1))
@@ -226,9 +225,8 @@
 	g.Expect(got[0].RetryAfter).To(BeNumerically(">", 0))
 }
 
-// A technician's answer is dropped from the queue for a nurse's review.
-// Both are protected; when only protected work is queued the newcomer waits for
-// a free place outside, whatever its tier.
+// Guards against a protected ticket being evicted for another protected one. If only
+// protected work is queued, the newcomer is shed, whatever its tier.
 func TestProtectedWorkIsNeverDisplaced(t *testing.T) {
 	g := NewWithT(t)
 	doc := document()
@@ -245,10 +243,10 @@
 	g.Expect(got[0].Reason).To(Equal(sched.ReasonQueueFull))
 }
 
-// A slot stays taken for good when the scheduler's instance dies.
-// The successor learns of grants in flight from their instances, may learn of
-// one twice, and must grant nothing before it has heard them.
-func TestSuccessorTakesOverGrantsInFlight(t *testing.T) {
+// Guards against slots that stay taken for good after the scheduler's instance dies.
+// The successor learns of grants in flight from their instances, may learn of one
+// twice, and must not grant anything before it has heard from them.
+func TestSuccessorRestoresGrantsInFlight(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{}, engines(1, 2))
 	s.HoldGrants(start.Add(500 * time.Millisecond))
@@ -264,9 +262,10 @@
 	g.Expect(s.InFlight()).To(BeEmpty())
 }
 
-// The same for an engine that left before the scheduler changed: its grant must
-// be known, or the instance and the successor never agree on what is in flight.
-func TestSuccessorKnowsGrantsAtAnEngineThatLeft(t *testing.T) {
+// Like TestSuccessorRestoresGrantsInFlight, for an engine that left before the
+// scheduler changed. Its grant must be known, or the instance and the successor never
+// agree on what is in flight.
+func TestSuccessorRestoresGrantsOnRemovedEngine(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{}, engines(1, 2))
 	s.Restore(start, ticket("old", "draft", "big", start), "left", 10)
@@ -282,7 +281,6 @@
 	g.Expect(s.Status(start).Upstreams).To(HaveLen(1))
 }
 
-// A draining engine finishes what it has and gets nothing new.
 func TestDrainingEngineGetsNoNewWork(t *testing.T) {
 	g := NewWithT(t)
 	ups := engines(2, 4)
@@ -298,8 +296,8 @@
 	g.Expect(count).To(Equal(map[string]int{"e1": 4}))
 }
 
-// Parts of a divided engine add up to the whole, and each part differs.
-func TestSharesAddUpToAllSlots(t *testing.T) {
+// The slot shares of an engine must add up to all its slots.
+func TestSlotSharesAddUpToAllSlots(t *testing.T) {
 	g := NewWithT(t)
 	total := 0
 	for part := range 3 {
--- a/core/sched/health.go
+++ b/core/sched/health.go
@@ -7,32 +7,34 @@
 )
 
 const (
-	// healthInterval is how often engines are compared with each other.
+	// healthInterval is the interval at which engines are compared with each other.
 	healthInterval = 500 * time.Millisecond
-	// probeInterval is the least time between two probes of a straggler.
+	// probeInterval is the minimum time between two probes of an ejected engine.
 	probeInterval = time.Second
-	// stragglerFactor is how many times worse than the median makes a straggler.
+	// stragglerFactor is how many times worse than the median an engine must be to
+	// count as a straggler.
 	stragglerFactor = 3
-	// stragglerSlack is added to the bound on the first token, so that engines that
-	// all answer within milliseconds are not told apart by noise.
+	// stragglerSlack is added to the limit on the time to first token, so that noise
+	// does not separate engines that all answer within milliseconds.
 	stragglerSlack = 300 * time.Millisecond
-	// minSamples is how many answers a judgement needs.
+	// minSamples is the number of measurements needed to judge an engine.
 	minSamples = 5
-	// minPeers is how many engines of a model a median needs.
+	// minPeers is the number of engines of a model needed for a median.
 	minPeers = 3
-	// failuresToEject is how many failures in a row set an engine aside, or mean
-	// that it is down if none of them can be the request's own fault.
+	// failuresToEject is the number of consecutive failures that eject an engine. If
+	// only the engine can have caused them, it also counts as down.
 	failuresToEject = 3
-	// unresponsiveFactor and silentSlack bound the wait for a first token, from the
-	// peers' median, beyond which an engine counts as down and not only as slow.
+	// unresponsiveFactor and unresponsiveSlack define, from the peers' median, the wait
+	// for a first token beyond which an engine counts as down and not only as slow.
 	unresponsiveFactor = 10
 	unresponsiveSlack  = 2 * time.Second
-	// maxEjectionTime is when an engine that got no probe is tried again anyway;
-	// without it an engine would stay aside while only protected work runs.
+	// maxEjectionTime is when an engine that got no probe is reinstated anyway.
+	// Otherwise it would stay ejected while only protected requests arrive, which are
+	// not used as probes.
 	maxEjectionTime = 30 * time.Second
 )
 
-// peerStats sums up the engines that hold the same model.
+// peerStats aggregates the measurements of the engines that hold the same model.
 type peerStats struct {
 	firstTokens      []time.Duration
 	tokenRates       []float64
@@ -40,7 +42,7 @@
 	medianTokenRate  float64
 }
 
-// checkHealth sets stragglers aside and takes recovered engines back.
+// checkHealth ejects stragglers and reinstates recovered engines.
 func (s *Scheduler) checkHealth(now time.Time) {
 	groups := s.peerGroups()
 	for _, e := range s.engines {
@@ -60,22 +62,22 @@
 	}
 }
 
-// isUnresponsive reports whether an engine keeps a request waiting for a first token
-// for so long that nothing is to be expected from it.
+// isUnresponsive reports whether a request has waited so long for its first token that
+// no answer from the engine is to be expected.
 func (e *engine) isUnresponsive(now time.Time, groups map[string]*peerStats) bool {
 	g := e.peerGroup(groups)
 	return g != nil && e.longestFirstTokenWait(now) > unresponsiveFactor*g.medianFirstToken+unresponsiveSlack
 }
 
-// recordFailure takes in a failure. A refused connection proves by itself that the engine
-// is not there; streams that break do when they come in a row. A request that
-// the engine answered with a failure proves nothing: it may be a bad request,
-// and some of those must not take an engine out of use.
+// recordFailure handles a failed grant. A refused connection alone shows that the
+// engine is down; broken streams do if several occur in a row. A failure response shows
+// nothing, because the request itself may be invalid, and a few invalid requests must
+// not make an engine unavailable.
 //
-// It guards against a crashed engine that draws all requests to itself until its
-// announcement runs out: each fails at once, so that the engine looks idle while
-// the others are full, and callers are told "not run" although there is room.
-// A down engine gets one probe at a time, so that it can draw no more than that.
+// This guards against a crashed engine that attracts all requests until its
+// announcement expires: each request fails immediately, so that the engine looks idle
+// while the others are full, and callers are told "not run" although there is capacity.
+// A down engine gets only one probe at a time, which limits what it can attract.
 func (e *engine) recordFailure(now time.Time, i *item, o Outcome) {
 	e.consecutiveFailures++
 	if o.Unused || !i.startedAt.IsZero() {
@@ -109,10 +111,9 @@
 	return groups
 }
 
-// isStraggler reports whether an engine is several times worse than its peers'
-// median, failed and did not answer since, or keeps requests waiting for a first
-// token. The last part sees an engine that froze and so finishes nothing that
-// could be measured.
+// isStraggler reports whether an engine is several times worse than its peers' median,
+// has failed and not answered since, or keeps requests waiting for a first token. The
+// last check detects a frozen engine, which finishes nothing that could be measured.
 func (e *engine) isStraggler(now time.Time, groups map[string]*peerStats) bool {
 	if e.down && e.consecutiveFailures > 0 || e.consecutiveFailures >= failuresToEject {
 		return true
@@ -131,7 +132,7 @@
 	return secondsToDuration(e.firstToken) > bound || e.tokenRate*stragglerFactor < g.medianTokenRate
 }
 
-// peerGroup returns the engine's group if it is large enough to judge by.
+// peerGroup returns the engine's group if it is large enough for a comparison.
 func (e *engine) peerGroup(groups map[string]*peerStats) *peerStats {
 	if len(e.Models) == 0 {
 		return nil
@@ -148,14 +149,15 @@
 	e.nextProbe = now.Add(probeInterval)
 }
 
-// reinstate takes an engine back. Its figures stay: one that is only little too
-// good for a straggler is still known to be slow.
+// reinstate makes an engine available again. Its measurements are kept: an engine that
+// is only just not a straggler is still known to be slow.
 func (e *engine) reinstate() {
 	e.ejected, e.down = false, false
 	e.consecutiveFailures, e.engineFailures = 0, 0
 }
 
-// evaluateProbe acts on the end of a probe at once.
+// evaluateProbe reinstates an ejected engine as soon as a complete probe shows that it
+// is no longer a straggler.
 func (s *Scheduler) evaluateProbe(now time.Time, i *item, o Outcome) {
 	e := i.engine
 	if !i.probe || !e.ejected || !o.Complete {
@@ -166,7 +168,7 @@
 	}
 }
 
-// medianFirstToken is the median time to a first token of the model's engines.
+// medianFirstToken returns the median time to first token of the model's engines.
 func (s *Scheduler) medianFirstToken(model string) time.Duration {
 	var all []time.Duration
 	for _, e := range s.engines {
@@ -177,7 +179,8 @@
 	return pick.Median(all)
 }
 
-// medianTokenRate is the median rate of one stream of the model, in tokens a second.
+// medianTokenRate returns the median token rate of one stream of the model, in tokens a
+// second, or PriorTokenRate if none was measured.
 func (s *Scheduler) medianTokenRate(model string) float64 {
 	var all []float64
 	for _, e := range s.engines {
--- a/core/sched/heap.go
+++ b/core/sched/heap.go
@@ -1,11 +1,11 @@
 package sched
 
-// indexedHeap is a binary heap whose elements know their position, so that any of
-// them can be moved or removed in logarithmic time.
+// indexedHeap is a binary heap whose elements know their index, so that any element can
+// be moved or removed in logarithmic time.
 type indexedHeap[T any] struct {
 	items []T
 	less  func(a, b T) bool
-	// setIndex stores an element's position; it is -1 outside the heap.
+	// setIndex stores an element's index; it is -1 outside the heap.
 	setIndex func(v T, at int)
 }
 
@@ -21,12 +21,12 @@
 
 func (h *indexedHeap[T]) remove(at int) {
 	last := len(h.items) - 1
-	gone := h.items[at]
+	removed := h.items[at]
 	h.swap(at, last)
 	var zero T
 	h.items[last] = zero
 	h.items = h.items[:last]
-	h.setIndex(gone, -1)
+	h.setIndex(removed, -1)
 	if at < last {
 		h.fix(at)
 	}
--- a/core/sched/meter.go
+++ b/core/sched/meter.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// meterTimeConstant is the time constant of a meter.
+// meterTimeConstant is the decay time constant of a rateMeter.
 const meterTimeConstant = 5 * time.Second
 
-// rateMeter measures a rate in units a second with exponential forgetting.
+// rateMeter measures a rate in units a second with exponential decay.
 type rateMeter struct {
 	rate float64
 	at   time.Time
@@ -27,7 +27,8 @@
 	return m.rate * math.Exp(-passed.Seconds()/meterTimeConstant.Seconds())
 }
 
-// smooth moves old towards sample by the share alpha; a zero old is replaced.
+// smooth returns the exponential moving average after a sample with weight alpha. A
+// zero old value means that there is none yet and is replaced by the sample.
 func smooth(old, sample, alpha float64) float64 {
 	if old == 0 {
 		return sample
--- a/core/sched/pace_test.go
+++ b/core/sched/pace_test.go
@@ -12,16 +12,16 @@
 	"github.com/comfreyladder/comfreyladder/core/sched"
 )
 
-// paced is a scheduler with a class that has targets for its first token and
-// between tokens, and one that has none.
-type paced struct {
+// pacedHarness is a scheduler with one class that has targets for its first token and
+// between tokens, and one that has neither.
+type pacedHarness struct {
 	*GomegaWithT
 	s    *sched.Scheduler
 	next int
 }
 
-func newPaced(t *testing.T, slots int) *paced {
-	p := &paced{GomegaWithT: NewWithT(t), s: sched.New(sched.Config{Headroom: 1e-6}, rand.New(rand.NewSource(1)))}
+func newPacedHarness(t *testing.T, slots int) *pacedHarness {
+	p := &pacedHarness{GomegaWithT: NewWithT(t), s: sched.New(sched.Config{Headroom: 1e-6}, rand.New(rand.NewSource(1)))}
 	p.s.SetClasses(&intent.Document{Classes: []intent.Class{
 		{Name: "answer", FirstToken: time.Second, BetweenTokens: 29 * time.Millisecond, Deadline: time.Minute},
 		{Name: "draft", Tier: 1, Deadline: time.Hour},
@@ -30,16 +30,16 @@
 	return p
 }
 
-func (p *paced) send(now time.Time, class string, promptTokens int) []sched.Grant {
+func (p *pacedHarness) send(now time.Time, class string, promptTokens int) []sched.Grant {
 	t := ticket(fmt.Sprint(p.next), class, "big", now)
 	t.PromptTokens = promptTokens
 	p.next++
 	return grants(p.s.Submit(now, t))
 }
 
-// slow lets one stream run on each engine, on e1 at 60 ms between tokens and on
-// the others at 20 ms: too slow for the class, too fast for a straggler.
-func (p *paced) slow() time.Time {
+// runStreams runs one stream on each engine, with 60 ms between tokens on e1 and 20 ms
+// on the others. That is too slow for the class, but too fast for a straggler.
+func (p *pacedHarness) runStreams() time.Time {
 	now := start.Add(800 * time.Millisecond)
 	for range 4 {
 		got := p.send(start, "draft", 100)
@@ -54,12 +54,12 @@
 	return now
 }
 
-// Technicians' answers crawl for as long as a storm of questions lasts.
-// An engine slows down to a third; its streams go on, its first tokens come in
-// time. The cause: rates were learned from streams that ended.
-func TestSlowEngineIsSeenWhileItsStreamsRun(t *testing.T) {
-	p := newPaced(t, 8)
-	now := p.slow()
+// Guards against answers that stay slow for as long as a burst of requests lasts. An
+// engine slows down to a third while its streams go on and its first tokens are in
+// time. This happens if rates are only measured when a stream ends.
+func TestSlowEngineIsDetectedFromRunningStreams(t *testing.T) {
+	p := newPacedHarness(t, 8)
+	now := p.runStreams()
 	for range 12 {
 		got := p.send(now, "answer", 100)
 		p.Expect(got).To(HaveLen(1))
@@ -71,31 +71,31 @@
 			used = used || g.Upstream == "e1"
 		}
 	}
-	p.Expect(used).To(BeTrue(), "it does what it can for work without that target")
+	p.Expect(used).To(BeTrue(), "a slow engine still serves a class without a target between tokens")
 }
 
-// An answer crawls although an engine would have had room for it a moment later.
-// All good engines are full; the slow one has slots. The cause: any free slot was
-// taken at once.
-func TestRequestWaitsForAnEngineThatIsFastEnough(t *testing.T) {
-	p := newPaced(t, 1)
+// Guards against a slow answer although a fast engine would have had a slot a moment
+// later. All fast engines are full and the slow one has slots. This happens if any free
+// slot is taken immediately.
+func TestPatientRequestWaitsForFastEngine(t *testing.T) {
+	p := newPacedHarness(t, 1)
 	p.s.SetUpstreams(start, engines(4, 2))
-	now := p.slow()
+	now := p.runStreams()
 	for range 3 {
 		p.Expect(p.send(now, "answer", 100)).To(HaveLen(1))
 	}
 	p.Expect(p.send(now, "answer", 100)).To(BeEmpty())
 	p.Expect(grants(p.s.Tick(now.Add(500 * time.Millisecond)))).To(BeEmpty())
 	late := grants(p.s.Tick(now.Add(800 * time.Millisecond)))
-	p.Expect(late).To(HaveLen(1), "late is better than not at all")
+	p.Expect(late).To(HaveLen(1), "a slow engine is used once most of the time to the first-token target has passed")
 	p.Expect(late[0].Upstream).To(Equal("e1"))
 }
 
-// Answers stutter on engines that have free slots.
-// Two report drafts with long prompts come to one engine within a second; while
-// it works on them, each step of its other streams takes twice as long.
+// Guards against stalling streams on engines that have free slots. If two long prompts
+// reach one engine within a second, each step of its other streams takes twice as long
+// while it processes them.
 func TestLongPromptsAreSpread(t *testing.T) {
-	p := newPaced(t, 8)
+	p := newPacedHarness(t, 8)
 	for round := range 5 {
 		now := start.Add(time.Duration(round) * time.Minute)
 		seen := map[string]bool{}
@@ -109,12 +109,12 @@
 	}
 }
 
-// Answers stutter while drafts are written, and drafts with very long prompts are
-// never written. The cause of the first: a second long prompt is sent to an engine
-// that works on one and runs a technician's answer. Of the second: the guard
-// against it must let one prompt of any length go.
-func TestLongPromptsWaitForEachOther(t *testing.T) {
-	p := newPaced(t, 8)
+// Guards against two failures. Streams with a target between tokens stall if a second
+// long prompt is sent to an engine that is still processing one. And the limit that
+// prevents this would starve very long prompts if it did not let a single prompt of any
+// length pass.
+func TestLongPromptWaitsForPendingPrompt(t *testing.T) {
+	p := newPacedHarness(t, 8)
 	for range 4 {
 		p.Expect(p.send(start, "answer", 100)).To(HaveLen(1))
 	}
@@ -122,15 +122,14 @@
 		p.Expect(p.send(start, "draft", 20000)).To(HaveLen(1))
 	}
 	p.Expect(p.send(start, "draft", 4000)).To(BeEmpty())
-	p.Expect(p.send(start, "answer", 4000)).To(HaveLen(1), "one with the target may go")
+	p.Expect(p.send(start, "answer", 4000)).To(HaveLen(1), "a request with a target between tokens is not held back")
 	p.Expect(grants(p.s.Tick(start.Add(5 * time.Second)))).To(HaveLen(1))
 }
 
-// The slots of an engine stay taken for unprotected work although nothing runs.
-// An operator protects a class while its requests are in flight; their ends then
-// took nothing from the count of unprotected ones. The cause: the count went by
-// the class as it is at the end, not as it was at the grant.
-func TestChangedClassLeavesNoSlotTaken(t *testing.T) {
+// Guards against slots that stay taken for unprotected work although nothing runs. This
+// happens if an operator protects a class with requests in flight and their ends are
+// counted by the class's current setting instead of the one at the grant.
+func TestChangedClassReleasesAllSlots(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{}, engines(1, 4))
 	doc := document()
--- a/core/sched/property_test.go
+++ b/core/sched/property_test.go
@@ -12,25 +12,25 @@
 	"github.com/comfreyladder/comfreyladder/core/sched"
 )
 
-// world drives a scheduler by random events and keeps what callers would see.
-type world struct {
+// schedulerModel drives a scheduler by random events and tracks what callers would see.
+type schedulerModel struct {
 	*rapid.T
-	s       *sched.Scheduler
-	now     time.Time
-	ups     []sched.Upstream
-	queued  map[string]sched.Ticket
-	flying  map[string]string
-	ended   map[string]bool
-	count   map[string]int
-	next    int
-	maximum int
+	s             *sched.Scheduler
+	now           time.Time
+	ups           []sched.Upstream
+	queued        map[string]sched.Ticket
+	inFlight      map[string]string
+	ended         map[string]bool
+	inFlightCount map[string]int
+	next          int
+	maxQueued     int
 }
 
-func newWorld(t *rapid.T, cfg sched.Config) *world {
-	w := &world{
+func newSchedulerModel(t *rapid.T, cfg sched.Config) *schedulerModel {
+	w := &schedulerModel{
 		T: t, now: start, ups: engines(rapid.IntRange(1, 4).Draw(t, "engines"), rapid.IntRange(1, 6).Draw(t, "slots")),
-		queued: map[string]sched.Ticket{}, flying: map[string]string{}, ended: map[string]bool{}, count: map[string]int{},
-		maximum: cfg.MaxQueued,
+		queued: map[string]sched.Ticket{}, inFlight: map[string]string{}, ended: map[string]bool{}, inFlightCount: map[string]int{},
+		maxQueued: cfg.MaxQueued,
 	}
 	w.s = newScheduler(cfg, w.ups)
 	return w
@@ -38,7 +38,7 @@
 
 var tiers = map[string]int{"review": 0, "question": 1, "status": 2, "draft": 3}
 
-func (w *world) submit() {
+func (w *schedulerModel) submit() {
 	class := rapid.SampledFrom([]string{"review", "question", "status", "draft"}).Draw(w.T, "class")
 	org := rapid.SampledFrom([]string{"big", "small", "double"}).Draw(w.T, "org")
 	t := ticket(fmt.Sprint(w.next), class, org, w.now)
@@ -47,21 +47,21 @@
 	w.apply(w.s.Submit(w.now, t))
 }
 
-func (w *world) any(m []string, label string) (string, bool) {
+func (w *schedulerModel) sample(m []string, label string) (string, bool) {
 	if len(m) == 0 {
 		return "", false
 	}
 	return m[rapid.IntRange(0, len(m)-1).Draw(w.T, label)], true
 }
 
-func (w *world) finish() {
-	id, ok := w.any(sortedKeys(w.flying), "finish")
+func (w *schedulerModel) finish() {
+	id, ok := w.sample(sortedKeys(w.inFlight), "finish")
 	if !ok {
 		return
 	}
-	up := w.flying[id]
-	delete(w.flying, id)
-	w.count[up]--
+	up := w.inFlight[id]
+	delete(w.inFlight, id)
+	w.inFlightCount[up]--
 	if rapid.Bool().Draw(w.T, "started") {
 		w.s.Started(w.now, id)
 	}
@@ -72,8 +72,8 @@
 	w.apply(w.s.Finish(w.now, id, o))
 }
 
-func (w *world) cancel() {
-	id, ok := w.any(sortedKeys(w.queued), "cancel")
+func (w *schedulerModel) cancel() {
+	id, ok := w.sample(sortedKeys(w.queued), "cancel")
 	if !ok {
 		return
 	}
@@ -82,12 +82,12 @@
 	w.apply(w.s.Cancel(w.now, id))
 }
 
-func (w *world) tick() {
+func (w *schedulerModel) tick() {
 	w.now = w.now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(w.T, "ms")) * time.Millisecond)
 	w.apply(w.s.Tick(w.now))
 }
 
-func (w *world) report() {
+func (w *schedulerModel) report() {
 	ups := append([]sched.Upstream(nil), w.ups...)
 	for n := range ups {
 		ups[n].Draining = rapid.IntRange(0, 9).Draw(w.T, "draining") == 0
@@ -100,19 +100,19 @@
 	w.apply(w.s.SetUpstreams(w.now, ups))
 }
 
-func (w *world) apply(effects []sched.Effect) {
+func (w *schedulerModel) apply(effects []sched.Effect) {
 	for _, e := range effects {
 		id := e.TicketID()
 		t, waiting := w.queued[id]
 		if !waiting || w.ended[id] {
-			w.Fatalf("%T for %s, which does not wait", e, id)
+			w.Fatalf("%T for ticket %s, which is not queued", e, id)
 		}
 		switch e := e.(type) {
 		case sched.Grant:
-			w.flying[id] = e.Upstream
-			w.count[e.Upstream]++
-			if most := w.ups[0].Slots; w.count[e.Upstream] > most {
-				w.Fatalf("%d in flight at %s with %d slots", w.count[e.Upstream], e.Upstream, most)
+			w.inFlight[id] = e.Upstream
+			w.inFlightCount[e.Upstream]++
+			if most := w.ups[0].Slots; w.inFlightCount[e.Upstream] > most {
+				w.Fatalf("%d in flight at %s with %d slots", w.inFlightCount[e.Upstream], e.Upstream, most)
 			}
 		case sched.Shed:
 			w.shed(t, e)
@@ -122,9 +122,9 @@
 	}
 }
 
-func (w *world) shed(t sched.Ticket, e sched.Shed) {
+func (w *schedulerModel) shed(t sched.Ticket, e sched.Shed) {
 	if e.RetryAfter <= 0 {
-		w.Fatalf("shed of %s without a hint", t.ID)
+		w.Fatalf("shed of ticket %s without a retry hint", t.ID)
 	}
 	if tiers[t.Class] != 0 {
 		return
@@ -141,12 +141,12 @@
 	}
 }
 
-// A nurse's review is refused while drafts stay queued; or one caller gets two
-// answers, another none. Random submits, ends, cancels, deaths of upstreams and
-// late reports must never lead there, whatever their order.
-func TestEachTicketEndsOnceAndSlotsHold(t *testing.T) {
+// Guards against protected requests being shed while unprotected ones stay queued,
+// tickets with two effects or none, and overcommitted slots, under random sequences of
+// submits, ends, cancels, upstream deaths and late reports.
+func TestEachTicketEndsOnceWithinSlotLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, sched.Config{MaxQueued: 12, MaxQueuedPerOrganisation: 5, MaxQueuedPerClass: 8})
+		w := newSchedulerModel(t, sched.Config{MaxQueued: 12, MaxQueuedPerOrganisation: 5, MaxQueuedPerClass: 8})
 		t.Repeat(map[string]func(*rapid.T){
 			"submit": func(*rapid.T) { w.submit() },
 			"again":  func(*rapid.T) { w.submit() },
@@ -155,8 +155,8 @@
 			"tick":   func(*rapid.T) { w.tick() },
 			"report": func(*rapid.T) { w.report() },
 			"": func(t *rapid.T) {
-				if len(w.queued) > w.maximum {
-					t.Fatalf("%d queued, at most %d are allowed", len(w.queued), w.maximum)
+				if len(w.queued) > w.maxQueued {
+					t.Fatalf("%d queued, at most %d are allowed", len(w.queued), w.maxQueued)
 				}
 			},
 		})
@@ -164,27 +164,26 @@
 	})
 }
 
-// drain ends all work and expects that nothing is left waiting.
-func (w *world) drain() {
+// drain ends all work and checks that nothing is left waiting.
+func (w *schedulerModel) drain() {
 	w.apply(w.s.SetUpstreams(w.now, w.ups))
 	for range 2000 {
-		if len(w.flying) == 0 && len(w.queued) == 0 {
+		if len(w.inFlight) == 0 && len(w.queued) == 0 {
 			return
 		}
 		w.now = w.now.Add(time.Second)
 		w.apply(w.s.Tick(w.now))
-		for _, id := range sortedKeys(w.flying) {
-			w.count[w.flying[id]]--
-			delete(w.flying, id)
+		for _, id := range sortedKeys(w.inFlight) {
+			w.inFlightCount[w.inFlight[id]]--
+			delete(w.inFlight, id)
 			w.apply(w.s.Finish(w.now, id, sched.Outcome{Tokens: 10, Complete: true}))
 		}
 	}
-	w.Fatalf("%d tickets still wait with all slots free", len(w.queued))
+	w.Fatalf("%d tickets still queued while all slots are free", len(w.queued))
 }
 
-// The band app's status replies stand still for a whole morning.
-// Reviews and questions arrive without a pause and take each slot that becomes
-// free. The cause: strict priority, with nothing set aside for the tiers below.
+// Guards against starvation of lower tiers. With strict priority and no floor, a
+// continuous load of more urgent requests takes each slot that becomes free.
 func TestNoClassGetsLessThanItsFloor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		doc := document()
@@ -211,16 +210,16 @@
 	})
 }
 
-// serveBacklog keeps all classes backlogged for the given count of grants and
-// returns the work that each got, in tokens.
+// serveBacklog keeps all classes backlogged for the given number of grants and returns
+// the work that each class got, in tokens.
 func serveBacklog(s *sched.Scheduler, rnd *rand.Rand, rounds int) (served map[string]float64, total float64) {
 	served = map[string]float64{}
 	class := map[string]string{}
-	var flying []string
+	var inFlight []string
 	next, now := 0, start
 	take := func(effects []sched.Effect) {
 		for _, g := range grants(effects) {
-			flying = append(flying, g.ID)
+			inFlight = append(inFlight, g.ID)
 		}
 	}
 	submit := func(c string) {
@@ -236,9 +235,9 @@
 	}
 	for range rounds {
 		now = now.Add(50 * time.Millisecond)
-		at := rnd.Intn(len(flying))
-		id := flying[at]
-		flying = append(flying[:at], flying[at+1:]...)
+		at := rnd.Intn(len(inFlight))
+		id := inFlight[at]
+		inFlight = append(inFlight[:at], inFlight[at+1:]...)
 		tokens := 1 + rnd.Intn(400)
 		served[class[id]] += float64(tokens)
 		total += float64(tokens)
--- a/core/sched/queue.go
+++ b/core/sched/queue.go
@@ -6,24 +6,26 @@
 	"github.com/comfreyladder/comfreyladder/core/intent"
 )
 
-// item is a ticket that is queued or granted.
+// item is a queued or granted ticket.
 type item struct {
 	Ticket
 	streamTiming
 	class             *class
 	modelQueue        *modelQueue
 	organisationQueue *organisationQueue
-	// work is the expected work in weighted tokens, expectedTokens the part of
-	// it that will be generated.
+	// work is the expected work in weighted tokens; expectedTokens is the number of
+	// tokens to be generated in it.
 	work, expectedTokens float64
-	// target is when the level is missed, deadline when the answer is worthless.
+	// target is when the service level is missed; deadline is when the answer is no
+	// longer useful.
 	target, deadline time.Time
 	// expectedDuration is the expected time from grant to end.
 	expectedDuration time.Duration
 	expectedWait     time.Duration
-	// missedTarget marks a ticket whose target passed in the queue.
+	// missedTarget is set if the target passed while the ticket was queued.
 	missedTarget bool
-	// queueHeapIndex and deadlineHeapIndex are positions in the two heaps, -1 outside.
+	// queueHeapIndex and deadlineHeapIndex are the indices in the two heaps, -1
+	// outside.
 	queueHeapIndex, deadlineHeapIndex int
 
 	engine  *engine
@@ -31,14 +33,14 @@
 	charged float64
 	tokens  int
 	probe   bool
-	// unprotected and paced are as the class was at the grant.
+	// unprotected and paced hold the class's settings at the time of the grant.
 	unprotected, paced bool
 }
 
-// before orders the items of one organisation: those that can still meet their
-// level by earliest target, then the late ones. Without the second part an
-// overload makes every ticket late: each is served just after its target, at
-// the expense of the next.
+// before orders the items of one organisation: first those that can still meet their
+// service level, by earliest target, then the late ones. If late items kept their
+// place, an overload would make every ticket late: each would be served just after its
+// target, at the expense of the next.
 func (i *item) before(o *item) bool {
 	if i.missedTarget != o.missedTarget {
 		return o.missedTarget
@@ -46,7 +48,7 @@
 	return i.target.Before(o.target)
 }
 
-// class is one class of the intent with its queues.
+// class is one class of the intent with its queues and usage.
 type class struct {
 	intent.Class
 	floor float64
@@ -54,8 +56,8 @@
 	floorCredit float64
 	queued      int
 	work        float64
-	// virtualTokens is the virtualTokens token count up to which the class was served; a
-	// newly active organisation starts there, so that idling earns nothing.
+	// virtualTokens is the virtual token counter up to which the class was served. A
+	// newly active organisation starts there, so that it gains nothing from idle time.
 	virtualTokens float64
 	accounts      map[string]*account
 	modelQueues   map[string]*modelQueue
@@ -63,7 +65,7 @@
 	removed       bool
 }
 
-// account is one organisation's use of one class.
+// account is one organisation's usage of one class.
 type account struct {
 	organisation  string
 	weight        float64
@@ -81,11 +83,11 @@
 	work               float64
 	organisationQueues map[string]*organisationQueue
 	byVirtualTokens    indexedHeap[*organisationQueue]
-	// blockedInRound is the dispatch in which none of the lane's tickets fitted.
+	// blockedInRound is the last dispatch in which none of the queue's tickets fitted.
 	blockedInRound uint64
 }
 
-// organisationQueue is one organisation's queue in a lane.
+// organisationQueue is one organisation's part of a modelQueue.
 type organisationQueue struct {
 	account    *account
 	modelQueue *modelQueue
@@ -142,7 +144,7 @@
 	return s
 }
 
-// enqueue puts an item into its class's queue.
+// enqueue adds an item to the queue of its model and organisation.
 func (c *class) enqueue(i *item, weight float64) {
 	a := c.account(i.Organisation, weight)
 	l := c.modelQueue(i.Model)
@@ -158,7 +160,8 @@
 	c.adjustCounts(i, 1)
 }
 
-// initialVirtualTokens is the virtual count at which a newly active organisation begins.
+// initialVirtualTokens returns the virtual token counter at which a newly active
+// organisation starts.
 func (c *class) initialVirtualTokens(l *modelQueue) float64 {
 	if l.byVirtualTokens.len() == 0 {
 		return c.virtualTokens
@@ -166,7 +169,7 @@
 	return min(c.virtualTokens, l.byVirtualTokens.top().account.virtualTokens)
 }
 
-// dequeue takes an item out of its class's queue.
+// dequeue removes an item from its queue, and the queues that are then empty.
 func (c *class) dequeue(i *item) {
 	s := i.organisationQueue
 	s.items.remove(i.queueHeapIndex)
@@ -199,8 +202,8 @@
 	}
 }
 
-// charge adds used work to an organisation's virtual count and restores the
-// order of its shares. The work may be negative, when an estimate is corrected.
+// charge adds work to an organisation's virtual token counter and restores the order of
+// its queues. The work is negative if an estimate was too high.
 func (c *class) charge(organisation string, work float64) {
 	a := c.accounts[organisation]
 	if a == nil {
@@ -214,7 +217,8 @@
 	}
 }
 
-// dropIdleAccount drops an idle account that has nothing to its debit.
+// dropIdleAccount removes an account that has nothing queued and whose counter is not
+// ahead of the class's.
 func (c *class) dropIdleAccount(organisation string) {
 	if a := c.accounts[organisation]; a != nil && a.queued == 0 && a.virtualTokens <= c.virtualTokens {
 		delete(c.accounts, organisation)
--- a/core/sched/sched.go
+++ b/core/sched/sched.go
@@ -7,10 +7,11 @@
 	"github.com/comfreyladder/comfreyladder/core/pick"
 )
 
-// maxOrganisationHistograms bounds the length histograms of single organisations.
+// maxOrganisationHistograms limits the answer length histograms of single
+// organisations.
 const maxOrganisationHistograms = 8192
 
-// Scheduler is the state machine. See the package comment.
+// Scheduler schedules the requests of one failure domain. See the package comment.
 type Scheduler struct {
 	cfg       Config
 	rnd       *rand.Rand
@@ -18,7 +19,7 @@
 	estimator *Estimator
 
 	classes map[string]*class
-	// classesByTier lists the classes by tier, the most urgent first.
+	// classesByTier lists the classes, the most urgent tier first.
 	classesByTier []*class
 	weights       map[string]float64
 	engines       []*engine
@@ -27,29 +28,30 @@
 	items      map[string]*item
 	queued     int
 	byDeadline indexedHeap[*item]
-	// shareIndex and shareCount say which share of all slots is this scheduler's.
+	// shareIndex and shareCount select this scheduler's share of all slots.
 	shareIndex, shareCount int
 	holdUntil              time.Time
 	nextHealth             time.Time
-	// priorCapacity is the work a second of all slots, as far as known beforehand.
+	// priorCapacity is the work a second of all slots at PriorTokenRate.
 	priorCapacity float64
-	// dispatchRound numbers the dispatches.
+	// dispatchRound is the number of the current dispatch.
 	dispatchRound uint64
 
 	effects   []Effect
 	freeSlots map[string]*slotCounts
-	// candidates and holders are buffers of a choice, by the same positions.
+	// candidates and candidateEngines are reused buffers with matching indices.
 	candidates       []pick.Candidate
 	candidateEngines []*engine
 }
 
-// New returns a scheduler without classes and upstreams; it refuses all tickets
-// until SetClasses and SetUpstreams were called.
+// New returns a scheduler without classes and upstreams. It sheds all tickets until
+// SetClasses and SetUpstreams were called.
 func New(cfg Config, rnd *rand.Rand) *Scheduler {
 	return NewWithEstimator(cfg, rnd, NewEstimator(cfg))
 }
 
-// NewWithEstimator is New with what was learned before; the scheduler goes on with k.
+// NewWithEstimator is like New but starts with existing measurements. The scheduler
+// keeps updating k.
 func NewWithEstimator(cfg Config, rnd *rand.Rand, k *Estimator) *Scheduler {
 	cfg = cfg.withDefaults()
 	picker := pick.Picker(pick.Best{})
@@ -68,12 +70,12 @@
 	return s
 }
 
-// HoldGrants lets nothing be granted before the given time, while a new scheduler
-// still learns of the grants of the one before it.
+// HoldGrants suspends grants until the given time, while a new scheduler is still
+// learning of its predecessor's grants.
 func (s *Scheduler) HoldGrants(until time.Time) { s.holdUntil = until }
 
-// Submit takes in a waiting request. An ID that is known already changes
-// nothing, so that a ticket may be sent again after a lost message.
+// Submit adds a waiting request. A known ID has no effect, so that a ticket can be
+// resent after a lost message.
 func (s *Scheduler) Submit(now time.Time, t Ticket) []Effect {
 	if s.items[t.ID] != nil {
 		return nil
@@ -104,8 +106,8 @@
 	s.queued--
 }
 
-// Cancel forgets a request whose caller gave up. For one that was granted it
-// frees the slot, as an unused Finish does.
+// Cancel removes a request whose caller gave up. A granted request is finished as
+// incomplete, which frees its slot.
 func (s *Scheduler) Cancel(now time.Time, id string) []Effect {
 	i := s.items[id]
 	if i == nil {
@@ -120,7 +122,7 @@
 	return nil
 }
 
-// Started notes that the first token of a granted request arrived.
+// Started records the first token of a granted request.
 func (s *Scheduler) Started(now time.Time, id string) {
 	i := s.items[id]
 	if i == nil || i.engine == nil || !i.startedAt.IsZero() {
@@ -129,8 +131,8 @@
 	i.engine.handleFirstToken(now, i)
 }
 
-// Progress notes how many tokens were generated so far; use beyond what was
-// charged at the grant counts against the organisation at once.
+// Progress records the number of tokens generated so far. Usage beyond the amount
+// charged at the grant is charged to the organisation immediately.
 func (s *Scheduler) Progress(now time.Time, id string, tokens int) {
 	i := s.items[id]
 	if i == nil || i.engine == nil {
@@ -145,8 +147,8 @@
 	}
 }
 
-// Finish ends a grant, frees its slot and learns from it. An unknown ID changes
-// nothing, so that it may be sent again.
+// Finish ends a grant, frees its slot and updates the measurements. An unknown ID has
+// no effect, so that the call can be repeated.
 func (s *Scheduler) Finish(now time.Time, id string, o Outcome) []Effect {
 	i := s.items[id]
 	if i == nil || i.engine == nil {
@@ -172,9 +174,9 @@
 	return s.takeEffects()
 }
 
-// Restore takes in a grant that another scheduler gave: after it died, the
-// instances tell its successor what they have in flight. Nothing is checked
-// against the slots, because the request runs already.
+// Restore adds a grant issued by another scheduler. After a scheduler dies, the
+// instances report their requests in flight to its successor. Slot limits are not
+// checked, because the request is already running.
 func (s *Scheduler) Restore(now time.Time, t Ticket, upstream string, tokens int) {
 	c := s.classes[t.Class]
 	if c == nil {
@@ -182,15 +184,15 @@
 	}
 	e := s.enginesByName[upstream]
 	if e == nil {
-		// The upstream left while the request runs on it.
+		// The upstream left while the request was still running on it.
 		e = s.addEngine(upstream)
 		e.removed = true
 	}
-	if known := s.items[t.ID]; known != nil {
-		if known.engine != nil {
+	if existing := s.items[t.ID]; existing != nil {
+		if existing.engine != nil {
 			return
 		}
-		s.dequeue(known)
+		s.dequeue(existing)
 	}
 	i := s.newItem(t, c)
 	i.engine, i.grantedAt, i.tokens = e, now, tokens
@@ -201,8 +203,9 @@
 	e.addInFlight(now, i, 1)
 }
 
-// Tick does what time alone demands: it sheds what expired, judges upstreams
-// and grants what became possible. Call it every 50 to 200 ms.
+// Tick handles everything that depends on time alone: it sheds expired tickets, checks
+// the health of upstreams and issues the grants that have become possible. Call it
+// every 50 to 200 ms.
 func (s *Scheduler) Tick(now time.Time) []Effect {
 	s.shedExpired(now)
 	if !now.Before(s.nextHealth) {
--- a/core/sched/sched_test.go
+++ b/core/sched/sched_test.go
@@ -67,7 +67,7 @@
 	return out
 }
 
-func TestGrantsAtOnceWhileSlotsAreFree(t *testing.T) {
+func TestGrantsImmediatelyWhileSlotsAreFree(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{}, engines(2, 4))
 	got := grants(s.Submit(start, ticket("a", "review", "big", start)))
@@ -76,9 +76,8 @@
 	g.Expect(s.Submit(start, ticket("a", "review", "big", start))).To(BeEmpty())
 }
 
-// A nurse's review waits behind a queue of status replies.
-// First replies fill all slots and the queue, then a review arrives.
-// The cause would be one queue in order of arrival.
+// Guards against a single queue in order of arrival: an urgent request would wait
+// behind less urgent ones that fill all slots and the queue.
 func TestUrgentTierGoesFirst(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{}, engines(1, 1))
@@ -91,7 +90,7 @@
 	g.Expect(got[0].ID).To(Equal("r"))
 }
 
-func TestUnknownClassAndModelAreRefusedWithAHint(t *testing.T) {
+func TestUnknownClassAndModelAreShedWithRetryHint(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{}, engines(1, 1))
 	got := sheds(s.Submit(start, ticket("a", "gone", "big", start)))
@@ -104,11 +103,10 @@
 	g.Expect(got[0].RetryAfter).To(BeNumerically(">", 0))
 }
 
-// A caller of questions gets an answer half a minute late, worth nothing.
-// First drafts and questions pile up, then one more question is queued although
-// the backlog alone takes longer than its level. The cause: no estimate at
-// arrival.
-func TestWorkThatCannotMeetItsLevelIsRefusedAtOnce(t *testing.T) {
+// Guards against answers that arrive half a minute late, when they are worthless.
+// Without an estimate on arrival, a request is queued although the backlog alone takes
+// longer than its service level.
+func TestRequestThatCannotMeetItsLevelIsShedOnArrival(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{}, engines(1, 2))
 	var refused []sched.Shed
@@ -122,9 +120,8 @@
 	}
 }
 
-// A small firm's drafts stand still while a large one's hundred run.
-// First the large firm queues a hundred, then the small one a few; in order of
-// arrival the small one would wait for all hundred.
+// Guards against a small organisation waiting for all of the hundred requests that a
+// large one queued before it, as it would in order of arrival.
 func TestOrganisationsShareAClassByWeight(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{}, engines(1, 1))
@@ -146,10 +143,10 @@
 	g.Expect(count["dbl"]).To(BeNumerically("~", 20, 1))
 }
 
-// Callers behind one instance see slow first tokens while other engines idle.
-// First an engine reports that it is idle, then dozens of requests go out before
-// its next report; each choice still believes the old one.
-func TestLateReportIsCorrectedByWhatWasSent(t *testing.T) {
+// Guards against slow first tokens on one engine while others idle. An engine reports
+// that it is idle, and dozens of requests are sent to it before its next report because
+// each choice still uses the old one.
+func TestDelayedReportIsCorrectedByOwnGrants(t *testing.T) {
 	g := NewWithT(t)
 	ups := engines(4, 16)
 	for n := range ups {
@@ -172,8 +169,8 @@
 	g.Expect(count).To(HaveLen(4))
 }
 
-// A review waits for the end of a ten minute draft on every engine.
-// First drafts fill all slots, then a review arrives while none of them ends.
+// Guards against a protected request waiting for the end of a ten minute answer because
+// unprotected ones fill all slots of every engine.
 func TestDraftsLeaveHeadroomForProtectedWork(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{}, engines(2, 10))
@@ -186,10 +183,10 @@
 	g.Expect(grants(s.Submit(start, ticket("r2", "review", "big", start)))).To(HaveLen(1))
 }
 
-// A small firm is refused with "overloaded" all morning.
-// First a large firm queues as much as the class can serve within its level,
-// then the small one asks once; by its fair share it would be next.
-func TestSmallOrganisationIsNotRefusedForALargeOnesBacklog(t *testing.T) {
+// Guards against a small organisation being shed as "overloaded" because a large one
+// queued as much as the class can serve within its service level. By its fair share the
+// small one would be next.
+func TestLargeBacklogDoesNotShedSmallOrganisation(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{}, engines(1, 10))
 	refused := 0
@@ -200,10 +197,10 @@
 	g.Expect(sheds(s.Submit(start, ticket("s", "status", "small", start)))).To(BeEmpty())
 }
 
-// Every question of a firm is answered just too late during an overload.
-// Tickets wait until their level is missed and go, by earliest target, before
-// those that could still meet theirs, which are thereby missed as well.
-func TestLateTicketsDoNotMakeOthersLate(t *testing.T) {
+// Guards against all tickets being late during an overload: a ticket that already
+// missed its service level would go, by earliest target, before those that could still
+// meet theirs.
+func TestLateTicketsDoNotDelayOthers(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{}, engines(1, 1))
 	s.Submit(start, ticket("r", "review", "big", start))
@@ -216,9 +213,9 @@
 	g.Expect(got[0].ID).To(Equal("old"))
 }
 
-// A caller that waits in the queue past its deadline learns it at the next tick,
-// not when its turn would have come.
-func TestExpiredTicketIsAnsweredAtOnce(t *testing.T) {
+// A ticket whose deadline passes in the queue is shed at the next Tick and not when its
+// turn would have come.
+func TestExpiredTicketIsShedAtNextTick(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{}, engines(1, 1))
 	s.Submit(start, ticket("r", "review", "big", start))
@@ -230,9 +227,10 @@
 	g.Expect(got[0].RetryAfter).To(BeNumerically(">", 0))
 }
 
-// A caller waits its whole deadline out although every engine was tried. Its last
-// attempt failed at the only engine left, and a queue for none of them is endless.
-func TestTriedEverywhereIsToldAtOnce(t *testing.T) {
+// Guards against a caller waiting until its deadline although every engine was tried:
+// after its last attempt failed at the only engine left, no engine could ever take the
+// queued request.
+func TestRequestTriedOnAllUpstreamsIsShed(t *testing.T) {
 	g := NewWithT(t)
 	s := newScheduler(sched.Config{}, engines(2, 1))
 	tk := ticket("a", "review", "big", start)
@@ -248,6 +246,6 @@
 	g.Expect(s.Submit(start, waits)).To(BeEmpty())
 	s.SetUpstreams(start, engines(1, 1))
 	got = sheds(s.Tick(start.Add(time.Second)))
-	g.Expect(got).To(HaveLen(1), "its last engine left")
+	g.Expect(got).To(HaveLen(1), "the last eligible engine was removed")
 	g.Expect(got[0].ID).To(Equal("d"))
 }
--- a/core/sched/settings.go
+++ b/core/sched/settings.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// minFloor is the share of capacity of a class without a declared floor,
-	// so that none starves; all such classes together get at most leastFloors.
+	// minFloor is the capacity share of a class without a declared floor, so that no
+	// class starves. All such classes together get at most maxTotalMinFloor.
 	minFloor         = 0.01
 	maxTotalMinFloor = 0.05
 )
 
-// SetClasses puts the classes of a document in force. Queued tickets of a class
-// that is gone are shed by the next Tick; grants go on.
+// SetClasses applies the classes of an intent document. Queued tickets of a removed
+// class are shed by Tick at the next health check; its grants continue.
 func (s *Scheduler) SetClasses(doc *intent.Document) {
 	seen := map[string]bool{}
 	for _, c := range doc.Classes {
@@ -58,7 +58,7 @@
 	}
 }
 
-// SetOrganisations puts the weights of a document in force.
+// SetOrganisations applies the organisation weights of an intent document.
 func (s *Scheduler) SetOrganisations(doc *intent.Document) {
 	s.weights = make(map[string]float64, len(doc.Organisations))
 	for _, o := range doc.Organisations {
@@ -73,10 +73,10 @@
 	return 1
 }
 
-// SetSlotShare gives this scheduler one of parts equal parts of each upstream's
-// slots, for times in which several instances schedule for themselves; part
-// counts from 0. What does not divide evenly goes to a part that differs from
-// upstream to upstream.
+// SetSlotShare assigns this scheduler one of parts equal shares of each upstream's
+// slots, for periods in which several instances schedule independently; part counts
+// from 0. The remainder of an uneven division goes to shares that differ from upstream
+// to upstream.
 func (s *Scheduler) SetSlotShare(part, parts int) {
 	s.shareIndex, s.shareCount = part, max(parts, 1)
 	s.updateSlots()
@@ -93,19 +93,19 @@
 }
 
 func (s *Scheduler) slotShare(e *engine) int {
-	whole, rest := e.Slots/s.shareCount, e.Slots%s.shareCount
-	turn := 0
+	slots, remainder := e.Slots/s.shareCount, e.Slots%s.shareCount
+	rotation := 0
 	for _, b := range []byte(e.Name) {
-		turn = (turn*31 + int(b)) % s.shareCount
+		rotation = (rotation*31 + int(b)) % s.shareCount
 	}
-	if (s.shareIndex+turn)%s.shareCount < rest {
-		whole++
+	if (s.shareIndex+rotation)%s.shareCount < remainder {
+		slots++
 	}
-	return whole
+	return slots
 }
 
-// SetUpstreams replaces the list of upstreams. Grants on one that is no longer
-// listed stay counted until they finish.
+// SetUpstreams replaces the list of upstreams. Grants on an upstream that is no longer
+// listed are counted until they finish.
 func (s *Scheduler) SetUpstreams(now time.Time, list []Upstream) []Effect {
 	for _, e := range s.engines {
 		e.removed = true
--- a/core/sched/sim_test.go
+++ b/core/sched/sim_test.go
@@ -12,11 +12,11 @@
 	"github.com/comfreyladder/comfreyladder/core/intent"
 )
 
-// The comparison runs one load against several policies, event by event, with
-// fixed seeds: 20 engines of 8 slots and 30 tokens a second for each stream,
-// heavy-tailed lengths, a threefold burst of the lower classes from 60 s to
-// 120 s, two engines at a quarter of their speed from 90 s to 150 s, and load
-// reports that are 2 s late. Run it with
+// The comparison runs the same load against several policies in a discrete event
+// simulation with fixed seeds: 20 engines with 8 slots and 30 tokens a second per
+// stream, heavy-tailed answer lengths, a threefold burst of the lower classes from 60 s
+// to 120 s, two engines at a quarter of their speed from 90 s to 150 s, and load
+// reports that are delayed by 2 s. Run it with
 //
 //	go test ./core/sched -run xxx -bench Policies -benchtime 1x
 const (
@@ -26,7 +26,7 @@
 	reportLag                = 2.0
 )
 
-type load struct {
+type classLoad struct {
 	class  intent.Class
 	rate   float64
 	tokens float64
@@ -34,7 +34,7 @@
 	bursts bool
 }
 
-var loads = []load{
+var classLoads = []classLoad{
 	{intent.Class{Name: "review", Tier: 0, Protected: true, FirstToken: 2 * time.Second, Deadline: 60 * time.Second, Floor: 0.1}, 2, 250, 0.8, false},
 	{intent.Class{Name: "answer", Tier: 1, Protected: true, FirstToken: 1400 * time.Millisecond, Deadline: 60 * time.Second, Floor: 0.1}, 3, 220, 0.8, false},
 	{intent.Class{Name: "question", Tier: 2, FirstToken: 2 * time.Second, Deadline: 40 * time.Second, Floor: 0.1}, 6, 150, 0.8, true},
@@ -43,18 +43,18 @@
 }
 
 type job struct {
-	id              string
-	kind            int
-	org             string
-	arrived         float64
-	tokens          int
-	prompt          int
-	engine          *simEngine
-	begun, first    float64
-	finished, ended bool
+	id                      string
+	classIndex              int
+	org                     string
+	arrived                 float64
+	tokens                  int
+	prompt                  int
+	engine                  *simEngine
+	startedAt, firstTokenAt float64
+	finished, ended         bool
 }
 
-func (j *job) class() *intent.Class { return &loads[j.kind].class }
+func (j *job) class() *intent.Class { return &classLoads[j.classIndex].class }
 
 func (j *job) deadline() float64 { return j.arrived + j.class().Deadline.Seconds() }
 
@@ -70,10 +70,10 @@
 	return 1
 }
 
-// policy is one way of deciding.
+// policy decides when each job starts and on which engine.
 type policy interface {
 	submit(now float64, j *job)
-	first(now float64, j *job)
+	firstToken(now float64, j *job)
 	ended(now float64, j *job)
 	tick(now float64)
 }
@@ -96,28 +96,28 @@
 }
 
 type sim struct {
-	now     float64
-	events  simEvents
-	engines []*simEngine
-	jobs    map[string]*job
-	policy  policy
-	reports [][]int
-	made    float64
-	wasted  float64
-	met     map[int]int
-	offered map[int]int
-	good    float64
+	now             float64
+	events          simEvents
+	engines         []*simEngine
+	jobs            map[string]*job
+	policy          policy
+	reports         [][]int
+	generatedTokens float64
+	wastedTokens    float64
+	metTarget       map[int]int
+	offered         map[int]int
+	goodTokens      float64
 }
 
 func (s *sim) after(d float64, f func()) { heap.Push(&s.events, simEvent{s.now + d, f}) }
 
-func newSim(seed int64, make1 func(*sim) policy) *sim {
-	s := &sim{jobs: map[string]*job{}, met: map[int]int{}, offered: map[int]int{}}
+func newSim(seed int64, newPolicy func(*sim) policy) *sim {
+	s := &sim{jobs: map[string]*job{}, metTarget: map[int]int{}, offered: map[int]int{}}
 	for n := range engineCount {
 		s.engines = append(s.engines, &simEngine{name: fmt.Sprint("e", n)})
 	}
-	s.policy = make1(s)
-	for kind := range loads {
+	s.policy = newPolicy(s)
+	for kind := range classLoads {
 		s.arrivals(kind, rand.New(rand.NewSource(seed*100+int64(kind))))
 	}
 	for at := 0.0; at < loadSeconds+300; at += 0.1 {
@@ -132,7 +132,7 @@
 }
 
 func (s *sim) arrivals(kind int, rnd *rand.Rand) {
-	l := loads[kind]
+	l := classLoads[kind]
 	for at := 0.0; at < loadSeconds; {
 		rate := l.rate
 		if l.bursts && at >= 60 && at < 120 {
@@ -145,15 +145,15 @@
 			org = fmt.Sprint("small", rnd.Intn(9))
 		}
 		j := &job{
-			id: fmt.Sprint(kind, "-", len(s.jobs)), kind: kind, org: org, arrived: at,
+			id: fmt.Sprint(kind, "-", len(s.jobs)), classIndex: kind, org: org, arrived: at,
 			tokens: min(1+int(math.Exp(mu+l.sigma*rnd.NormFloat64())), 8000), prompt: 200 + rnd.Intn(1000),
 		}
 		s.jobs[j.id] = j
 		heap.Push(&s.events, simEvent{at, func() {
-			s.offered[j.kind]++
+			s.offered[j.classIndex]++
 			s.policy.submit(s.now, j)
 		}})
-		heap.Push(&s.events, simEvent{j.deadline(), func() { s.giveUp(j) }})
+		heap.Push(&s.events, simEvent{j.deadline(), func() { s.cancelAtDeadline(j) }})
 	}
 }
 
@@ -166,7 +166,7 @@
 	s.policy.tick(s.now)
 }
 
-// report returns what the engines reported last, reportLag ago.
+// report returns the engines' latest visible load reports, which are reportLag old.
 func (s *sim) report() []int {
 	n := len(s.reports) - 1 - int(reportLag*10)
 	if n < 0 {
@@ -187,30 +187,30 @@
 		j := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		e.running = append(e.running, j)
-		j.begun = s.now
+		j.startedAt = s.now
 		prefill := (0.1 + float64(j.prompt)*1e-4) / e.speed(s.now)
 		s.after(prefill, func() {
 			if j.ended {
 				return
 			}
-			j.first = s.now
-			s.policy.first(s.now, j)
+			j.firstTokenAt = s.now
+			s.policy.firstToken(s.now, j)
 		})
 		s.after(prefill+float64(j.tokens)/streamRate/e.speed(s.now), func() { s.end(j, true) })
 	}
 }
 
-func (s *sim) giveUp(j *job) {
+func (s *sim) cancelAtDeadline(j *job) {
 	if !j.ended && j.engine != nil {
 		s.end(j, false)
 	}
 }
 
-func (s *sim) end(j *job, whole bool) {
+func (s *sim) end(j *job, finished bool) {
 	if j.ended {
 		return
 	}
-	j.ended, j.finished = true, whole
+	j.ended, j.finished = true, finished
 	e := j.engine
 	e.running = slices.DeleteFunc(e.running, func(o *job) bool { return o == j })
 	e.waiting = slices.DeleteFunc(e.waiting, func(o *job) bool { return o == j })
@@ -221,16 +221,16 @@
 
 func (s *sim) count(j *job) {
 	made := float64(j.tokens)
-	if !j.finished && j.begun > 0 {
-		made = min(made, (s.now-j.begun)*streamRate*j.engine.speed(s.now))
-		s.wasted += made
+	if !j.finished && j.startedAt > 0 {
+		made = min(made, (s.now-j.startedAt)*streamRate*j.engine.speed(s.now))
+		s.wastedTokens += made
 	}
-	if !j.finished && j.begun == 0 {
+	if !j.finished && j.startedAt == 0 {
 		made = 0
 	}
-	s.made += made
-	if j.finished && j.first-j.arrived <= j.class().FirstToken.Seconds() {
-		s.met[j.kind]++
-		s.good += made
+	s.generatedTokens += made
+	if j.finished && j.firstTokenAt-j.arrived <= j.class().FirstToken.Seconds() {
+		s.metTarget[j.classIndex]++
+		s.goodTokens += made
 	}
 }
--- a/core/sched/status.go
+++ b/core/sched/status.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// InFlight returns the count of grants for each upstream that has any.
+// InFlight returns the number of grants of each upstream that has any.
 func (s *Scheduler) InFlight() map[string]int {
 	out := map[string]int{}
 	for _, e := range s.engines {
@@ -24,19 +24,19 @@
 	Work float64 `codec:"work" json:"work"`
 }
 
-// UpstreamStatus is what the scheduler holds of one upstream.
+// UpstreamStatus is the scheduler's view of one upstream.
 type UpstreamStatus struct {
 	Name string `codec:"name" json:"name"`
-	// Slots is this scheduler's part of the upstream's slots.
+	// Slots is this scheduler's share of the upstream's slots.
 	Slots    int `codec:"slots" json:"slots"`
 	InFlight int `codec:"in_flight" json:"in_flight"`
 	Used     int `codec:"used" json:"used"`
-	// Ejected says that it is a straggler, Down that nothing comes from it.
+	// Ejected is set for a straggler, Down for an upstream that does not respond.
 	Ejected  bool `codec:"aside" json:"aside"`
 	Down     bool `codec:"down" json:"down"`
 	Draining bool `codec:"draining" json:"draining"`
-	// FirstToken is the smoothed time to the first token; TokenRate the smoothed
-	// rate of one stream in tokens a second; 0 means unknown.
+	// FirstToken is the smoothed time to first token; TokenRate is the smoothed rate of
+	// one stream in tokens a second; 0 means unknown.
 	FirstToken time.Duration `codec:"first_token" json:"first_token"`
 	TokenRate  float64       `codec:"token_rate" json:"token_rate"`
 }
@@ -47,7 +47,7 @@
 	Upstreams []UpstreamStatus `codec:"upstreams" json:"upstreams"`
 }
 
-// Status returns a snapshot, classes by tier.
+// Status returns a snapshot, with classes ordered by tier.
 func (s *Scheduler) Status(now time.Time) Status {
 	var out Status
 	for _, c := range s.classesByTier {
@@ -62,7 +62,7 @@
 	return out
 }
 
-// TicketsOf returns the IDs of an instance's tickets: those queued and those granted.
+// TicketsOf returns the IDs of an instance's queued and granted tickets.
 func (s *Scheduler) TicketsOf(instance string) (queued, granted []string) {
 	for id, i := range s.items {
 		switch {
@@ -76,8 +76,8 @@
 	return queued, granted
 }
 
-// GrantOf returns the grant of a ticket that was granted here and has not ended,
-// to repeat it when its message was lost.
+// GrantOf returns the grant of a ticket that was granted here and has not ended, so
+// that it can be resent after a lost message.
 func (s *Scheduler) GrantOf(id string) (Grant, bool) {
 	i := s.items[id]
 	if i == nil || i.engine == nil || i.grant.ID == "" {
@@ -86,9 +86,9 @@
 	return i.grant, true
 }
 
-// DropInstance forgets an instance that died: its queued tickets, and its grants,
-// whose upstreams cancel streams that nobody reads. The queued ones go first, so
-// that no slot that becomes free is granted to the dead.
+// DropInstance removes all tickets of an instance that died. Its grants end too, as
+// upstreams cancel streams that nobody reads. Queued tickets are removed first, so that
+// a freed slot is not granted to the dead instance.
 func (s *Scheduler) DropInstance(now time.Time, instance string) []Effect {
 	queued, granted := s.TicketsOf(instance)
 	slices.Sort(granted)
