--- a/core/predict/predict.go
+++ b/core/predict/predict.go
@@ -1,7 +1,7 @@
-// Package predict estimates how many tokens an answer will have, as a
-// distribution learned by class and organisation. Nobody knows a length before
-// the answer ends; the scheduler uses the estimate only to weigh backlogs and to
-// charge shares before the true length corrects it.
+// Package predict estimates the length of answers in tokens, as distributions learned
+// by class and organisation. The length of an answer is unknown until it ends; the
+// scheduler uses the estimate only to weigh backlogs and to charge organisations until
+// the true length corrects it.
 package predict
 
 import (
@@ -11,20 +11,23 @@
 )
 
 const (
-	// perOctave is how many buckets cover a factor of two.
-	perOctave = 4
-	octaves   = 18
-	buckets   = perOctave * octaves
-	// window is the count after which old observations weigh half.
-	window = 512
-	// enough is the count from which a histogram speaks for itself.
-	enough = 16
+	// bucketsPerOctave is the number of buckets for each factor of two.
+	bucketsPerOctave = 4
+	octaves          = 18
+	bucketCount      = bucketsPerOctave * octaves
+	// halvingWindow is the number of observations after which the weight of older ones
+	// is halved.
+	halvingWindow = 512
+	// minObservations is the number of observations that a histogram needs before it is
+	// used.
+	minObservations = 16
 )
 
-// Key names one distribution. An empty Organisation stands for the whole class.
+// Key names the distribution of one organisation in one class.
 type Key struct{ Class, Organisation string }
 
-// Predictor holds the distributions. It is not safe for concurrent use.
+// Predictor holds the distributions of answer lengths. It is not safe for concurrent
+// use.
 type Predictor struct {
 	prior   float64
 	limit   int
@@ -38,10 +41,10 @@
 	hist histogram
 }
 
-// New returns a predictor that answers prior tokens before it has seen any
-// answer. It keeps at most limit histograms of single organisations (about 350
-// bytes each) and drops the one that was observed least recently: that
-// organisation falls back to its class.
+// New returns a predictor that estimates prior tokens until enough answers were
+// observed. It keeps at most limit histograms of single organisations (about 350 bytes
+// each) and evicts the one observed least recently; that organisation falls back to its
+// class.
 func New(prior float64, limit int) *Predictor {
 	return &Predictor{
 		prior: prior, limit: limit,
@@ -49,7 +52,7 @@
 	}
 }
 
-// Observe learns the length of one whole answer.
+// Observe records the length of one complete answer.
 func (p *Predictor) Observe(class, organisation string, tokens int) {
 	h := p.classes[class]
 	if h == nil {
@@ -57,10 +60,10 @@
 		p.classes[class] = h
 	}
 	h.add(tokens)
-	p.organisation(Key{class, organisation}).add(tokens)
+	p.organisationHistogram(Key{class, organisation}).add(tokens)
 }
 
-func (p *Predictor) organisation(k Key) *histogram {
+func (p *Predictor) organisationHistogram(k Key) *histogram {
 	if at, ok := p.entries[k]; ok {
 		p.recent.MoveToFront(at)
 		return &at.Value.(*entry).hist
@@ -77,51 +80,51 @@
 
 // Mean returns the expected length in tokens.
 func (p *Predictor) Mean(class, organisation string) float64 {
-	h := p.best(class, organisation)
+	h := p.histogramFor(class, organisation)
 	if h == nil {
 		return p.prior
 	}
 	return h.mean()
 }
 
-// Quantile returns the length that a share q, in [0,1], of answers stays at or
-// below, exact to a bucket (19%).
+// Quantile returns the length that a share q, in [0,1], of answers does not exceed,
+// accurate to one bucket (19%).
 func (p *Predictor) Quantile(class, organisation string, q float64) float64 {
-	h := p.best(class, organisation)
+	h := p.histogramFor(class, organisation)
 	if h == nil {
 		return p.prior
 	}
 	return h.quantile(q)
 }
 
-// Len returns how many organisations' histograms are held.
+// Len returns the number of histograms of single organisations.
 func (p *Predictor) Len() int { return p.recent.Len() }
 
-func (p *Predictor) best(class, organisation string) *histogram {
+func (p *Predictor) histogramFor(class, organisation string) *histogram {
 	if at, ok := p.entries[Key{class, organisation}]; ok {
-		if h := &at.Value.(*entry).hist; h.total >= enough {
+		if h := &at.Value.(*entry).hist; h.total >= minObservations {
 			return h
 		}
 	}
-	if h := p.classes[class]; h != nil && h.total >= enough {
+	if h := p.classes[class]; h != nil && h.total >= minObservations {
 		return h
 	}
 	return nil
 }
 
-// histogram has logarithmic buckets whose counts are halved now and then, so
-// that the distribution follows a change of the traffic.
+// histogram counts lengths in logarithmic buckets. The counts are halved from time to
+// time, so that the distribution follows changes of the traffic.
 type histogram struct {
-	counts [buckets]uint32
+	counts [bucketCount]uint32
 	total  uint32
 	sum    float64
 }
 
 func (h *histogram) add(tokens int) {
-	h.counts[bucket(tokens)]++
+	h.counts[bucketIndex(tokens)]++
 	h.total++
 	h.sum += float64(tokens)
-	if h.total >= 2*window {
+	if h.total >= 2*halvingWindow {
 		h.halve()
 	}
 }
@@ -144,22 +147,22 @@
 	for i, n := range h.counts {
 		seen += n
 		if n > 0 && seen >= rank {
-			return upper(i)
+			return bucketUpperBound(i)
 		}
 	}
-	return upper(buckets - 1)
+	return bucketUpperBound(bucketCount - 1)
 }
 
-func bucket(tokens int) int {
+func bucketIndex(tokens int) int {
 	if tokens < 1 {
 		return 0
 	}
 	octave := bits.Len(uint(tokens)) - 1
 	part := math.Log2(float64(tokens)) - float64(octave)
-	i := octave*perOctave + int(part*perOctave)
-	return min(i, buckets-1)
+	i := octave*bucketsPerOctave + int(part*bucketsPerOctave)
+	return min(i, bucketCount-1)
 }
 
-func upper(bucket int) float64 {
-	return math.Exp2(float64(bucket+1) / perOctave)
+func bucketUpperBound(bucket int) float64 {
+	return math.Exp2(float64(bucket+1) / bucketsPerOctave)
 }
--- a/core/sched/admit.go
+++ b/core/sched/admit.go
@@ -5,34 +5,33 @@
 )
 
 const (
-	// endless stands for "no limit" on a wait.
-	endless = 24 * time.Hour
-	// shortRetry is the hint where the backlog is not the cause.
-	shortRetry = 2 * time.Second
-	// leastRetry and mostRetry bound the hints worked out from the backlog.
-	leastRetry = 500 * time.Millisecond
-	mostRetry  = time.Minute
-	// retryJitter spreads hints by this share each way, so that refused callers
-	// do not return together.
+	// unlimitedWait stands for a wait without a limit.
+	unlimitedWait = 24 * time.Hour
+	// defaultRetryAfter is the retry hint where the backlog is not the cause.
+	defaultRetryAfter = 2 * time.Second
+	// minRetryAfter and maxRetryAfter limit the hints computed from the backlog.
+	minRetryAfter = 500 * time.Millisecond
+	maxRetryAfter = time.Minute
+	// retryJitter is the share by which hints are randomised in each direction, so that
+	// refused callers do not retry all at once.
 	retryJitter = 0.2
 )
 
-// setTimes works out an item's target and deadline.
-func (s *Scheduler) setTimes(i *item) {
+func (s *Scheduler) setTargetAndDeadline(i *item) {
 	c := &i.class.Class
 	i.deadline = i.Deadline
 	if i.deadline.IsZero() && c.Deadline > 0 {
 		i.deadline = i.Arrived.Add(c.Deadline)
 	}
 	if i.deadline.IsZero() {
-		i.deadline = i.Arrived.Add(endless)
+		i.deadline = i.Arrived.Add(unlimitedWait)
 	}
-	i.target = i.deadline.Add(-min(i.run, i.deadline.Sub(i.Arrived)))
+	i.target = i.deadline.Add(-min(i.expectedDuration, i.deadline.Sub(i.Arrived)))
 	if c.FirstToken > 0 {
 		i.target = earlier(i.target, i.Arrived.Add(c.FirstToken))
 	}
 	if c.Total > 0 {
-		i.target = earlier(i.target, i.Arrived.Add(max(c.Total-i.run, 0)))
+		i.target = earlier(i.target, i.Arrived.Add(max(c.Total-i.expectedDuration, 0)))
 	}
 }
 
@@ -43,93 +42,96 @@
 	return a
 }
 
-// admit decides whether a ticket may be queued; if not it sheds it.
+// admit decides whether a ticket may be queued and sheds it if not.
 func (s *Scheduler) admit(now time.Time, i *item) bool {
 	if !now.Before(i.deadline) {
-		s.shed(i, ReasonTooLate, shortRetry)
+		s.shed(i, ReasonExpiredOnArrival, defaultRetryAfter)
 		return false
 	}
-	if !s.anyHolder(i) {
-		s.shed(i, ReasonNoUpstream, shortRetry)
+	if !s.hasEligibleUpstream(i) {
+		s.shed(i, ReasonNoUpstream, defaultRetryAfter)
 		return false
 	}
 	wait := s.expectedWait(now, i)
-	i.expected = wait
-	if limit := s.patience(now, i); wait > limit {
-		s.shed(i, ReasonLate, wait-limit)
+	i.expectedWait = wait
+	if limit := s.maxWait(now, i); wait > limit {
+		s.shed(i, ReasonBacklog, wait-limit)
 		return false
 	}
-	return s.makeRoom(i, wait)
+	return s.enforceQueueBounds(i, wait)
 }
 
-// anyHolder reports whether some upstream could ever take the ticket.
-func (s *Scheduler) anyHolder(i *item) bool {
+// hasEligibleUpstream reports whether any upstream could serve the ticket, now or
+// later.
+func (s *Scheduler) hasEligibleUpstream(i *item) bool {
 	for _, e := range s.engines {
-		if !e.gone && !e.Draining && e.holds[i.Model] && !contains(i.Excluded, e.Name) {
+		if !e.removed && !e.Draining && e.modelSet[i.Model] && !contains(i.Excluded, e.Name) {
 			return true
 		}
 	}
 	return false
 }
 
-// patience is how long the ticket may wait for its grant and still be of use.
-// Unprotected work has to meet its level. Protected work only has to be done
-// before its deadline: late is better than refused.
-func (s *Scheduler) patience(now time.Time, i *item) time.Duration {
-	first := s.firstToken(i.Model)
+// maxWait returns how long the ticket may wait for its grant and still be useful.
+// Unprotected requests must meet their service level. Protected requests only have to
+// finish before their deadline: a late answer is better than a refusal.
+func (s *Scheduler) maxWait(now time.Time, i *item) time.Duration {
+	first := s.medianFirstToken(i.Model)
 	if i.class.Protected {
-		return i.deadline.Sub(now) - min(i.run, i.deadline.Sub(now)/2)
+		return i.deadline.Sub(now) - min(i.expectedDuration, i.deadline.Sub(now)/2)
 	}
 	limit := i.target.Sub(now) - first
-	// A level that even an idle engine misses must not refuse everything.
+	// A service level that even an idle engine misses must not shed every request.
 	return max(limit, first)
 }
 
-// expectedWait estimates the time to a grant from the work that goes before the
-// ticket and the rate at which its class is served. Half of its own work stands
-// for the time until the first slot becomes free.
+// expectedWait estimates the time to a grant from the work ahead of the ticket and the
+// rate at which its class is served. Half of the ticket's own work approximates the
+// time until the first slot becomes free.
 func (s *Scheduler) expectedWait(now time.Time, i *item) time.Duration {
-	ahead := s.workAbove(i)
-	lane := i.class.lanes[i.Model]
-	if ahead == 0 && lane == nil && s.hasRoom(now, i) {
+	ahead := s.higherPriorityWork(i)
+	queue := i.class.modelQueues[i.Model]
+	if ahead == 0 && queue == nil && s.hasFreeSlot(now, i) {
 		return 0
 	}
-	rate := s.rate(now, i)
-	if lane != nil {
-		whole := seconds((ahead + lane.work + i.work/2) / rate)
-		if whole <= s.patience(now, i) {
-			return whole
+	rate := s.serviceRate(now, i)
+	if queue != nil {
+		totalWait := secondsToDuration((ahead + queue.work + i.work/2) / rate)
+		if totalWait <= s.maxWait(now, i) {
+			return totalWait
 		}
-		ahead += s.fairBacklog(lane, i)
+		ahead += s.fairShareBacklog(queue, i)
 	}
-	return seconds((ahead + i.work/2) / rate)
+	return secondsToDuration((ahead + i.work/2) / rate)
 }
 
-// workAbove sums the queued work that goes before any of the ticket's class.
-func (s *Scheduler) workAbove(i *item) float64 {
+// higherPriorityWork sums the queued work for the model in the other classes that are
+// served before the ticket's class.
+func (s *Scheduler) higherPriorityWork(i *item) float64 {
 	sum := 0.0
-	for _, c := range s.order {
+	for _, c := range s.classesByTier {
 		if c.Tier > i.class.Tier {
 			break
 		}
-		if l := c.lanes[i.Model]; c != i.class && l != nil {
+		if l := c.modelQueues[i.Model]; c != i.class && l != nil {
 			sum += l.work
 		}
 	}
 	return sum
 }
 
-// fairBacklog is the work of the ticket's own class that goes before it: all of
-// its own organisation's, and of each other at most as much, by weight. A small
-// organisation is thus not refused for the backlog of a large one.
-func (s *Scheduler) fairBacklog(l *lane, i *item) float64 {
+// fairShareBacklog returns the work of the ticket's own class that is served before the
+// ticket: all of its own organisation's, and of each other organisation at most as
+// much, scaled by weight. A small organisation is thus not refused because of the
+// backlog of a large one.
+func (s *Scheduler) fairShareBacklog(l *modelQueue, i *item) float64 {
 	own := i.work
-	if sh := l.shares[i.Organisation]; sh != nil {
+	if sh := l.organisationQueues[i.Organisation]; sh != nil {
 		own += sh.work
 	}
 	weight := s.weight(i.Organisation)
 	sum := own - i.work
-	for _, sh := range l.order.items {
+	for _, sh := range l.byVirtualTokens.items {
 		if sh.account.organisation != i.Organisation {
 			sum += min(sh.work, own*sh.account.weight/weight)
 		}
@@ -137,33 +139,33 @@
 	return sum
 }
 
-// rate is the work a second that serves the ticket's class for its model. For
-// protected work it is the whole capacity: lower tiers are no reason to refuse
-// it. For the others it is what more urgent classes were seen to leave, without
-// the floors of waiting lower ones, and at least the class's own floor.
-func (s *Scheduler) rate(now time.Time, i *item) float64 {
-	whole := s.capacity(i.Model)
+// serviceRate returns the work a second available to the ticket's class for its model.
+// For protected classes it is the whole capacity: lower tiers are no reason to refuse
+// them. For other classes it is the capacity less the measured usage of more urgent
+// classes and the floors of other waiting classes, but at least the class's own floor.
+func (s *Scheduler) serviceRate(now time.Time, i *item) float64 {
+	total := s.capacity(i.Model)
 	if i.class.Protected {
-		return whole
+		return total
 	}
-	left := whole
-	for _, c := range s.order {
-		switch m := c.granted[i.Model]; {
+	remaining := total
+	for _, c := range s.classesByTier {
+		switch m := c.grantedWork[i.Model]; {
 		case c == i.class:
 		case c.Tier < i.class.Tier && m != nil:
-			left -= m.read(now)
-		case c.lanes[i.Model] != nil:
-			left -= c.floor * whole
+			remaining -= m.rateAt(now)
+		case c.modelQueues[i.Model] != nil:
+			remaining -= c.floor * total
 		}
 	}
-	return max(left, i.class.floor*whole, 1e-3)
+	return max(remaining, i.class.floor*total, 1e-3)
 }
 
-// capacity is the work a second that the model's upstreams do together.
+// capacity returns the work a second of all the model's upstreams together.
 func (s *Scheduler) capacity(model string) float64 {
 	sum := 0.0
 	for _, e := range s.engines {
-		if e.gone || e.Draining || e.aside || !e.holds[model] {
+		if e.removed || e.Draining || e.ejected || !e.modelSet[model] {
 			continue
 		}
 		rate := e.slotRate
@@ -175,64 +177,64 @@
 	return max(sum, 1e-3)
 }
 
-// makeRoom enforces the bounds on queued work. Protected work takes the place of
-// the least urgent queued ticket before it is refused.
-func (s *Scheduler) makeRoom(i *item, wait time.Duration) bool {
-	if !s.overBound(i) {
+// enforceQueueBounds applies the limits on queued work. A protected ticket displaces
+// the least urgent queued ticket before it is shed itself.
+func (s *Scheduler) enforceQueueBounds(i *item, wait time.Duration) bool {
+	if !s.exceedsQueueBounds(i) {
 		return true
 	}
-	if victim := s.victim(i); victim != nil {
-		s.evict(victim, ReasonDisplaced, s.backlogTime(victim))
+	if victim := s.displacementVictim(i); victim != nil {
+		s.evict(victim, ReasonDisplaced, s.drainTime(victim))
 		return true
 	}
-	s.shed(i, ReasonFull, max(wait, s.backlogTime(i)))
+	s.shed(i, ReasonQueueFull, max(wait, s.drainTime(i)))
 	return false
 }
 
-func (s *Scheduler) overBound(i *item) bool {
+func (s *Scheduler) exceedsQueueBounds(i *item) bool {
 	if s.queued >= s.cfg.MaxQueued {
 		return true
 	}
-	if a := i.class.accounts[i.Organisation]; a != nil && a.queued >= s.cfg.MaxQueuedShare {
+	if a := i.class.accounts[i.Organisation]; a != nil && a.queued >= s.cfg.MaxQueuedPerOrganisation {
 		return true
 	}
 	if i.class.Protected {
 		return false
 	}
-	return i.class.queued >= s.cfg.MaxQueuedClass || i.class.work+i.work > s.cfg.MaxQueuedTokens
+	return i.class.queued >= s.cfg.MaxQueuedPerClass || i.class.work+i.work > s.cfg.MaxQueuedWorkPerClass
 }
 
-// victim finds the queued ticket that goes first when room is needed: of the
-// least urgent class below the ticket's, from the organisation with the most
-// queued work, the one with the latest target. Only protected work displaces,
-// and only unprotected work of a lower tier is displaced.
-func (s *Scheduler) victim(i *item) *item {
+// displacementVictim returns the queued ticket to evict in favour of i, or nil. It
+// belongs to the least urgent class below that of i, there to the organisation with the
+// most queued work, and has the latest target. Only protected tickets displace others,
+// and only unprotected tickets of a lower tier are displaced.
+func (s *Scheduler) displacementVictim(i *item) *item {
 	if !i.class.Protected {
 		return nil
 	}
-	for n := len(s.order) - 1; n >= 0; n-- {
-		c := s.order[n]
+	for n := len(s.classesByTier) - 1; n >= 0; n-- {
+		c := s.classesByTier[n]
 		if c.Tier <= i.class.Tier || c.Protected {
 			return nil
 		}
 		if c.queued > 0 {
-			return latest(c)
+			return latestOfLargestQueue(c)
 		}
 	}
 	return nil
 }
 
-func latest(c *class) *item {
-	var most *share
-	for _, l := range c.lanes {
-		for _, sh := range l.order.items {
-			if most == nil || sh.work > most.work {
-				most = sh
+func latestOfLargestQueue(c *class) *item {
+	var largest *organisationQueue
+	for _, l := range c.modelQueues {
+		for _, sh := range l.byVirtualTokens.items {
+			if largest == nil || sh.work > largest.work {
+				largest = sh
 			}
 		}
 	}
-	last := most.items.top()
-	for _, i := range most.items.items {
+	last := largest.items.top()
+	for _, i := range largest.items.items {
 		if last.before(i) {
 			last = i
 		}
@@ -240,56 +242,56 @@
 	return last
 }
 
-// backlogTime is how long the class's queue for the model takes to drain at the
-// whole capacity.
-func (s *Scheduler) backlogTime(i *item) time.Duration {
-	l := i.class.lanes[i.Model]
+// drainTime estimates how long the class's queue for the model takes to drain at full
+// capacity.
+func (s *Scheduler) drainTime(i *item) time.Duration {
+	l := i.class.modelQueues[i.Model]
 	if l == nil {
 		return 0
 	}
-	return seconds((s.workAbove(i) + l.work) / s.capacity(i.Model))
+	return secondsToDuration((s.higherPriorityWork(i) + l.work) / s.capacity(i.Model))
 }
 
 func (s *Scheduler) evict(i *item, why Reason, retry time.Duration) {
 	s.dequeue(i)
 	delete(s.items, i.ID)
-	i.class.forget(i.Organisation)
+	i.class.dropIdleAccount(i.Organisation)
 	s.shed(i, why, retry)
 }
 
 func (s *Scheduler) shed(i *item, why Reason, retry time.Duration) {
-	retry = min(max(retry, leastRetry), mostRetry)
+	retry = min(max(retry, minRetryAfter), maxRetryAfter)
 	spread := 1 + retryJitter*(2*s.rnd.Float64()-1)
 	retry = time.Duration(float64(retry) * spread)
-	s.out = append(s.out, Shed{ID: i.ID, Instance: i.Instance, Reason: why, RetryAfter: retry})
+	s.effects = append(s.effects, Shed{ID: i.ID, Instance: i.Instance, Reason: why, RetryAfter: retry})
 }
 
-// expire sheds queued tickets whose answer can no longer be of use, at once, so
-// that their callers learn it without waiting for the deadline.
-func (s *Scheduler) expire(now time.Time) {
-	for s.expiry.len() > 0 && !now.Before(s.expiry.top().deadline) {
-		i := s.expiry.top()
-		s.evict(i, ReasonExpired, s.backlogTime(i))
+// shedExpired sheds queued tickets as soon as their deadline has passed, so that their
+// callers need not wait until it would have been their turn.
+func (s *Scheduler) shedExpired(now time.Time) {
+	for s.byDeadline.len() > 0 && !now.Before(s.byDeadline.top().deadline) {
+		i := s.byDeadline.top()
+		s.evict(i, ReasonExpired, s.drainTime(i))
 	}
 }
 
-// dropStranded sheds queued tickets that no upstream can take any more, or whose
-// class is gone.
-func (s *Scheduler) dropStranded() {
-	for n := s.expiry.len() - 1; n >= 0; n-- {
-		if n >= s.expiry.len() {
+// shedUnservable sheds queued tickets that no upstream can serve any more or whose
+// class was removed.
+func (s *Scheduler) shedUnservable() {
+	for n := s.byDeadline.len() - 1; n >= 0; n-- {
+		if n >= s.byDeadline.len() {
 			continue
 		}
-		i := s.expiry.items[n]
+		i := s.byDeadline.items[n]
 		switch {
-		case i.class.gone:
-			s.evict(i, ReasonUnknownClass, shortRetry)
-		case !s.anyHolder(i):
-			s.evict(i, ReasonNoUpstream, shortRetry)
+		case i.class.removed:
+			s.evict(i, ReasonUnknownClass, defaultRetryAfter)
+		case !s.hasEligibleUpstream(i):
+			s.evict(i, ReasonNoUpstream, defaultRetryAfter)
 		}
 	}
 }
 
-func seconds(s float64) time.Duration {
-	return time.Duration(min(s, endless.Seconds()) * float64(time.Second))
+func secondsToDuration(s float64) time.Duration {
+	return time.Duration(min(s, unlimitedWait.Seconds()) * float64(time.Second))
 }
--- a/core/sched/settings.go
+++ b/core/sched/settings.go
@@ -8,40 +8,40 @@
 )
 
 const (
-	// leastFloor is the share of capacity of a class without a declared floor,
-	// so that none starves; all such classes together get at most leastFloors.
-	leastFloor  = 0.01
-	leastFloors = 0.05
+	// minFloor is the capacity share of a class without a declared floor, so that no
+	// class starves. All such classes together get at most maxTotalMinFloor.
+	minFloor         = 0.01
+	maxTotalMinFloor = 0.05
 )
 
-// SetClasses puts the classes of a document in force. Queued tickets of a class
-// that is gone are shed by the next Tick; grants go on.
+// SetClasses applies the classes of an intent document. Queued tickets of a removed
+// class are shed by Tick at the next health check; its grants continue.
 func (s *Scheduler) SetClasses(doc *intent.Document) {
 	seen := map[string]bool{}
 	for _, c := range doc.Classes {
 		seen[c.Name] = true
 		if old := s.classes[c.Name]; old != nil {
-			old.Class, old.gone = c, false
+			old.Class, old.removed = c, false
 			continue
 		}
 		s.classes[c.Name] = newClass(c)
 	}
 	for name, c := range s.classes {
-		c.gone = !seen[name]
+		c.removed = !seen[name]
 	}
 	s.sortClasses()
 }
 
 func (s *Scheduler) sortClasses() {
-	s.order = s.order[:0]
+	s.classesByTier = s.classesByTier[:0]
 	undeclared := 0
 	for _, c := range s.classes {
-		s.order = append(s.order, c)
+		s.classesByTier = append(s.classesByTier, c)
 		if c.Floor == 0 {
 			undeclared++
 		}
 	}
-	slices.SortFunc(s.order, func(a, b *class) int {
+	slices.SortFunc(s.classesByTier, func(a, b *class) int {
 		if a.Tier != b.Tier {
 			return a.Tier - b.Tier
 		}
@@ -50,15 +50,15 @@
 		}
 		return 1
 	})
-	for _, c := range s.order {
+	for _, c := range s.classesByTier {
 		c.floor = c.Floor
 		if c.Floor == 0 {
-			c.floor = min(leastFloor, leastFloors/float64(undeclared))
+			c.floor = min(minFloor, maxTotalMinFloor/float64(undeclared))
 		}
 	}
 }
 
-// SetOrganisations puts the weights of a document in force.
+// SetOrganisations applies the organisation weights of an intent document.
 func (s *Scheduler) SetOrganisations(doc *intent.Document) {
 	s.weights = make(map[string]float64, len(doc.Organisations))
 	for _, o := range doc.Organisations {
@@ -73,71 +73,71 @@
 	return 1
 }
 
-// SetShare gives this scheduler one of parts equal parts of each upstream's
-// slots, for times in which several instances schedule for themselves; part
-// counts from 0. What does not divide evenly goes to a part that differs from
-// upstream to upstream.
-func (s *Scheduler) SetShare(part, parts int) {
-	s.part, s.parts = part, max(parts, 1)
-	s.countSlots()
+// SetSlotShare assigns this scheduler one of parts equal shares of each upstream's
+// slots, for periods in which several instances schedule independently; part counts
+// from 0. The remainder of an uneven division goes to shares that differ from upstream
+// to upstream.
+func (s *Scheduler) SetSlotShare(part, parts int) {
+	s.shareIndex, s.shareCount = part, max(parts, 1)
+	s.updateSlots()
 }
 
-func (s *Scheduler) countSlots() {
-	s.whole = 0
+func (s *Scheduler) updateSlots() {
+	s.priorCapacity = 0
 	for _, e := range s.engines {
-		e.slots = s.slotsOf(e)
-		if !e.gone {
-			s.whole += s.cfg.PriorTokenRate * float64(e.slots)
+		e.slots = s.slotShare(e)
+		if !e.removed {
+			s.priorCapacity += s.cfg.PriorTokenRate * float64(e.slots)
 		}
 	}
 }
 
-func (s *Scheduler) slotsOf(e *engine) int {
-	whole, rest := e.Slots/s.parts, e.Slots%s.parts
-	turn := 0
+func (s *Scheduler) slotShare(e *engine) int {
+	slots, remainder := e.Slots/s.shareCount, e.Slots%s.shareCount
+	rotation := 0
 	for _, b := range []byte(e.Name) {
-		turn = (turn*31 + int(b)) % s.parts
+		rotation = (rotation*31 + int(b)) % s.shareCount
 	}
-	if (s.part+turn)%s.parts < rest {
-		whole++
+	if (s.shareIndex+rotation)%s.shareCount < remainder {
+		slots++
 	}
-	return whole
+	return slots
 }
 
-// SetUpstreams replaces the list of upstreams. Grants on one that is no longer
-// listed stay counted until they finish.
+// SetUpstreams replaces the list of upstreams. Grants on an upstream that is no longer
+// listed are counted until they finish.
 func (s *Scheduler) SetUpstreams(now time.Time, list []Upstream) []Effect {
 	for _, e := range s.engines {
-		e.gone = true
+		e.removed = true
 	}
 	for _, u := range list {
-		e := s.byName[u.Name]
+		e := s.enginesByName[u.Name]
 		if e == nil {
 			e = s.addEngine(u.Name)
 		}
 		e.update(u)
 	}
-	s.countSlots()
-	s.dropGone()
+	s.updateSlots()
+	s.dropRemovedEngines()
 	s.dispatch(now)
-	return s.take()
+	return s.takeEffects()
 }
 
 func (s *Scheduler) addEngine(name string) *engine {
-	e := &engine{figures: s.known.engine(name), unstarted: map[string]*item{}, sent: map[uint64]struct{}{}}
+	e := &engine{engineStats: s.estimator.engine(name), unstarted: map[string]*item{}, sentPrefixes: map[uint64]struct{}{}}
 	e.Name = name
-	s.byName[name] = e
+	s.enginesByName[name] = e
 	s.engines = append(s.engines, e)
 	return e
 }
 
-func (s *Scheduler) dropGone() {
+func (s *Scheduler) dropRemovedEngines() {
 	s.engines = slices.DeleteFunc(s.engines, func(e *engine) bool {
-		if !e.gone || e.inFlight > 0 {
+		if !e.removed || e.inFlight > 0 {
 			return false
 		}
-		delete(s.byName, e.Name)
-		delete(s.known.engines, e.Name)
+		delete(s.enginesByName, e.Name)
+		delete(s.estimator.engines, e.Name)
 		return true
 	})
 }
--- a/instance/schedule/domain.go
+++ b/instance/schedule/domain.go
@@ -23,7 +23,7 @@
 	if s.role == roleScheduler {
 		s.endLeases(now)
 	} else {
-		s.local.SetShare(rank(s.peers.Members(), s.self))
+		s.local.SetSlotShare(rank(s.peers.Members(), s.self))
 	}
 	s.apply(now, s.local.Tick(now))
 }
@@ -86,10 +86,10 @@
 	s.up = upMessage{}
 	clear(s.heard)
 	policy := s.cfg.Policy
-	policy.Apart = as == roleAlone
-	s.local = sched.NewKnowing(policy, s.rnd, s.known)
+	policy.Uncoordinated = as == roleAlone
+	s.local = sched.NewWithEstimator(policy, s.rnd, s.known)
 	if as == roleAlone {
-		s.local.SetShare(rank(s.peers.Members(), s.self))
+		s.local.SetSlotShare(rank(s.peers.Members(), s.self))
 	}
 	s.local.SetClasses(s.doc)
 	s.local.SetOrganisations(s.doc)
@@ -101,7 +101,7 @@
 		}
 	}
 	if as == roleScheduler {
-		s.local.Hold(now.Add(s.cfg.HandOver))
+		s.local.HoldGrants(now.Add(s.cfg.HandOver))
 	}
 	for _, r := range requests {
 		if !r.flying {
@@ -222,7 +222,7 @@
 			d.Grants = append(d.Grants, packGrant(g))
 		}
 	}
-	queued, granted := s.local.Of(from)
+	queued, granted := s.local.TicketsOf(from)
 	for _, id := range append(queued, granted...) {
 		if !has[id] {
 			s.apply(now, s.local.Cancel(now, id))
@@ -233,7 +233,7 @@
 // compare acknowledges a beat and asks for a full exchange when the digests
 // differ: a message was lost, or one is on its way, which costs only a message.
 func (s *state) compare(from string, m *upMessage) {
-	queued, granted := s.local.Of(from)
+	queued, granted := s.local.TicketsOf(from)
 	d := s.downTo(from)
 	d.Resync = digestOf(queued) != m.Waiting || digestOf(granted) != m.Flying
 }
--- a/instance/schedule/state.go
+++ b/instance/schedule/state.go
@@ -36,7 +36,7 @@
 	tokens  int
 	started bool
 	// watch learns from the request while no scheduler runs here.
-	watch *sched.Watch
+	watch *sched.Observation
 }
 
 type reply struct {
@@ -61,7 +61,7 @@
 	// local is the scheduler that runs here; nil for followers. known is what
 	// was learned, whoever schedules.
 	local *sched.Scheduler
-	known *sched.Knowledge
+	known *sched.Estimator
 
 	requests map[string]*request
 	draining bool
@@ -92,7 +92,7 @@
 func (s *state) setUpstreams(now time.Time, list []sched.Upstream) {
 	s.upstreams = list
 	if s.local == nil {
-		s.known.Keep(list)
+		s.known.Retain(list)
 		return
 	}
 	s.apply(now, s.local.SetUpstreams(now, list))
@@ -152,7 +152,7 @@
 	s.tell(now, e)
 }
 
-func learn(now time.Time, w *sched.Watch, e event) {
+func learn(now time.Time, w *sched.Observation, e event) {
 	switch e.Kind {
 	case eventStarted:
 		w.Started(now)
@@ -231,7 +231,7 @@
 	}
 	r.flying, r.grant = true, g
 	if s.local == nil {
-		r.watch = s.known.Watch(now, r.ticket, g.Upstream)
+		r.watch = s.known.Observe(now, r.ticket, g.Upstream)
 	}
 	if giver != s.self && s.local != nil {
 		s.local.Restore(now, r.ticket, g.Upstream, 0)
@@ -258,7 +258,7 @@
 	}
 	s.forget(e.ID)
 	code := fault.Overloaded
-	if e.Reason == sched.ReasonExpired || e.Reason == sched.ReasonTooLate {
+	if e.Reason == sched.ReasonExpired || e.Reason == sched.ReasonExpiredOnArrival {
 		code = fault.DeadlineExceeded
 	}
 	r.reply <- reply{err: fault.New(code, "refused before it ran: %s", e.Reason).After(e.RetryAfter)}
