--- a/core/control/mux.go
+++ b/core/control/mux.go
@@ -17,8 +17,8 @@
 // NewMux returns a Mux over the given sub-machines.
 func NewMux(machines map[string]Machine) *Mux { return &Mux{machines: machines} }
 
-// Knows reports whether there is a sub-machine of that name.
-func (m *Mux) Knows(name string) bool { return m.machines[name] != nil }
+// Has reports whether there is a sub-machine of that name.
+func (m *Mux) Has(name string) bool { return m.machines[name] != nil }
 
 // Machine returns the sub-machine of that name, or nil.
 func (m *Mux) Machine(name string) Machine { return m.machines[name] }
--- a/instance/consensus/calls.go
+++ b/instance/consensus/calls.go
@@ -63,7 +63,7 @@
 // command is in no log and never will be, and with fault.OutcomeUnknown when it
 // may be. It is never appended twice by one Propose.
 func (s *Service) Propose(ctx context.Context, machine string, data []byte) ([]byte, uint64, error) {
-	if !s.cfg.Mux.Knows(machine) {
+	if !s.cfg.Mux.Has(machine) {
 		return nil, 0, fault.New(fault.Invalid, "no machine %q", machine)
 	}
 	number := s.context.Add(1)
