--- a/core/control/codec.go
+++ b/core/control/codec.go
@@ -6,14 +6,14 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// cbor encodes canonically, so that equal values have equal bytes on all members.
+// cbor uses the canonical encoding, so that equal values encode to the same bytes on every member.
 var cbor = func() *codec.CborHandle {
 	h := &codec.CborHandle{}
 	h.Canonical = true
 	return h
 }()
 
-// Marshal encodes a command, a result or a state. It fails with fault.Internal.
+// Marshal encodes a command, a result or a state as CBOR. Errors have the code fault.Internal.
 func Marshal(v any) ([]byte, error) {
 	var b []byte
 	if err := codec.NewEncoderBytes(&b, cbor).Encode(v); err != nil {
@@ -22,7 +22,7 @@
 	return b, nil
 }
 
-// Unmarshal decodes what Marshal encoded. It fails with fault.Corrupt.
+// Unmarshal decodes the output of Marshal into v. Errors have the code fault.Corrupt.
 func Unmarshal(b []byte, v any) error {
 	if err := codec.NewDecoderBytes(b, cbor).Decode(v); err != nil {
 		return fault.Wrap(err, fault.Corrupt, "decode %T", v)
--- a/core/control/machine.go
+++ b/core/control/machine.go
@@ -1,43 +1,43 @@
-// Package control is the replicated state machine that the control group's log
-// feeds. It multiplexes named sub-machines, such as the operators' intents, the
-// claims of at-most-once calls and the fencing numbers.
+// Package control implements the replicated state machine that is driven by the
+// control group's log. It multiplexes named state machines, for example those for
+// operator intents, claims of at-most-once calls and fencing numbers.
 package control
 
 import "time"
 
-// Machine is one deterministic sub-machine. Equal sequences of Apply leave equal
-// states on every member, so an implementation must take nothing but its
-// arguments into account: no clock, no randomness and no order of map iteration.
+// Machine is a deterministic state machine. The same sequence of Apply calls must
+// produce the same state on every member, so an implementation may depend only on
+// its arguments: not on a clock, randomness or map iteration order.
 type Machine interface {
-	// Apply carries out one command and returns its result. index is the log
-	// index and at the leader's time stamp; both never decrease. A command that
-	// cannot be carried out, even one that does not decode, is answered in the
-	// result and leaves the state as it was.
+	// Apply executes one command and returns its result. index is the log index
+	// and at the leader's timestamp; neither ever decreases. A command that cannot
+	// be executed, including one that cannot be decoded, is reported in the result
+	// and leaves the state unchanged.
 	Apply(index uint64, at time.Time, data []byte) []byte
-	// Snapshot returns the whole state; equal states give equal bytes.
+	// Snapshot returns the complete state. Equal states encode to equal bytes.
 	Snapshot() ([]byte, error)
-	// Restore replaces the state by a snapshot. It fails with fault.Corrupt
-	// when the bytes do not decode, and then leaves the state as it was.
+	// Restore replaces the state with a snapshot. If the snapshot cannot be decoded,
+	// it returns fault.Corrupt and leaves the state unchanged.
 	Restore(snapshot []byte) error
 }
 
-// Command is what a log entry carries.
+// Command is the payload of a log entry.
 type Command struct {
-	// Machine names the sub-machine that the command is for.
+	// Machine names the state machine that executes the command.
 	Machine string `codec:"m"`
-	// Request identifies the proposal so that its proposer finds the result. It
-	// is unique among proposals; it does not make a command idempotent, which is
-	// for each sub-machine to do by keys of its own.
+	// Request identifies the proposal, so that the proposer can match the result to
+	// it. It is unique per proposal and does not make a command idempotent: state
+	// machines that need idempotency use keys of their own.
 	Request string `codec:"r"`
-	// Data is the command in the sub-machine's own encoding.
+	// Data is the command, encoded as the state machine defines.
 	Data []byte `codec:"d"`
 }
 
-// Entry is one committed command.
+// Entry is a committed command.
 type Entry struct {
 	Command
-	// Index is the command's place in the log.
+	// Index is the log index.
 	Index uint64
-	// At is stamped by the leader and never decreases along the log.
+	// At is the leader's timestamp. It never decreases along the log.
 	At time.Time
 }
