--- a/core/control/mux.go
+++ b/core/control/mux.go
@@ -49,8 +49,8 @@
 
 // muxSnapshot is the encoded form of a snapshot.
 type muxSnapshot struct {
-	Index    uint64         `codec:"i"`
-	At       int64          `codec:"a"`
+	Index    uint64            `codec:"i"`
+	At       int64             `codec:"a"`
 	Machines []machineSnapshot `codec:"m"`
 }
 
