--- a/core/control/fence/fence.go
+++ b/core/control/fence/fence.go
@@ -40,9 +40,9 @@
 	// Holder names one start of one process: a process that was restarted has
 	// another one, since it does not know which calls it has under way.
 	Holder string `codec:"h"`
-	// Machine names where the process runs, and Return is how long a machine waits that
+	// Instance names where the process runs, and Return is how long a machine waits that
 	// held the subject before others did. Both may be left out.
-	Machine string        `codec:"m,omitempty"`
+	Instance string        `codec:"m,omitempty"`
 	Return  time.Duration `codec:"r,omitempty"`
 	// Unchanged, if not zero, is the Revision that the lease has had for its whole TTL by
 	// the clock of whoever asks. If it still has it, the lease is over whatever the log's
@@ -176,7 +176,7 @@
 // So a machine that held it before another one waits, also when its process has started
 // anew since and remembers nothing.
 func (l *Lease) moveTo(r Request) {
-	if l.Machine == r.Machine {
+	if l.Machine == r.Instance {
 		return
 	}
 	if l.Machine != "" {
@@ -184,10 +184,10 @@
 		l.Earlier = append(l.Earlier, l.Machine)
 		l.Earlier = l.Earlier[max(0, len(l.Earlier)-maxEarlier):]
 	}
-	if r.Machine != "" && slices.Contains(l.Earlier, r.Machine) {
+	if r.Instance != "" && slices.Contains(l.Earlier, r.Instance) {
 		l.Wait = max(l.Wait, r.Return)
 	}
-	l.Machine = r.Machine
+	l.Machine = r.Instance
 }
 
 func (m *Machine) release(l Lease, r Request) Grant {
--- a/core/control/fence/fence_test.go
+++ b/core/control/fence/fence_test.go
@@ -66,7 +66,7 @@
 	m := fence.New()
 	take := func(at time.Duration, machine, start string) fence.Grant {
 		r := acquire(machine + "/" + start)
-		r.Machine, r.Return = machine, 3*time.Second
+		r.Instance, r.Return = machine, 3*time.Second
 		grant := ask(m, at, r)
 		g.Expect(grant.Granted).To(BeTrue())
 		return grant
@@ -92,7 +92,7 @@
 	m := fence.New()
 	for i := range 100 {
 		r := acquire(fmt.Sprint(i))
-		r.Machine = r.Holder
+		r.Instance = r.Holder
 		g.Expect(ask(m, time.Duration(i)*2*ttl, r).Granted).To(BeTrue())
 	}
 	l, _ := m.Lease("teku-hall")
