--- a/core/control/fence/fence.go
+++ b/core/control/fence/fence.go
@@ -43,7 +43,7 @@
 	// Instance names where the process runs, and Return is how long a machine waits that
 	// held the subject before others did. Both may be left out.
 	Instance string        `codec:"m,omitempty"`
-	Return  time.Duration `codec:"r,omitempty"`
+	ReturnDelay  time.Duration `codec:"r,omitempty"`
 	// Unchanged, if not zero, is the Revision that the lease has had for its whole TTL by
 	// the clock of whoever asks. If it still has it, the lease is over whatever the log's
 	// time says, and so for its holder, who counts from before its last renewal: there is
@@ -185,7 +185,7 @@
 		l.Earlier = l.Earlier[max(0, len(l.Earlier)-maxEarlier):]
 	}
 	if r.Instance != "" && slices.Contains(l.Earlier, r.Instance) {
-		l.Wait = max(l.Wait, r.Return)
+		l.Wait = max(l.Wait, r.ReturnDelay)
 	}
 	l.Machine = r.Instance
 }
--- a/core/control/fence/fence_test.go
+++ b/core/control/fence/fence_test.go
@@ -66,7 +66,7 @@
 	m := fence.New()
 	take := func(at time.Duration, machine, start string) fence.Grant {
 		r := acquire(machine + "/" + start)
-		r.Instance, r.Return = machine, 3*time.Second
+		r.Instance, r.ReturnDelay = machine, 3*time.Second
 		grant := ask(m, at, r)
 		g.Expect(grant.Granted).To(BeTrue())
 		return grant
--- a/core/control/fence/model_test.go
+++ b/core/control/fence/model_test.go
@@ -167,7 +167,7 @@
 
 func (m *model) ask(p *process) {
 	p.request = &request{asked: m.now, body: fence.Request{
-		Verb: fence.Acquire, Subject: "s", Holder: p.holder(), Instance: p.machine, Return: modelReturn * time.Second,
+		Verb: fence.Acquire, Subject: "s", Holder: p.holder(), Instance: p.machine, ReturnDelay: modelReturn * time.Second,
 		TTL: modelTerms.TTL, Settled: p.held.IsSettled(moment(m.now)),
 	}}
 	if !m.hasty {
