--- a/core/control/fence/fence.go
+++ b/core/control/fence/fence.go
@@ -44,11 +44,11 @@
 	// held the subject before others did. Both may be left out.
 	Instance string        `codec:"m,omitempty"`
 	ReturnDelay  time.Duration `codec:"r,omitempty"`
-	// Unchanged, if not zero, is the Revision that the lease has had for its whole TTL by
+	// ExpiredRevision, if not zero, is the Revision that the lease has had for its whole TTL by
 	// the clock of whoever asks. If it still has it, the lease is over whatever the log's
 	// time says, and so for its holder, who counts from before its last renewal: there is
 	// nothing to wait for.
-	Unchanged uint64 `codec:"u,omitempty"`
+	ExpiredRevision uint64 `codec:"u,omitempty"`
 	// TTL is how long the lease lasts from the leader's time stamp.
 	TTL time.Duration `codec:"t"`
 	// Settled says that the holder has waited as its Grant asked for.
@@ -149,7 +149,7 @@
 // lease has run out gets a new number as well, though nobody else came between:
 // it has to learn that it acted without a lease.
 func (m *Machine) acquire(l Lease, r Request, at int64) Grant {
-	seenOver := r.Unchanged != 0 && r.Unchanged == l.Revision && l.Holder != r.Holder
+	seenOver := r.ExpiredRevision != 0 && r.ExpiredRevision == l.Revision && l.Holder != r.Holder
 	held := l.Holder != "" && at < l.Expires && !seenOver
 	if held && l.Holder != r.Holder {
 		return Grant{Code: fault.Conflict, Lease: l, Detail: "held by " + l.Holder}
--- a/core/control/fence/model_test.go
+++ b/core/control/fence/model_test.go
@@ -85,7 +85,7 @@
 			add(-1)
 			return
 		}
-		add(r.asked, int(r.body.Holder[1]), flag(r.body.Settled), changed(r.body.Unchanged), flag(r.committed), flag(r.grant.Granted))
+		add(r.asked, int(r.body.Holder[1]), flag(r.body.Settled), changed(r.body.ExpiredRevision), flag(r.committed), flag(r.grant.Granted))
 		if r.grant.Granted {
 			add(number(r.grant.Lease.Number), int(r.grant.Wait/time.Second))
 		}
@@ -171,7 +171,7 @@
 		TTL: modelTerms.TTL, Settled: p.held.IsSettled(moment(m.now)),
 	}}
 	if !m.hasty {
-		p.request.body.Unchanged = uint64(p.seen)
+		p.request.body.ExpiredRevision = uint64(p.seen)
 	}
 }
 
