--- a/core/control/fence/fence.go
+++ b/core/control/fence/fence.go
@@ -51,8 +51,8 @@
 	ExpiredRevision uint64 `codec:"u,omitempty"`
 	// TTL is how long the lease lasts from the leader's time stamp.
 	TTL time.Duration `codec:"t"`
-	// Settled says that the holder has waited as its Grant asked for.
-	Settled bool `codec:"s"`
+	// WaitDone says that the holder has waited as its Grant asked for.
+	WaitDone bool `codec:"s"`
 }
 
 // Lease is the state of one subject.
@@ -160,7 +160,7 @@
 		}
 		l.Number++
 		l.moveTo(r)
-	} else if r.Settled {
+	} else if r.WaitDone {
 		l.Wait = 0
 	}
 	l.Revision++
--- a/core/control/fence/fence_test.go
+++ b/core/control/fence/fence_test.go
@@ -51,7 +51,7 @@
 	third := ask(m, ttl+3, acquire("c"))
 	g.Expect(third.Wait).To(Equal(ttl))
 	settled := acquire("c")
-	settled.Settled = true
+	settled.WaitDone = true
 	g.Expect(ask(m, ttl+4, settled).Wait).To(BeZero())
 	g.Expect(ask(m, ttl+5, fence.Request{Verb: fence.Release, Holder: "c"}).Granted).To(BeTrue())
 	g.Expect(ask(m, ttl+6, acquire("d")).Wait).To(BeZero())
--- a/core/control/fence/model_test.go
+++ b/core/control/fence/model_test.go
@@ -85,7 +85,7 @@
 			add(-1)
 			return
 		}
-		add(r.asked, int(r.body.Holder[1]), flag(r.body.Settled), changed(r.body.ExpiredRevision), flag(r.committed), flag(r.grant.Granted))
+		add(r.asked, int(r.body.Holder[1]), flag(r.body.WaitDone), changed(r.body.ExpiredRevision), flag(r.committed), flag(r.grant.Granted))
 		if r.grant.Granted {
 			add(number(r.grant.Lease.Number), int(r.grant.Wait/time.Second))
 		}
@@ -168,7 +168,7 @@
 func (m *model) ask(p *process) {
 	p.request = &request{asked: m.now, body: fence.Request{
 		Verb: fence.Acquire, Subject: "s", Holder: p.holder(), Instance: p.machine, ReturnDelay: modelReturn * time.Second,
-		TTL: modelTerms.TTL, Settled: p.held.IsSettled(moment(m.now)),
+		TTL: modelTerms.TTL, WaitDone: p.held.IsSettled(moment(m.now)),
 	}}
 	if !m.hasty {
 		p.request.body.ExpiredRevision = uint64(p.seen)
--- a/instance/order/lease.go
+++ b/instance/order/lease.go
@@ -63,7 +63,7 @@
 func (s *Service) acquireRequest(now time.Time) fence.Request {
 	return fence.Request{
 		Verb: fence.Acquire, Subject: s.cfg.Domain, Holder: s.holder, TTL: s.cfg.TTL,
-		Settled: s.lease.Number > 0 && !now.Before(s.lease.Settled),
+		WaitDone: s.lease.Number > 0 && !now.Before(s.lease.Settled),
 	}
 }
 
