--- a/core/control/fence/fence.go
+++ b/core/control/fence/fence.go
@@ -69,9 +69,9 @@
 	// it: else a holder that releases at once would let the next one act while
 	// the last but one may still count on its lease.
 	Wait time.Duration `codec:"w"`
-	// Machine is the holder's, Earlier lists those that held the lease before it, the
+	// Instance is the holder's, Earlier lists those that held the lease before it, the
 	// latest last.
-	Machine string   `codec:"m,omitempty"`
+	Instance string   `codec:"m,omitempty"`
 	Earlier []string `codec:"p,omitempty"`
 	// Revision grows with each request that changes the lease.
 	Revision uint64 `codec:"r,omitempty"`
@@ -176,18 +176,18 @@
 // So a machine that held it before another one waits, also when its process has started
 // anew since and remembers nothing.
 func (l *Lease) moveTo(r Request) {
-	if l.Machine == r.Instance {
+	if l.Instance == r.Instance {
 		return
 	}
-	if l.Machine != "" {
-		l.Earlier = slices.DeleteFunc(slices.Clone(l.Earlier), func(name string) bool { return name == l.Machine })
-		l.Earlier = append(l.Earlier, l.Machine)
+	if l.Instance != "" {
+		l.Earlier = slices.DeleteFunc(slices.Clone(l.Earlier), func(name string) bool { return name == l.Instance })
+		l.Earlier = append(l.Earlier, l.Instance)
 		l.Earlier = l.Earlier[max(0, len(l.Earlier)-maxEarlier):]
 	}
 	if r.Instance != "" && slices.Contains(l.Earlier, r.Instance) {
 		l.Wait = max(l.Wait, r.ReturnDelay)
 	}
-	l.Machine = r.Instance
+	l.Instance = r.Instance
 }
 
 func (m *Machine) release(l Lease, r Request) Grant {
--- a/instance/duty/status.go
+++ b/instance/duty/status.go
@@ -48,7 +48,7 @@
 		g.View(func(_ uint64, m *control.Mux) {
 			l, _ := m.Machine(fence.Name).(*fence.Machine).Lease(Subject)
 			if l.Holder != "" {
-				st.Holder = l.Machine
+				st.Holder = l.Instance
 			}
 			state := m.Machine(usagestate.Name).(*usagestate.Machine)
 			st.Next, _ = state.Next()
