--- a/core/control/fence/fence.go
+++ b/core/control/fence/fence.go
@@ -72,7 +72,7 @@
 	// Instance is the holder's, Earlier lists those that held the lease before it, the
 	// latest last.
 	Instance string   `codec:"m,omitempty"`
-	Earlier []string `codec:"p,omitempty"`
+	PreviousInstances []string `codec:"p,omitempty"`
 	// Revision grows with each request that changes the lease.
 	Revision uint64 `codec:"r,omitempty"`
 }
@@ -180,11 +180,11 @@
 		return
 	}
 	if l.Instance != "" {
-		l.Earlier = slices.DeleteFunc(slices.Clone(l.Earlier), func(name string) bool { return name == l.Instance })
-		l.Earlier = append(l.Earlier, l.Instance)
-		l.Earlier = l.Earlier[max(0, len(l.Earlier)-maxEarlier):]
+		l.PreviousInstances = slices.DeleteFunc(slices.Clone(l.PreviousInstances), func(name string) bool { return name == l.Instance })
+		l.PreviousInstances = append(l.PreviousInstances, l.Instance)
+		l.PreviousInstances = l.PreviousInstances[max(0, len(l.PreviousInstances)-maxEarlier):]
 	}
-	if r.Instance != "" && slices.Contains(l.Earlier, r.Instance) {
+	if r.Instance != "" && slices.Contains(l.PreviousInstances, r.Instance) {
 		l.Wait = max(l.Wait, r.ReturnDelay)
 	}
 	l.Instance = r.Instance
--- a/core/control/fence/fence_test.go
+++ b/core/control/fence/fence_test.go
@@ -96,8 +96,8 @@
 		g.Expect(ask(m, time.Duration(i)*2*ttl, r).Granted).To(BeTrue())
 	}
 	l, _ := m.Lease("teku-hall")
-	g.Expect(len(l.Earlier)).To(BeNumerically("<", 50))
-	g.Expect(l.Earlier[len(l.Earlier)-1]).To(Equal("98"))
+	g.Expect(len(l.PreviousInstances)).To(BeNumerically("<", 50))
+	g.Expect(l.PreviousInstances[len(l.PreviousInstances)-1]).To(Equal("98"))
 }
 
 // A holder that was suspended for longer than its lease believes in it no more when it
--- a/core/control/fence/model_test.go
+++ b/core/control/fence/model_test.go
@@ -93,7 +93,7 @@
 	add(m.now, m.ahead, m.jumps, m.restarts, m.delays, m.releases)
 	k = append(k, m.lease.Holder...)
 	k = append(k, m.lease.Instance...)
-	add(len(m.lease.Earlier), steps(time.Unix(0, m.lease.Expires)), int(m.lease.Wait/time.Second))
+	add(len(m.lease.PreviousInstances), steps(time.Unix(0, m.lease.Expires)), int(m.lease.Wait/time.Second))
 	for i := range m.processes {
 		p := &m.processes[i]
 		add(-2, p.start, changed(uint64(p.seen)), p.since)
