--- a/core/control/fence/held.go
+++ b/core/control/fence/held.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Terms are what a holder counts with. All times here are of a clock that goes on while
+// Timing are what a holder counts with. All times here are of a clock that goes on while
 // the machine is suspended and is never stepped; by the monotonic clock, or by the time of
 // day, a holder that was suspended would believe in a lease that others have taken over.
-type Terms struct {
+type Timing struct {
 	// TTL is how long a lease lasts, Margin what is kept back of it for clocks that
 	// differ in rate.
 	TTL, Margin time.Duration
@@ -46,7 +46,7 @@
 // Take takes in a grant or a renewal. The lease counts from asked, the moment before the
 // request was sent, since the group can't have given it earlier. begun says that the number
 // is a new one, and alone that nobody else held the lease since this holder last did.
-func (h *Held) Take(asked, now time.Time, g *Grant, t Terms) (begun, alone bool) {
+func (h *Held) Take(asked, now time.Time, g *Grant, t Timing) (begun, alone bool) {
 	if g.Lease.Number != h.Number {
 		begun, alone = true, h.last != 0 && g.Lease.Number == h.last+1
 		h.Number, h.last = g.Lease.Number, g.Lease.Number
--- a/core/control/fence/model_test.go
+++ b/core/control/fence/model_test.go
@@ -20,7 +20,7 @@
 	modelJump = 3
 )
 
-var modelTerms = fence.Terms{TTL: modelTTL * time.Second}
+var modelTerms = fence.Timing{TTL: modelTTL * time.Second}
 
 func moment(step int) time.Time { return time.Unix(int64(step), 0) }
 
--- a/instance/order/lease.go
+++ b/instance/order/lease.go
@@ -16,8 +16,8 @@
 	return core.Authority{Checking: ok, Ignoring: ok && s.lease.IsSettled(now)}
 }
 
-func (s *Service) terms() fence.Terms {
-	return fence.Terms{TTL: s.cfg.TTL, Margin: s.cfg.Margin, Flight: s.cfg.Flight}
+func (s *Service) terms() fence.Timing {
+	return fence.Timing{TTL: s.cfg.TTL, Margin: s.cfg.Margin, Flight: s.cfg.Flight}
 }
 
 // tend renews the lease while there are orders to give, takes it when the first
