--- a/core/control/fence/fence_test.go
+++ b/core/control/fence/fence_test.go
@@ -106,7 +106,7 @@
 	g := NewWithT(t)
 	var h fence.Held
 	now := time.Unix(100, 0)
-	terms := fence.Timing{TTL: ttl, Margin: time.Second, Flight: 2 * time.Second}
+	terms := fence.Timing{TTL: ttl, Margin: time.Second, MaxEffectDelay: 2 * time.Second}
 	g.Expect(h.Valid(now)).To(BeFalse())
 	begun, alone := h.Take(now, now.Add(3*time.Second), &fence.Grant{Lease: fence.Lease{Number: 4}, Wait: 5 * time.Second}, terms)
 	g.Expect([]bool{begun, alone}).To(Equal([]bool{true, false}))
--- a/core/control/fence/held.go
+++ b/core/control/fence/held.go
@@ -9,9 +9,9 @@
 	// TTL is how long a lease lasts, Margin what is kept back of it for clocks that
 	// differ in rate.
 	TTL, Margin time.Duration
-	// Flight is the longest time that a call may take to have its effect after its bytes
+	// MaxEffectDelay is the longest time that a call may take to have its effect after its bytes
 	// have arrived.
-	Flight time.Duration
+	MaxEffectDelay time.Duration
 }
 
 // Held is a holder's own view of its lease. The zero Held is none.
@@ -52,7 +52,7 @@
 		h.Number, h.last = g.Lease.Number, g.Lease.Number
 		h.Settled = now
 		if g.Wait > 0 {
-			h.Settled = now.Add(g.Wait + t.Flight)
+			h.Settled = now.Add(g.Wait + t.MaxEffectDelay)
 		}
 	}
 	h.Until = asked.Add(t.TTL - t.Margin)
--- a/instance/duty/duty.go
+++ b/instance/duty/duty.go
@@ -103,7 +103,7 @@
 // terms are those of the lease.
 func (c *Config) terms() fence.Timing {
 	ttl := c.Lease / 2
-	return fence.Timing{TTL: ttl, Margin: ttl / marginPart, Flight: flight}
+	return fence.Timing{TTL: ttl, Margin: ttl / marginPart, MaxEffectDelay: flight}
 }
 
 const (
