--- a/core/control/fence/held.go
+++ b/core/control/fence/held.go
@@ -21,8 +21,8 @@
 	// Until is the end of the lease as the holder may count on it, Renew when it is to
 	// be renewed.
 	Until, Renew time.Time
-	// Settled is when no call of an earlier holder can have an effect any more.
-	Settled time.Time
+	// SettledAt is when no call of an earlier holder can have an effect any more.
+	SettledAt time.Time
 	// last is the number that this holder had last.
 	last uint64
 }
@@ -31,7 +31,7 @@
 func (h *Held) Valid(now time.Time) bool { return h.Number > 0 && now.Before(h.Until) }
 
 // IsSettled reports whether calls may go to those who do not check the number.
-func (h *Held) IsSettled(now time.Time) bool { return h.Number > 0 && !now.Before(h.Settled) }
+func (h *Held) IsSettled(now time.Time) bool { return h.Number > 0 && !now.Before(h.SettledAt) }
 
 // Expire drops the lease if it is over.
 func (h *Held) Expire(now time.Time) {
@@ -41,7 +41,7 @@
 }
 
 // Drop ends the lease on the holder's side.
-func (h *Held) Drop() { h.Number, h.Settled = 0, time.Time{} }
+func (h *Held) Drop() { h.Number, h.SettledAt = 0, time.Time{} }
 
 // Take takes in a grant or a renewal. The lease counts from asked, the moment before the
 // request was sent, since the group can't have given it earlier. begun says that the number
@@ -50,9 +50,9 @@
 	if g.Lease.Number != h.Number {
 		begun, alone = true, h.last != 0 && g.Lease.Number == h.last+1
 		h.Number, h.last = g.Lease.Number, g.Lease.Number
-		h.Settled = now
+		h.SettledAt = now
 		if g.Wait > 0 {
-			h.Settled = now.Add(g.Wait + t.MaxEffectDelay)
+			h.SettledAt = now.Add(g.Wait + t.MaxEffectDelay)
 		}
 	}
 	h.Until = asked.Add(t.TTL - t.Margin)
--- a/core/control/fence/model_test.go
+++ b/core/control/fence/model_test.go
@@ -98,7 +98,7 @@
 		p := &m.processes[i]
 		add(-2, p.start, changed(uint64(p.seen)), p.since)
 		if p.held.Number > 0 {
-			add(number(p.held.Number), steps(p.held.Until), steps(p.held.Renew), steps(p.held.Settled))
+			add(number(p.held.Number), steps(p.held.Until), steps(p.held.Renew), steps(p.held.SettledAt))
 		}
 		message(p.request)
 	}
--- a/instance/order/lease.go
+++ b/instance/order/lease.go
@@ -25,7 +25,7 @@
 // settled yet is kept: the next would have to wait all over again.
 func (s *Service) tend(now time.Time) {
 	s.lease.Expire(now)
-	wanted := now.Sub(later(s.active, s.lease.Settled)) < s.cfg.Keep
+	wanted := now.Sub(later(s.active, s.lease.SettledAt)) < s.cfg.Keep
 	switch {
 	case s.asking || now.Before(s.askAt):
 	case wanted && (s.lease.Number == 0 || !now.Before(s.lease.Renew)):
@@ -63,7 +63,7 @@
 func (s *Service) acquireRequest(now time.Time) fence.Request {
 	return fence.Request{
 		Verb: fence.Acquire, Subject: s.cfg.Domain, Holder: s.holder, TTL: s.cfg.TTL,
-		WaitDone: s.lease.Number > 0 && !now.Before(s.lease.Settled),
+		WaitDone: s.lease.Number > 0 && !now.Before(s.lease.SettledAt),
 	}
 }
 
@@ -127,5 +127,5 @@
 		s.domain.Begin(now, g.Lease.Number == 1)
 		s.forget()
 	}
-	s.cfg.Log.Info().Uint64("fence", s.lease.Number).Dur("wait", s.lease.Settled.Sub(now)).Msg("this instance orders the domain's engines")
+	s.cfg.Log.Info().Uint64("fence", s.lease.Number).Dur("wait", s.lease.SettledAt.Sub(now)).Msg("this instance orders the domain's engines")
 }
--- a/instance/order/order.go
+++ b/instance/order/order.go
@@ -223,6 +223,6 @@
 	}
 	st.Models, st.Engines = d.Models, d.Engines
 	if s.lease.Valid(now) {
-		st.Fence, st.Until, st.Settled = s.lease.Number, s.lease.Until, s.lease.Settled
+		st.Fence, st.Until, st.Settled = s.lease.Number, s.lease.Until, s.lease.SettledAt
 	}
 }
