--- a/core/control/fence/held.go
+++ b/core/control/fence/held.go
@@ -18,9 +18,9 @@
 type Held struct {
 	// Number is the fencing number, zero without a lease.
 	Number uint64
-	// Until is the end of the lease as the holder may count on it, Renew when it is to
+	// Until is the end of the lease as the holder may count on it, RenewAt when it is to
 	// be renewed.
-	Until, Renew time.Time
+	Until, RenewAt time.Time
 	// SettledAt is when no call of an earlier holder can have an effect any more.
 	SettledAt time.Time
 	// last is the number that this holder had last.
@@ -56,6 +56,6 @@
 		}
 	}
 	h.Until = asked.Add(t.TTL - t.Margin)
-	h.Renew = asked.Add(t.TTL / 3)
+	h.RenewAt = asked.Add(t.TTL / 3)
 	return begun, alone
 }
--- a/core/control/fence/model_test.go
+++ b/core/control/fence/model_test.go
@@ -98,7 +98,7 @@
 		p := &m.processes[i]
 		add(-2, p.start, changed(uint64(p.seen)), p.since)
 		if p.held.Number > 0 {
-			add(number(p.held.Number), steps(p.held.Until), steps(p.held.Renew), steps(p.held.SettledAt))
+			add(number(p.held.Number), steps(p.held.Until), steps(p.held.RenewAt), steps(p.held.SettledAt))
 		}
 		message(p.request)
 	}
@@ -253,7 +253,7 @@
 func (m *model) asks(i int) (list []*model) {
 	p := &m.processes[i]
 	at := moment(m.now)
-	renews := p.held.Valid(at) && !at.Before(p.held.Renew)
+	renews := p.held.Valid(at) && !at.Before(p.held.RenewAt)
 	switch {
 	case p.request == nil && (renews || p.held.Number == 0 && m.free(p)):
 		list = append(list, m.step(func(n *model) {
--- a/instance/duty/lease.go
+++ b/instance/duty/lease.go
@@ -47,7 +47,7 @@
 		s.giveUp(now, g)
 		return
 	}
-	if !now.Before(s.lease.Renew) {
+	if !now.Before(s.lease.RenewAt) {
 		s.ask(g, s.acquireRequest(now))
 	}
 }
--- a/instance/order/lease.go
+++ b/instance/order/lease.go
@@ -28,7 +28,7 @@
 	wanted := now.Sub(later(s.active, s.lease.SettledAt)) < s.cfg.Keep
 	switch {
 	case s.asking || now.Before(s.askAt):
-	case wanted && (s.lease.Number == 0 || !now.Before(s.lease.Renew)):
+	case wanted && (s.lease.Number == 0 || !now.Before(s.lease.RenewAt)):
 		s.ask(s.acquireRequest(now), s.granted)
 	case !wanted && s.lease.Number > 0 && !s.uncertain(now):
 		s.giveUp()
