--- a/core/control/fence/fence_test.go
+++ b/core/control/fence/fence_test.go
@@ -108,7 +108,7 @@
 	now := time.Unix(100, 0)
 	terms := fence.Timing{TTL: ttl, Margin: time.Second, MaxEffectDelay: 2 * time.Second}
 	g.Expect(h.Valid(now)).To(BeFalse())
-	begun, alone := h.Take(now, now.Add(3*time.Second), &fence.Grant{Lease: fence.Lease{Number: 4}, Wait: 5 * time.Second}, terms)
+	begun, alone := h.Update(now, now.Add(3*time.Second), &fence.Grant{Lease: fence.Lease{Number: 4}, Wait: 5 * time.Second}, terms)
 	g.Expect([]bool{begun, alone}).To(Equal([]bool{true, false}))
 	g.Expect(h.Valid(now.Add(ttl - time.Second - 1))).To(BeTrue())
 	g.Expect(h.Valid(now.Add(ttl - time.Second))).To(BeFalse())
@@ -116,7 +116,7 @@
 	g.Expect(h.IsSettled(now.Add(10 * time.Second))).To(BeTrue())
 	h.Expire(now.Add(time.Hour))
 	g.Expect(h.Number).To(BeZero())
-	begun, alone = h.Take(now.Add(time.Hour), now.Add(time.Hour), &fence.Grant{Lease: fence.Lease{Number: 5}}, terms)
+	begun, alone = h.Update(now.Add(time.Hour), now.Add(time.Hour), &fence.Grant{Lease: fence.Lease{Number: 5}}, terms)
 	g.Expect([]bool{begun, alone}).To(Equal([]bool{true, true}))
 }
 
--- a/core/control/fence/held.go
+++ b/core/control/fence/held.go
@@ -43,10 +43,10 @@
 // Drop ends the lease on the holder's side.
 func (h *Held) Drop() { h.Number, h.SettledAt = 0, time.Time{} }
 
-// Take takes in a grant or a renewal. The lease counts from asked, the moment before the
+// Update takes in a grant or a renewal. The lease counts from asked, the moment before the
 // request was sent, since the group can't have given it earlier. begun says that the number
 // is a new one, and alone that nobody else held the lease since this holder last did.
-func (h *Held) Take(asked, now time.Time, g *Grant, t Timing) (begun, alone bool) {
+func (h *Held) Update(asked, now time.Time, g *Grant, t Timing) (begun, alone bool) {
 	if g.Lease.Number != h.Number {
 		begun, alone = true, h.last != 0 && g.Lease.Number == h.last+1
 		h.Number, h.last = g.Lease.Number, g.Lease.Number
--- a/core/control/fence/model_test.go
+++ b/core/control/fence/model_test.go
@@ -186,7 +186,7 @@
 	r := p.request
 	p.request = nil
 	if r.grant.Granted {
-		p.held.Take(moment(r.asked), moment(m.now), &r.grant, modelTerms)
+		p.held.Update(moment(r.asked), moment(m.now), &r.grant, modelTerms)
 		return
 	}
 	p.held.Drop()
--- a/instance/duty/lease.go
+++ b/instance/duty/lease.go
@@ -174,7 +174,7 @@
 
 // granted takes a lease or its renewal.
 func (s *Service) granted(asked, now time.Time, grant *fence.Grant) {
-	begun, _ := s.lease.Take(asked, now, grant, s.cfg.terms())
+	begun, _ := s.lease.Update(asked, now, grant, s.cfg.terms())
 	if begun {
 		s.cfg.Log.Info().Str("event", "duties_held").Uint64("fence", s.lease.Number).Dur("wait", s.lease.SettledAt.Sub(now)).
 			Dur("left", s.lease.Until.Sub(now)).Msg("this instance holds the duties")
--- a/instance/order/lease.go
+++ b/instance/order/lease.go
@@ -119,7 +119,7 @@
 // the beginning of a term for as long as that one counted on its lease and their flight
 // takes; engines that check the number refuse them, the others are left alone until then.
 func (s *Service) granted(asked, now time.Time, g fence.Grant) {
-	begun, alone := s.lease.Take(asked, now, &g, s.terms())
+	begun, alone := s.lease.Update(asked, now, &g, s.terms())
 	if !begun {
 		return
 	}
