--- a/core/control/fence/fence_test.go
+++ b/core/control/fence/fence_test.go
@@ -104,7 +104,7 @@
 // goes on, and the lease counts from before the request, not from the answer.
 func TestTheHoldersSide(t *testing.T) {
 	g := NewWithT(t)
-	var h fence.Held
+	var h fence.HeldLease
 	now := time.Unix(100, 0)
 	terms := fence.Timing{TTL: ttl, Margin: time.Second, MaxEffectDelay: 2 * time.Second}
 	g.Expect(h.Valid(now)).To(BeFalse())
--- a/core/control/fence/held.go
+++ b/core/control/fence/held.go
@@ -14,8 +14,8 @@
 	MaxEffectDelay time.Duration
 }
 
-// Held is a holder's own view of its lease. The zero Held is none.
-type Held struct {
+// HeldLease is a holder's own view of its lease. The zero HeldLease is none.
+type HeldLease struct {
 	// Number is the fencing number, zero without a lease.
 	Number uint64
 	// Until is the end of the lease as the holder may count on it, RenewAt when it is to
@@ -28,25 +28,25 @@
 }
 
 // Valid reports whether the lease covers a call that is sent now.
-func (h *Held) Valid(now time.Time) bool { return h.Number > 0 && now.Before(h.Until) }
+func (h *HeldLease) Valid(now time.Time) bool { return h.Number > 0 && now.Before(h.Until) }
 
 // IsSettled reports whether calls may go to those who do not check the number.
-func (h *Held) IsSettled(now time.Time) bool { return h.Number > 0 && !now.Before(h.SettledAt) }
+func (h *HeldLease) IsSettled(now time.Time) bool { return h.Number > 0 && !now.Before(h.SettledAt) }
 
 // Expire drops the lease if it is over.
-func (h *Held) Expire(now time.Time) {
+func (h *HeldLease) Expire(now time.Time) {
 	if h.Number > 0 && !now.Before(h.Until) {
 		h.Drop()
 	}
 }
 
 // Drop ends the lease on the holder's side.
-func (h *Held) Drop() { h.Number, h.SettledAt = 0, time.Time{} }
+func (h *HeldLease) Drop() { h.Number, h.SettledAt = 0, time.Time{} }
 
 // Update takes in a grant or a renewal. The lease counts from asked, the moment before the
 // request was sent, since the group can't have given it earlier. begun says that the number
 // is a new one, and alone that nobody else held the lease since this holder last did.
-func (h *Held) Update(asked, now time.Time, g *Grant, t Timing) (begun, alone bool) {
+func (h *HeldLease) Update(asked, now time.Time, g *Grant, t Timing) (begun, alone bool) {
 	if g.Lease.Number != h.Number {
 		begun, alone = true, h.last != 0 && g.Lease.Number == h.last+1
 		h.Number, h.last = g.Lease.Number, g.Lease.Number
--- a/core/control/fence/model_test.go
+++ b/core/control/fence/model_test.go
@@ -37,7 +37,7 @@
 type process struct {
 	machine string
 	start   int
-	held    fence.Held
+	held    fence.HeldLease
 	// seen is the revision of the lease that it looked at, since a step.
 	seen, since int
 	request     *request
--- a/instance/duty/duty.go
+++ b/instance/duty/duty.go
@@ -131,7 +131,7 @@
 	draining, released, started atomic.Bool
 
 	// What follows is owned by the loop.
-	lease   fence.Held
+	lease   fence.HeldLease
 	tenure  tenure
 	seat    seat
 	limiter *rate.Limiter
--- a/instance/order/order.go
+++ b/instance/order/order.go
@@ -134,7 +134,7 @@
 	// What follows is owned by the loop.
 	domain  *core.Domain
 	doc     *intent.Document
-	lease   fence.Held
+	lease   fence.HeldLease
 	asking  bool
 	askAt   time.Time
 	active  time.Time // when an order was due last
--- a/instance/order/send.go
+++ b/instance/order/send.go
@@ -61,7 +61,7 @@
 // notFollowed takes in an order that failed. When it may have arrived, or may still
 // arrive until the end of its lease, it counts as under way until the engine has
 // been read, and the lease is not given up before it is over.
-func (s *Service) notFollowed(now time.Time, o core.Order, e *engine, l fence.Held, st *core.State, a *upstream.Answer, err error) {
+func (s *Service) notFollowed(now time.Time, o core.Order, e *engine, l fence.HeldLease, st *core.State, a *upstream.Answer, err error) {
 	known := a != nil && a.Status < fasthttp.StatusInternalServerError
 	if !known && upstream.EvidenceOf(err) == upstream.Unknown {
 		s.late = later(s.late, l.Until.Add(s.cfg.Flight))
@@ -83,7 +83,7 @@
 
 // superseded ends the lease under which an engine refused an order: it has seen a
 // greater number. The next lease has a greater one than this.
-func (s *Service) superseded(now time.Time, l fence.Held) {
+func (s *Service) superseded(now time.Time, l fence.HeldLease) {
 	switch {
 	case s.lease.Number != l.Number:
 	case s.uncertain(now) || s.asking:
