--- a/core/control/fence/fence.go
+++ b/core/control/fence/fence.go
@@ -1,7 +1,8 @@
-// Package fence is the sub-machine that issues fencing numbers: for each subject of
-// exclusive work one holder at a time under a lease, and with each new holder a greater
-// number. Those who check the number refuse calls of an earlier holder; for the others a
-// holder waits until no call of an earlier one can arrive any more (Grant.Wait).
+// Package fence is the replicated state machine that issues fencing numbers: for each subject of
+// exclusive work there is at most one holder at a time, under a lease, and each new holder
+// gets a greater number. Receivers that check the number reject calls of earlier holders. For
+// receivers that do not, a new holder waits until no call of an earlier one can arrive any
+// more (Grant.Wait).
 //
 // Held is the holder's own side of a lease.
 package fence
@@ -15,87 +16,87 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// Name is the name of the sub-machine.
+// Name is the name of the state machine.
 const Name = "fence"
 
-// MaxTTL bounds a lease, and with it how long a dead holder blocks the next.
+// MaxTTL is the longest lease, and so the longest time that a dead holder blocks its successor.
 const MaxTTL = time.Minute
 
-// Verb says what a Request wants.
+// Verb is the operation of a Request.
 type Verb string
 
-// The verbs of a Request.
+// Operations of a Request.
 const (
-	// Acquire takes or renews the lease.
+	// Acquire acquires or renews the lease.
 	Acquire Verb = "acquire"
-	// Release ends the lease of its holder.
+	// Release gives up the holder's lease.
 	Release Verb = "release"
 )
 
 // Request is the command.
 type Request struct {
 	Verb Verb `codec:"v"`
-	// Subject names the work that one holder does at a time.
+	// Subject names the exclusive work.
 	Subject string `codec:"d"`
-	// Holder names one start of one process: a process that was restarted has
-	// another one, since it does not know which calls it has under way.
+	// Holder identifies one run of a process. A restarted process uses a new one, since
+	// it does not know which of its earlier calls are still in flight.
 	Holder string `codec:"h"`
-	// Instance names where the process runs, and Return is how long a machine waits that
-	// held the subject before others did. Both may be left out.
-	Instance string        `codec:"m,omitempty"`
-	ReturnDelay  time.Duration `codec:"r,omitempty"`
-	// ExpiredRevision, if not zero, is the Revision that the lease has had for its whole TTL by
-	// the clock of whoever asks. If it still has it, the lease is over whatever the log's
-	// time says, and so for its holder, who counts from before its last renewal: there is
-	// nothing to wait for.
+	// Instance names the instance that the process runs on. ReturnDelay is how long that
+	// instance must wait if it held the lease before another one did. Both are optional.
+	Instance    string        `codec:"m,omitempty"`
+	ReturnDelay time.Duration `codec:"r,omitempty"`
+	// ExpiredRevision, if not zero, is the Revision that the lease has had for its whole TTL
+	// by the requester's clock. If the lease still has this revision, it has expired whatever
+	// the log's time says. It has expired for its holder too, which counts from before its
+	// last renewal, so the new holder need not wait for it.
 	ExpiredRevision uint64 `codec:"u,omitempty"`
-	// TTL is how long the lease lasts from the leader's time stamp.
+	// TTL is the duration of the lease, counted from the leader's timestamp.
 	TTL time.Duration `codec:"t"`
-	// WaitDone says that the holder has waited as its Grant asked for.
+	// WaitDone reports that the holder has completed the wait that its Grant required.
 	WaitDone bool `codec:"s"`
 }
 
 // Lease is the state of one subject.
 type Lease struct {
 	Subject string `codec:"d"`
-	// Number grows by one with each new holder and is never used again.
+	// Number is the fencing number. It grows by one with each new holder and is never reused.
 	Number uint64 `codec:"n"`
-	// Holder is empty when nobody holds the lease.
+	// Holder is empty while the lease is not held.
 	Holder string `codec:"h"`
-	// Expires is in nanoseconds since the Unix epoch, by the log's time.
+	// Expires is the end of the lease by the log's time, in nanoseconds since the Unix epoch.
 	Expires int64         `codec:"e"`
 	TTL     time.Duration `codec:"t"`
-	// Wait is what the holder still owes (see Grant.Wait). A successor inherits
-	// it: else a holder that releases at once would let the next one act while
-	// the last but one may still count on its lease.
+	// Wait is the wait that the holder has not yet confirmed (see Grant.Wait). A successor
+	// inherits it. Otherwise, if a holder released the lease at once, its successor could
+	// act while the holder before both may still rely on its own lease.
 	Wait time.Duration `codec:"w"`
-	// Instance is the holder's, Earlier lists those that held the lease before it, the
-	// latest last.
-	Instance string   `codec:"m,omitempty"`
+	// Instance is the holder's instance. PreviousInstances lists the other instances that
+	// held the lease, the most recent last.
+	Instance          string   `codec:"m,omitempty"`
 	PreviousInstances []string `codec:"p,omitempty"`
-	// Revision grows with each request that changes the lease.
+	// Revision is incremented by each request that changes the lease.
 	Revision uint64 `codec:"r,omitempty"`
 }
 
-// maxEarlier bounds the machines that are remembered of a lease. A machine is forgotten
-// only after as many others have held it, which takes far longer than any Return.
-const maxEarlier = 32
+// maxPreviousInstances bounds Lease.PreviousInstances. An instance is dropped only after this
+// many others have held the lease, which takes far longer than any ReturnDelay.
+const maxPreviousInstances = 32
 
-// Grant is the result of a Request.
+// Grant is the result of a Request, granted or not.
 type Grant struct {
 	Granted bool  `codec:"g"`
 	Lease   Lease `codec:"l"`
-	// Wait is how long a new holder waits after the grant, by its own monotonic
-	// clock, before it gives orders to engines that ignore the number. It is the
-	// whole TTL of a lease that ran out without a release: the clocks of two
-	// leaders may differ, so that the log's time alone could end a lease while
-	// its holder still counts on it. The longest flight of an order comes on top.
+	// Wait is how long a new holder must wait after the grant, by its own monotonic clock,
+	// before it calls receivers that ignore the number. After a lease that expired without
+	// a release it is the full TTL of that lease: the clocks of two leaders may differ, so
+	// the log's time could end a lease while its holder still relies on it. The holder adds
+	// Timing.MaxEffectDelay.
 	Wait   time.Duration `codec:"w"`
 	Code   fault.Code    `codec:"c"`
 	Detail string        `codec:"x"`
 }
 
-// Err returns nil for a grant, and else fault.Conflict or fault.Invalid.
+// Err returns nil if the request was granted, and otherwise fault.Conflict or fault.Invalid.
 func (g Grant) Err() error {
 	if g.Granted {
 		return nil
@@ -108,7 +109,7 @@
 
 var _ control.Machine = (*Machine)(nil)
 
-// New returns a machine without leases.
+// New returns a Machine without leases.
 func New() *Machine { return &Machine{leases: map[string]Lease{}} }
 
 // Lease returns the lease of a subject.
@@ -120,7 +121,7 @@
 // Apply implements control.Machine.
 func (m *Machine) Apply(_ uint64, at time.Time, data []byte) []byte {
 	var r Request
-	g := Grant{Code: fault.Invalid, Detail: "the request does not decode"}
+	g := Grant{Code: fault.Invalid, Detail: "cannot decode the request"}
 	if control.Unmarshal(data, &r) == nil {
 		g = m.handle(r, at.UnixNano())
 	}
@@ -136,30 +137,30 @@
 	l.Subject = r.Subject
 	switch {
 	case r.Subject == "" || r.Holder == "":
-		return Grant{Code: fault.Invalid, Detail: "a subject and a holder are needed"}
+		return Grant{Code: fault.Invalid, Detail: "subject and holder are required"}
 	case r.Verb == Release:
 		return m.release(l, r)
 	case r.Verb != Acquire || r.TTL <= 0 || r.TTL > MaxTTL:
-		return Grant{Code: fault.Invalid, Detail: "acquire with a TTL above 0 and up to " + MaxTTL.String() + ", or release"}
+		return Grant{Code: fault.Invalid, Detail: "expected acquire with a TTL above 0 and up to " + MaxTTL.String() + ", or release"}
 	}
 	return m.acquire(l, r, at)
 }
 
-// acquire renews for the holder and else gives a new number. A holder whose
-// lease has run out gets a new number as well, though nobody else came between:
-// it has to learn that it acted without a lease.
+// acquire renews the lease for its current holder and otherwise grants it under a new
+// number. A holder whose lease has expired gets a new number even if nobody else held the
+// lease in between, so that it learns that it acted without a lease.
 func (m *Machine) acquire(l Lease, r Request, at int64) Grant {
-	seenOver := r.ExpiredRevision != 0 && r.ExpiredRevision == l.Revision && l.Holder != r.Holder
-	held := l.Holder != "" && at < l.Expires && !seenOver
+	observedExpired := r.ExpiredRevision != 0 && r.ExpiredRevision == l.Revision && l.Holder != r.Holder
+	held := l.Holder != "" && at < l.Expires && !observedExpired
 	if held && l.Holder != r.Holder {
 		return Grant{Code: fault.Conflict, Lease: l, Detail: "held by " + l.Holder}
 	}
 	if !held {
-		if l.Holder != "" && l.Holder != r.Holder && !seenOver {
+		if l.Holder != "" && l.Holder != r.Holder && !observedExpired {
 			l.Wait = max(l.Wait, l.TTL)
 		}
 		l.Number++
-		l.moveTo(r)
+		l.recordInstance(r)
 	} else if r.WaitDone {
 		l.Wait = 0
 	}
@@ -170,19 +171,19 @@
 	return Grant{Granted: true, Lease: l, Wait: l.Wait}
 }
 
-// moveTo notes on which machine the holder runs. Where the lease goes to and fro between
-// two machines faster than a call may take, those who look at who called last, and not at
-// the number, see the two act by turns, each with an order that the other one has replaced.
-// So a machine that held it before another one waits, also when its process has started
-// anew since and remembers nothing.
-func (l *Lease) moveTo(r Request) {
+// recordInstance records the holder's instance. If a lease alternates between two instances
+// faster than a call may take, receivers that look at the last caller instead of the number
+// see both act in turn, each with orders that the other has already replaced. Therefore an
+// instance that regains a lease from another one has to wait, even if its process has been
+// restarted since and remembers nothing.
+func (l *Lease) recordInstance(r Request) {
 	if l.Instance == r.Instance {
 		return
 	}
 	if l.Instance != "" {
 		l.PreviousInstances = slices.DeleteFunc(slices.Clone(l.PreviousInstances), func(name string) bool { return name == l.Instance })
 		l.PreviousInstances = append(l.PreviousInstances, l.Instance)
-		l.PreviousInstances = l.PreviousInstances[max(0, len(l.PreviousInstances)-maxEarlier):]
+		l.PreviousInstances = l.PreviousInstances[max(0, len(l.PreviousInstances)-maxPreviousInstances):]
 	}
 	if r.Instance != "" && slices.Contains(l.PreviousInstances, r.Instance) {
 		l.Wait = max(l.Wait, r.ReturnDelay)
--- a/core/control/fence/fence_test.go
+++ b/core/control/fence/fence_test.go
@@ -15,7 +15,7 @@
 
 const ttl = 10 * time.Second
 
-func ask(m *fence.Machine, at time.Duration, r fence.Request) fence.Grant {
+func apply(m *fence.Machine, at time.Duration, r fence.Request) fence.Grant {
 	if r.Subject == "" {
 		r.Subject = "teku-hall"
 	}
@@ -31,102 +31,102 @@
 	return fence.Request{Verb: fence.Acquire, Holder: holder, TTL: ttl}
 }
 
-// What a user would see: two instances give an engine opposite orders. What
-// happens: the issuer freezes, its lease runs out, another takes over, the first
-// wakes up. Cause: numbers that do not grow, or a successor that does not wait.
-func TestSuccessorHasAGreaterNumberAndWaits(t *testing.T) {
+// Guards against two instances giving an engine conflicting orders. A holder pauses, its
+// lease expires, another instance takes over, and the first one resumes. This goes wrong if
+// numbers do not increase or the successor does not wait.
+func TestSuccessorGetsGreaterNumberAndWaits(t *testing.T) {
 	g := NewWithT(t)
 	m := fence.New()
-	first := ask(m, 0, acquire("a"))
+	first := apply(m, 0, acquire("a"))
 	g.Expect(first.Granted).To(BeTrue())
 	g.Expect(first.Wait).To(BeZero())
-	g.Expect(ask(m, ttl-1, acquire("b")).Err()).To(MatchError(fault.New(fault.Conflict, "")))
-	second := ask(m, ttl, acquire("b"))
+	g.Expect(apply(m, ttl-1, acquire("b")).Err()).To(MatchError(fault.New(fault.Conflict, "")))
+	second := apply(m, ttl, acquire("b"))
 	g.Expect(second.Lease.Number).To(BeNumerically(">", first.Lease.Number))
 	g.Expect(second.Wait).To(Equal(ttl))
-	g.Expect(ask(m, ttl+1, acquire("a")).Granted).To(BeFalse())
+	g.Expect(apply(m, ttl+1, acquire("a")).Granted).To(BeFalse())
 
-	// b gives up without having waited: c owes the same wait.
-	g.Expect(ask(m, ttl+2, fence.Request{Verb: fence.Release, Holder: "b"}).Granted).To(BeTrue())
-	third := ask(m, ttl+3, acquire("c"))
+	// b releases the lease before its wait has ended, so c has to wait as long.
+	g.Expect(apply(m, ttl+2, fence.Request{Verb: fence.Release, Holder: "b"}).Granted).To(BeTrue())
+	third := apply(m, ttl+3, acquire("c"))
 	g.Expect(third.Wait).To(Equal(ttl))
-	settled := acquire("c")
-	settled.WaitDone = true
-	g.Expect(ask(m, ttl+4, settled).Wait).To(BeZero())
-	g.Expect(ask(m, ttl+5, fence.Request{Verb: fence.Release, Holder: "c"}).Granted).To(BeTrue())
-	g.Expect(ask(m, ttl+6, acquire("d")).Wait).To(BeZero())
+	waited := acquire("c")
+	waited.WaitDone = true
+	g.Expect(apply(m, ttl+4, waited).Wait).To(BeZero())
+	g.Expect(apply(m, ttl+5, fence.Request{Verb: fence.Release, Holder: "c"}).Granted).To(BeTrue())
+	g.Expect(apply(m, ttl+6, acquire("d")).Wait).To(BeZero())
 }
 
-// Two machines lose and take a lease by turns within a second. Each act has a greater
-// number than the one before, but the acts go to and fro faster than a call may take: who
-// is called sees the orders of both mixed. The machine that comes back has to wait, also
-// when its process is a new one, and after a snapshot.
-func TestAMachineThatComesBackWaits(t *testing.T) {
+// Two instances acquire and lose a lease in turn within a second. Each uses a greater number
+// than the one before, but they alternate faster than a call may take, so that the receiver
+// sees their orders interleaved. The instance that regains the lease has to wait, also if its
+// process has been restarted, and after a snapshot was restored.
+func TestInstanceThatRegainsLeaseWaits(t *testing.T) {
 	g := NewWithT(t)
 	m := fence.New()
-	take := func(at time.Duration, machine, start string) fence.Grant {
-		r := acquire(machine + "/" + start)
-		r.Instance, r.ReturnDelay = machine, 3*time.Second
-		grant := ask(m, at, r)
+	acquireOn := func(at time.Duration, instance, start string) fence.Grant {
+		r := acquire(instance + "/" + start)
+		r.Instance, r.ReturnDelay = instance, 3*time.Second
+		grant := apply(m, at, r)
 		g.Expect(grant.Granted).To(BeTrue())
 		return grant
 	}
-	give := func(at time.Duration, holder string) {
-		g.Expect(ask(m, at, fence.Request{Verb: fence.Release, Holder: holder}).Granted).To(BeTrue())
+	release := func(at time.Duration, holder string) {
+		g.Expect(apply(m, at, fence.Request{Verb: fence.Release, Holder: holder}).Granted).To(BeTrue())
 	}
-	g.Expect(take(0, "a", "1").Wait).To(BeZero())
-	give(1, "a/1")
-	g.Expect(take(2, "a", "2").Wait).To(BeZero(), "nobody else held it")
-	give(3, "a/2")
-	g.Expect(take(4, "b", "1").Wait).To(BeZero(), "a released it, and b has not held it")
-	give(5, "b/1")
+	g.Expect(acquireOn(0, "a", "1").Wait).To(BeZero())
+	release(1, "a/1")
+	g.Expect(acquireOn(2, "a", "2").Wait).To(BeZero(), "nobody else held it")
+	release(3, "a/2")
+	g.Expect(acquireOn(4, "b", "1").Wait).To(BeZero(), "a released it, and b has not held it")
+	release(5, "b/1")
 	b, err := m.Snapshot()
 	g.Expect(err).NotTo(HaveOccurred())
 	m = fence.New()
 	g.Expect(m.Restore(b)).To(Succeed())
-	g.Expect(take(6, "a", "3").Wait).To(Equal(3 * time.Second))
+	g.Expect(acquireOn(6, "a", "3").Wait).To(Equal(3 * time.Second))
 }
 
-func TestMachinesThatAreRememberedAreBounded(t *testing.T) {
+func TestPreviousInstancesAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	m := fence.New()
 	for i := range 100 {
 		r := acquire(fmt.Sprint(i))
 		r.Instance = r.Holder
-		g.Expect(ask(m, time.Duration(i)*2*ttl, r).Granted).To(BeTrue())
+		g.Expect(apply(m, time.Duration(i)*2*ttl, r).Granted).To(BeTrue())
 	}
 	l, _ := m.Lease("teku-hall")
 	g.Expect(len(l.PreviousInstances)).To(BeNumerically("<", 50))
 	g.Expect(l.PreviousInstances[len(l.PreviousInstances)-1]).To(Equal("98"))
 }
 
-// A holder that was suspended for longer than its lease believes in it no more when it
-// goes on, and the lease counts from before the request, not from the answer.
-func TestTheHoldersSide(t *testing.T) {
+// A holder that was suspended for longer than its lease must not rely on it after it resumes.
+// The lease counts from before the request, not from the answer.
+func TestHeldLease(t *testing.T) {
 	g := NewWithT(t)
-	var h fence.HeldLease
+	var lease fence.HeldLease
 	now := time.Unix(100, 0)
-	terms := fence.Timing{TTL: ttl, Margin: time.Second, MaxEffectDelay: 2 * time.Second}
-	g.Expect(h.Valid(now)).To(BeFalse())
-	begun, alone := h.Update(now, now.Add(3*time.Second), &fence.Grant{Lease: fence.Lease{Number: 4}, Wait: 5 * time.Second}, terms)
-	g.Expect([]bool{begun, alone}).To(Equal([]bool{true, false}))
-	g.Expect(h.Valid(now.Add(ttl - time.Second - 1))).To(BeTrue())
-	g.Expect(h.Valid(now.Add(ttl - time.Second))).To(BeFalse())
-	g.Expect(h.IsSettled(now.Add(10*time.Second - 1))).To(BeFalse())
-	g.Expect(h.IsSettled(now.Add(10 * time.Second))).To(BeTrue())
-	h.Expire(now.Add(time.Hour))
-	g.Expect(h.Number).To(BeZero())
-	begun, alone = h.Update(now.Add(time.Hour), now.Add(time.Hour), &fence.Grant{Lease: fence.Lease{Number: 5}}, terms)
-	g.Expect([]bool{begun, alone}).To(Equal([]bool{true, true}))
+	timing := fence.Timing{TTL: ttl, Margin: time.Second, MaxEffectDelay: 2 * time.Second}
+	g.Expect(lease.Valid(now)).To(BeFalse())
+	newNumber, uninterrupted := lease.Update(now, now.Add(3*time.Second), &fence.Grant{Lease: fence.Lease{Number: 4}, Wait: 5 * time.Second}, timing)
+	g.Expect([]bool{newNumber, uninterrupted}).To(Equal([]bool{true, false}))
+	g.Expect(lease.Valid(now.Add(ttl - time.Second - 1))).To(BeTrue())
+	g.Expect(lease.Valid(now.Add(ttl - time.Second))).To(BeFalse())
+	g.Expect(lease.IsSettled(now.Add(10*time.Second - 1))).To(BeFalse())
+	g.Expect(lease.IsSettled(now.Add(10 * time.Second))).To(BeTrue())
+	lease.Expire(now.Add(time.Hour))
+	g.Expect(lease.Number).To(BeZero())
+	newNumber, uninterrupted = lease.Update(now.Add(time.Hour), now.Add(time.Hour), &fence.Grant{Lease: fence.Lease{Number: 5}}, timing)
+	g.Expect([]bool{newNumber, uninterrupted}).To(Equal([]bool{true, true}))
 }
 
-func TestHolderThatRanOutGetsANewNumber(t *testing.T) {
+func TestExpiredHolderGetsNewNumber(t *testing.T) {
 	g := NewWithT(t)
 	m := fence.New()
-	g.Expect(ask(m, 0, acquire("a")).Lease.Number).To(Equal(uint64(1)))
-	g.Expect(ask(m, 1, acquire("a")).Lease.Number).To(Equal(uint64(1)))
-	g.Expect(ask(m, 2*ttl, acquire("a")).Lease.Number).To(Equal(uint64(2)))
-	g.Expect(ask(m, 0, fence.Request{Verb: fence.Acquire, Holder: "a"}).Err()).To(MatchError(fault.New(fault.Invalid, "")))
+	g.Expect(apply(m, 0, acquire("a")).Lease.Number).To(Equal(uint64(1)))
+	g.Expect(apply(m, 1, acquire("a")).Lease.Number).To(Equal(uint64(1)))
+	g.Expect(apply(m, 2*ttl, acquire("a")).Lease.Number).To(Equal(uint64(2)))
+	g.Expect(apply(m, 0, fence.Request{Verb: fence.Acquire, Holder: "a"}).Err()).To(MatchError(fault.New(fault.Invalid, "")))
 }
 
 func TestNumbersGrowAcrossSnapshots(t *testing.T) {
@@ -141,7 +141,7 @@
 			if rapid.Bool().Draw(t, "release") {
 				r.Verb = fence.Release
 			}
-			g := ask(m, now, r)
+			g := apply(m, now, r)
 			if g.Granted && r.Verb == fence.Acquire {
 				if g.Lease.Number < number || g.Lease.Number == number && r.Holder != holder {
 					t.Fatalf("number %d for %s after %d for %s", g.Lease.Number, r.Holder, number, holder)
--- a/core/control/fence/model_test.go
+++ b/core/control/fence/model_test.go
@@ -10,66 +10,69 @@
 	"github.com/comfreyladder/comfreyladder/core/control/fence"
 )
 
-// The model's times are in steps of a second. A machine may come back after twice the time
-// that a lease lasts, as in instance/duty.
+// The model's times are in steps of one second. An instance may act again after a return
+// delay of twice the TTL, as in instance/duty.
 const (
-	modelTTL    = 2
-	modelReturn = 2 * modelTTL
-	modelEnd    = 7
-	// modelJump is by how much the log's time may be off, since another member leads.
-	modelJump = 3
+	modelTTL         = 2
+	modelReturnDelay = 2 * modelTTL
+	modelSteps       = 7
+	// modelSkew is the largest error of the log's time after a change of leader.
+	modelSkew = 3
 )
 
-var modelTerms = fence.Timing{TTL: modelTTL * time.Second}
+var modelTiming = fence.Timing{TTL: modelTTL * time.Second}
 
-func moment(step int) time.Time { return time.Unix(int64(step), 0) }
+func timeOf(step int) time.Time { return time.Unix(int64(step), 0) }
 
-// request is a request for the lease. It is committed at once unless it is held up on its
-// way; its answer comes at any time.
+// request is a request for the lease. It is committed at once unless it is delayed in
+// transit. Its answer may arrive at any time.
 type request struct {
-	asked     int
+	sentAt    int
 	body      fence.Request
 	committed bool
 	grant     fence.Grant
 }
 
-// process is one start of a process on a machine.
+// process is one run of a process on an instance.
 type process struct {
-	machine string
-	start   int
-	held    fence.HeldLease
-	// seen is the revision of the lease that it looked at, since a step.
-	seen, since int
-	request     *request
+	instance string
+	start    int
+	lease    fence.HeldLease
+	// seenRevision is the lease revision that the process last read, seenAt the step in which
+	// it first read that one.
+	seenRevision, seenAt int
+	request              *request
 }
 
-func (p *process) holder() string { return fmt.Sprint(p.machine, p.start) }
+func (p *process) holder() string { return fmt.Sprint(p.instance, p.start) }
 
-// call is a call that has arrived.
-type call struct {
-	machine string
-	number  uint64
-	at      int
+// callRecord is a callRecord that has arrived.
+type callRecord struct {
+	instance string
+	number   uint64
+	at       int
 }
 
-// model is one state: all that happens next depends on nothing else.
+// model is one state of the model. The successors depend on nothing else.
 type model struct {
-	now, ahead int
-	// jumps of the log's time, restarts, requests that are held up and releases may still come.
-	jumps, restarts, delays, releases int
-	// hasty processes ask for the lease without a look at how long it has not changed.
-	hasty     bool
-	state     string
-	lease     fence.Lease
-	processes [2]process
-	// late is a request of a process that has been killed, which still arrives.
-	late *request
-	// calls are the latest of each turn of a machine.
-	calls []call
+	now, skew int
+	// How many changes of the log's time, restarts, delayed requests and releases may still occur.
+	skewChanges, restarts, delays, releases int
+	// unobserved means that processes request the lease without regard to how long its
+	// revision has stayed the same.
+	unobserved bool
+	state      string
+	lease      fence.Lease
+	processes  [2]process
+	// orphan is a request that is still in transit from a process that was killed.
+	orphan *request
+	// calls holds the latest call of each of the last turns. A turn is a run of calls by one
+	// instance.
+	calls []callRecord
 }
 
-// key tells states apart that differ in what may come: numbers and revisions count by how far
-// they are from the lease's, and what lies in the past by that alone.
+// key returns the same key for states with the same future behaviour. Numbers and revisions
+// are relative to those of the lease, and all times in the past are equal.
 func (m *model) key() string {
 	k := make([]byte, 0, 64)
 	add := func(values ...int) {
@@ -77,7 +80,7 @@
 			k = append(k, byte(v+64))
 		}
 	}
-	steps := func(t time.Time) int { return max(0, int(t.Sub(moment(m.now))/time.Second)) }
+	steps := func(t time.Time) int { return max(0, int(t.Sub(timeOf(m.now))/time.Second)) }
 	number := func(n uint64) int { return int(int64(n) - int64(m.lease.Number)) }
 	changed := func(revision uint64) int { return min(1, int(m.lease.Revision-revision)) }
 	message := func(r *request) {
@@ -85,27 +88,27 @@
 			add(-1)
 			return
 		}
-		add(r.asked, int(r.body.Holder[1]), flag(r.body.WaitDone), changed(r.body.ExpiredRevision), flag(r.committed), flag(r.grant.Granted))
+		add(r.sentAt, int(r.body.Holder[1]), flag(r.body.WaitDone), changed(r.body.ExpiredRevision), flag(r.committed), flag(r.grant.Granted))
 		if r.grant.Granted {
 			add(number(r.grant.Lease.Number), int(r.grant.Wait/time.Second))
 		}
 	}
-	add(m.now, m.ahead, m.jumps, m.restarts, m.delays, m.releases)
+	add(m.now, m.skew, m.skewChanges, m.restarts, m.delays, m.releases)
 	k = append(k, m.lease.Holder...)
 	k = append(k, m.lease.Instance...)
 	add(len(m.lease.PreviousInstances), steps(time.Unix(0, m.lease.Expires)), int(m.lease.Wait/time.Second))
 	for i := range m.processes {
 		p := &m.processes[i]
-		add(-2, p.start, changed(uint64(p.seen)), p.since)
-		if p.held.Number > 0 {
-			add(number(p.held.Number), steps(p.held.Until), steps(p.held.RenewAt), steps(p.held.SettledAt))
+		add(-2, p.start, changed(uint64(p.seenRevision)), p.seenAt)
+		if p.lease.Number > 0 {
+			add(number(p.lease.Number), steps(p.lease.Until), steps(p.lease.RenewAt), steps(p.lease.SettledAt))
 		}
 		message(p.request)
 	}
-	message(m.late)
+	message(m.orphan)
 	for _, c := range m.calls {
-		k = append(k, c.machine...)
-		add(number(c.number), max(c.at, m.now-modelReturn))
+		k = append(k, c.instance...)
+		add(number(c.number), max(c.at, m.now-modelReturnDelay))
 	}
 	return string(k)
 }
@@ -123,7 +126,7 @@
 	return &n
 }
 
-// apply commits a request by the log's time.
+// apply commits a request at the log's current time.
 func (m *model) apply(r request) *request {
 	machine := fence.New()
 	if m.state != "" {
@@ -132,7 +135,7 @@
 		}
 	}
 	data, _ := control.Marshal(&r.body)
-	if err := control.Unmarshal(machine.Apply(1, moment(m.now+m.ahead+modelJump), data), &r.grant); err != nil {
+	if err := control.Unmarshal(machine.Apply(1, timeOf(m.now+m.skew+modelSkew), data), &r.grant); err != nil {
 		panic(err)
 	}
 	state, err := machine.Snapshot()
@@ -145,67 +148,68 @@
 	return &r
 }
 
-// tick lets time pass. A process looks at its lease and at the group's at once: one that
-// looks later is only more careful.
-func (m *model) tick() {
+// advance moves time forward by one step. Each process checks its own lease and reads the
+// group's in every step; one that did so later would only be more cautious.
+func (m *model) advance() {
 	m.now++
 	for i := range m.processes {
 		p := &m.processes[i]
 		if p.request == nil {
-			p.held.Expire(moment(m.now))
+			p.lease.Expire(timeOf(m.now))
 		}
-		if p.seen != int(m.lease.Revision) {
-			p.seen, p.since = int(m.lease.Revision), m.now
+		if p.seenRevision != int(m.lease.Revision) {
+			p.seenRevision, p.seenAt = int(m.lease.Revision), m.now
 		}
 	}
 }
 
-// free is how a member judges that it may ask for the lease.
-func (m *model) free(p *process) bool {
-	return m.hasty || m.lease.Holder == "" || p.seen == int(m.lease.Revision) && m.now-p.since > modelTTL
+// mayAsk reports whether a process may request the lease, as members decide it.
+func (m *model) mayAsk(p *process) bool {
+	return m.unobserved || m.lease.Holder == "" || p.seenRevision == int(m.lease.Revision) && m.now-p.seenAt > modelTTL
 }
 
-func (m *model) ask(p *process) {
-	p.request = &request{asked: m.now, body: fence.Request{
-		Verb: fence.Acquire, Subject: "s", Holder: p.holder(), Instance: p.machine, ReturnDelay: modelReturn * time.Second,
-		TTL: modelTerms.TTL, WaitDone: p.held.IsSettled(moment(m.now)),
+func (m *model) sendRequest(p *process) {
+	p.request = &request{sentAt: m.now, body: fence.Request{
+		Verb: fence.Acquire, Subject: "s", Holder: p.holder(), Instance: p.instance, ReturnDelay: modelReturnDelay * time.Second,
+		TTL: modelTiming.TTL, WaitDone: p.lease.IsSettled(timeOf(m.now)),
 	}}
-	if !m.hasty {
-		p.request.body.ExpiredRevision = uint64(p.seen)
+	if !m.unobserved {
+		p.request.body.ExpiredRevision = uint64(p.seenRevision)
 	}
 }
 
-// release gives the lease up; nothing of this process is under way then.
+// release gives up the lease. The process has no request in flight at that time.
 func (m *model) release(p *process) {
-	p.held.Drop()
+	p.lease.Drop()
 	m.apply(request{body: fence.Request{Verb: fence.Release, Subject: "s", Holder: p.holder()}})
 }
 
-// answer takes the group's word in.
-func (m *model) answer(p *process) {
+// receiveAnswer delivers the answer to the process.
+func (m *model) receiveAnswer(p *process) {
 	r := p.request
 	p.request = nil
 	if r.grant.Granted {
-		p.held.Update(moment(r.asked), moment(m.now), &r.grant, modelTerms)
+		p.lease.Update(timeOf(r.sentAt), timeOf(m.now), &r.grant, modelTiming)
 		return
 	}
-	p.held.Drop()
+	p.lease.Drop()
 }
 
-// act makes a call, and tells what is wrong with it.
-func (m *model) act(p *process) string {
-	c := call{p.machine, p.held.Number, m.now}
+// call records a call by the process and returns a description of the rule that it breaks,
+// if any.
+func (m *model) call(p *process) string {
+	c := callRecord{p.instance, p.lease.Number, m.now}
 	n := len(m.calls)
 	if n > 0 && m.calls[n-1].number > c.number {
 		return fmt.Sprintf("%v after %v: the number is lower", c, m.calls[n-1])
 	}
-	if n > 0 && m.calls[n-1].number == c.number && m.calls[n-1].machine != c.machine {
-		return fmt.Sprintf("%v after %v: two machines have one number", c, m.calls[n-1])
+	if n > 0 && m.calls[n-1].number == c.number && m.calls[n-1].instance != c.instance {
+		return fmt.Sprintf("%v after %v: two instances use the same number", c, m.calls[n-1])
 	}
-	if n > 1 && m.calls[n-1].machine != c.machine && m.calls[n-2].machine == c.machine && c.at-m.calls[n-2].at < modelReturn {
-		return fmt.Sprintf("%v after %v: to and fro", c, m.calls)
+	if n > 1 && m.calls[n-1].instance != c.instance && m.calls[n-2].instance == c.instance && c.at-m.calls[n-2].at < modelReturnDelay {
+		return fmt.Sprintf("%v after %v: an instance acts again within the return delay", c, m.calls)
 	}
-	if n > 0 && m.calls[n-1].machine == c.machine {
+	if n > 0 && m.calls[n-1].instance == c.instance {
 		m.calls[n-1] = c
 		return ""
 	}
@@ -220,28 +224,28 @@
 	return n
 }
 
-// next returns the states that may follow, or what is wrong in one of them.
-func (m *model) next() (list []*model, wrong string) {
-	if m.now < modelEnd {
-		list = append(list, m.step((*model).tick))
+// successors returns the states that may follow, or the rule that one of them breaks.
+func (m *model) successors() (list []*model, wrong string) {
+	if m.now < modelSteps {
+		list = append(list, m.step((*model).advance))
 	}
-	for _, ahead := range []int{-modelJump, 0, modelJump} {
-		if m.jumps > 0 && ahead != m.ahead {
-			list = append(list, m.step(func(n *model) { n.ahead, n.jumps = ahead, n.jumps-1 }))
+	for _, ahead := range []int{-modelSkew, 0, modelSkew} {
+		if m.skewChanges > 0 && ahead != m.skew {
+			list = append(list, m.step(func(n *model) { n.skew, n.skewChanges = ahead, n.skewChanges-1 }))
 		}
 	}
-	if m.late != nil {
-		list = append(list, m.step(func(n *model) { n.apply(*n.late); n.late = nil }))
+	if m.orphan != nil {
+		list = append(list, m.step(func(n *model) { n.apply(*n.orphan); n.orphan = nil }))
 	}
 	for i := range m.processes {
-		list = append(list, m.asks(i)...)
-		list = append(list, m.ends(i)...)
+		list = append(list, m.requestSteps(i)...)
+		list = append(list, m.endSteps(i)...)
 		p := &m.processes[i]
-		if at := moment(m.now); !p.held.Valid(at) || !p.held.IsSettled(at) {
+		if at := timeOf(m.now); !p.lease.Valid(at) || !p.lease.IsSettled(at) {
 			continue
 		}
 		n := m.copy()
-		if wrong = n.act(&n.processes[i]); wrong != "" {
+		if wrong = n.call(&n.processes[i]); wrong != "" {
 			return nil, wrong
 		}
 		list = append(list, n)
@@ -249,64 +253,65 @@
 	return list, ""
 }
 
-// asks returns the states after a process's next step toward the lease.
-func (m *model) asks(i int) (list []*model) {
+// requestSteps returns the states after the process's next step in requesting the lease.
+func (m *model) requestSteps(i int) (list []*model) {
 	p := &m.processes[i]
-	at := moment(m.now)
-	renews := p.held.Valid(at) && !at.Before(p.held.RenewAt)
+	at := timeOf(m.now)
+	renews := p.lease.Valid(at) && !at.Before(p.lease.RenewAt)
 	switch {
-	case p.request == nil && (renews || p.held.Number == 0 && m.free(p)):
+	case p.request == nil && (renews || p.lease.Number == 0 && m.mayAsk(p)):
 		list = append(list, m.step(func(n *model) {
 			q := &n.processes[i]
-			n.ask(q)
+			n.sendRequest(q)
 			q.request = n.apply(*q.request)
 		}))
 		if m.delays > 0 {
-			list = append(list, m.step(func(n *model) { n.ask(&n.processes[i]); n.delays-- }))
+			list = append(list, m.step(func(n *model) { n.sendRequest(&n.processes[i]); n.delays-- }))
 		}
 	case p.request != nil && !p.request.committed:
 		list = append(list, m.step(func(n *model) { n.processes[i].request = n.apply(*p.request) }))
 	case p.request != nil:
-		list = append(list, m.step(func(n *model) { n.answer(&n.processes[i]) }))
+		list = append(list, m.step(func(n *model) { n.receiveAnswer(&n.processes[i]) }))
 	}
 	return list
 }
 
-// ends returns the states after a process gave up, or started anew.
-func (m *model) ends(i int) (list []*model) {
+// endSteps returns the states after the process released its lease or was restarted.
+func (m *model) endSteps(i int) (list []*model) {
 	p := &m.processes[i]
-	if m.releases > 0 && p.request == nil && p.held.Valid(moment(m.now)) {
+	if m.releases > 0 && p.request == nil && p.lease.Valid(timeOf(m.now)) {
 		list = append(list, m.step(func(n *model) { n.release(&n.processes[i]); n.releases-- }))
 	}
 	if m.restarts > 0 {
 		list = append(list, m.step(func(n *model) {
 			if p.request != nil && !p.request.committed {
-				n.late = p.request
+				n.orphan = p.request
 			}
-			n.processes[i] = process{machine: p.machine, start: p.start + 1}
+			n.processes[i] = process{instance: p.instance, start: p.start + 1}
 			n.restarts--
 		}))
 	}
 	return list
 }
 
-// Every order in which two machines ask, hear, freeze, start anew, give up, have a request
-// held up, and make calls, while the log's time jumps. An organisation is billed twice, or
-// an order undone, if a call bears a lower number than one before it, if two machines use one
-// number, or if machines act to and fro within the time that their provider forbids it.
-func TestEveryOrderOfTwoHoldersKeepsTheRules(t *testing.T) {
+// Explores every interleaving in which two instances send requests, receive answers, pause,
+// restart, release the lease, have a request delayed, and make calls, while the log's time
+// changes. An organisation would be billed twice, or an order undone, if a call carried a
+// lower number than an earlier call, if two instances used the same number, or if instances
+// acted in alternation within the delay that their provider requires.
+func TestFencingRulesHoldInEveryInterleaving(t *testing.T) {
 	for name, start := range map[string]model{
-		"the log's time jumps":                    {jumps: 2},
-		"the log's time jumps, nobody looks":      {jumps: 1, hasty: true},
-		"a process starts anew":                   {restarts: 1, jumps: 1},
-		"a request is held up":                    {delays: 1, jumps: 1},
-		"a process starts anew, its request late": {restarts: 1, delays: 1},
-		"holders give up":                         {releases: 2},
-		"holders give up, the log's time jumps":   {releases: 1, jumps: 1},
+		"log time changes":                           {skewChanges: 2},
+		"log time changes, revision not observed":    {skewChanges: 1, unobserved: true},
+		"a process restarts":                         {restarts: 1, skewChanges: 1},
+		"a request is delayed":                       {delays: 1, skewChanges: 1},
+		"a process restarts, its request is delayed": {restarts: 1, delays: 1},
+		"holders release":                            {releases: 2},
+		"holders release, log time changes":          {releases: 1, skewChanges: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			start.processes = [2]process{{machine: "x"}, {machine: "y"}}
+			start.processes = [2]process{{instance: "x"}, {instance: "y"}}
 			if n := explore(t, &start); n < 1000 {
 				t.Errorf("only %d states were reached", n)
 			}
@@ -321,7 +326,7 @@
 	for todo := []*model{start}; len(todo) > 0; {
 		m := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
-		list, wrong := m.next()
+		list, wrong := m.successors()
 		if wrong != "" {
 			t.Fatal(wrong)
 		}
