--- a/core/control/quarantine/machine.go
+++ b/core/control/quarantine/machine.go
@@ -52,8 +52,8 @@
 	Changed uint64 `codec:"c"`
 }
 
-// MayBeTried reports whether the entry has a trial left.
-func (e *Entry) MayBeTried() bool { return !e.Released && !e.Failed && e.Trials < MaxTrials }
+// TrialAllowed reports whether the entry has a trial left.
+func (e *Entry) TrialAllowed() bool { return !e.Released && !e.Failed && e.Trials < MaxTrials }
 
 // Final reports whether it is proved, as far as it can be, that the request crashes upstreams.
 func (e *Entry) Final() bool { return !e.Released && e.Failed }
@@ -166,7 +166,7 @@
 
 func (m *Machine) trial(index uint64, at time.Time, f quarantine.Fingerprint) []byte {
 	e := m.entries[f]
-	if e == nil || !e.MayBeTried() || at.Sub(time.Unix(0, e.Since)) < TrialAfter || at.Sub(m.lastTrial) < TrialAfter {
+	if e == nil || !e.TrialAllowed() || at.Sub(time.Unix(0, e.Since)) < TrialAfter || at.Sub(m.lastTrial) < TrialAfter {
 		return Refused
 	}
 	if e.Trials > 0 && at.Sub(time.Unix(0, e.LastTrial)) < TrialOutcome {
--- a/core/control/quarantine/view.go
+++ b/core/control/quarantine/view.go
@@ -122,7 +122,7 @@
 	c := &Changes{Index: m.index, Full: index < m.pruned, Suspects: m.suspects}
 	for _, e := range m.Entries() {
 		if c.Full && !e.Released || !c.Full && e.Changed > index {
-			c.Held = append(c.Held, Held{Fingerprint: e.Fingerprint, Released: e.Released, Trial: e.MayBeTried(), Final: e.Final()})
+			c.Held = append(c.Held, Held{Fingerprint: e.Fingerprint, Released: e.Released, Trial: e.TrialAllowed(), Final: e.Final()})
 		}
 	}
 	return c
