--- a/core/control/quarantine/machine.go
+++ b/core/control/quarantine/machine.go
@@ -23,9 +23,9 @@
 	// MaxTrials is how often a quarantined request may be run to see whether it still crashes
 	// its upstream: once, and once more if the outcome of that was lost or proves nothing.
 	MaxTrials = 2
-	// TrialAfter is the least time from a verdict to a trial, and from one trial to the next
+	// MinTrialInterval is the least time from a verdict to a trial, and from one trial to the next
 	// one of any request: of two at a time a crash would not tell which caused it.
-	TrialAfter = time.Second
+	MinTrialInterval = time.Second
 	// TrialOutcome is after what time without an outcome a trial may be repeated.
 	TrialOutcome = 5 * time.Second
 	// maxEntries bounds the list. Those that were released go first, then the oldest.
@@ -166,7 +166,7 @@
 
 func (m *Machine) trial(index uint64, at time.Time, f quarantine.Fingerprint) []byte {
 	e := m.entries[f]
-	if e == nil || !e.TrialAllowed() || at.Sub(time.Unix(0, e.Since)) < TrialAfter || at.Sub(m.lastTrial) < TrialAfter {
+	if e == nil || !e.TrialAllowed() || at.Sub(time.Unix(0, e.Since)) < MinTrialInterval || at.Sub(m.lastTrial) < MinTrialInterval {
 		return Refused
 	}
 	if e.Trials > 0 && at.Sub(time.Unix(0, e.LastTrial)) < TrialOutcome {
--- a/core/control/quarantine/machine_test.go
+++ b/core/control/quarantine/machine_test.go
@@ -120,7 +120,7 @@
 	g := NewWithT(t)
 	l := poisoned()
 	g.Expect(l.trial("poison")).To(BeFalse(), "not at once")
-	l.at = l.at.Add(state.TrialAfter)
+	l.at = l.at.Add(state.MinTrialInterval)
 	g.Expect(l.trial("other")).To(BeFalse())
 	g.Expect(l.held()[named("poison")].Final).To(BeFalse(), "as long as it may be innocent")
 	g.Expect(l.trial("poison")).To(BeTrue())
@@ -144,7 +144,7 @@
 		l.crash("second")
 	}
 	l.judge()
-	l.at = l.at.Add(state.TrialAfter)
+	l.at = l.at.Add(state.MinTrialInterval)
 	g.Expect(l.trial("poison")).To(BeTrue())
 	l.crash("poison", "second")
 	l.judge()
@@ -160,7 +160,7 @@
 func TestATrialWhoseOutcomeIsLostIsRepeatedOnce(t *testing.T) {
 	g := NewWithT(t)
 	l := poisoned()
-	l.at = l.at.Add(state.TrialAfter)
+	l.at = l.at.Add(state.MinTrialInterval)
 	g.Expect(l.trial("poison")).To(BeTrue())
 	l.at = l.at.Add(state.TrialOutcome / 2)
 	g.Expect(l.trial("poison")).To(BeFalse())
@@ -176,13 +176,13 @@
 func TestATrialThatWasNotMadeIsGivenBack(t *testing.T) {
 	g := NewWithT(t)
 	l := poisoned()
-	l.at = l.at.Add(state.TrialAfter)
+	l.at = l.at.Add(state.MinTrialInterval)
 	f := named("poison")
 	g.Expect(l.apply(state.Command{Return: &f})).To(Equal(state.Refused))
 	g.Expect(l.trial("poison")).To(BeTrue())
 	g.Expect(l.apply(state.Command{Return: &f})).To(Equal(state.Done))
 	g.Expect(l.trial("poison")).To(BeFalse(), "two trials are apart")
-	l.at = l.at.Add(state.TrialAfter)
+	l.at = l.at.Add(state.MinTrialInterval)
 	g.Expect(l.trial("poison")).To(BeTrue())
 }
 
@@ -195,10 +195,10 @@
 		l.crash("two")
 	}
 	l.judge()
-	l.at = l.at.Add(state.TrialAfter)
+	l.at = l.at.Add(state.MinTrialInterval)
 	g.Expect(l.trial("one")).To(BeTrue())
 	g.Expect(l.trial("two")).To(BeFalse())
-	l.at = l.at.Add(state.TrialAfter)
+	l.at = l.at.Add(state.MinTrialInterval)
 	g.Expect(l.trial("two")).To(BeTrue())
 }
 
