--- a/core/control/quarantine/machine.go
+++ b/core/control/quarantine/machine.go
@@ -26,8 +26,8 @@
 	// MinTrialInterval is the least time from a verdict to a trial, and from one trial to the next
 	// one of any request: of two at a time a crash would not tell which caused it.
 	MinTrialInterval = time.Second
-	// TrialOutcome is after what time without an outcome a trial may be repeated.
-	TrialOutcome = 5 * time.Second
+	// TrialTimeout is after what time without an outcome a trial may be repeated.
+	TrialTimeout = 5 * time.Second
 	// maxEntries bounds the list. Those that were released go first, then the oldest.
 	maxEntries = 1024
 )
@@ -169,7 +169,7 @@
 	if e == nil || !e.TrialAllowed() || at.Sub(time.Unix(0, e.Since)) < MinTrialInterval || at.Sub(m.lastTrial) < MinTrialInterval {
 		return Refused
 	}
-	if e.Trials > 0 && at.Sub(time.Unix(0, e.LastTrial)) < TrialOutcome {
+	if e.Trials > 0 && at.Sub(time.Unix(0, e.LastTrial)) < TrialTimeout {
 		return Refused
 	}
 	e.Trials++
