--- a/core/control/quarantine/machine.go
+++ b/core/control/quarantine/machine.go
@@ -67,7 +67,7 @@
 	Failed  []quarantine.Fingerprint `codec:"f,omitempty"`
 	// Trial asks for a trial of a request, Return gives back one that was not made.
 	Trial  *quarantine.Fingerprint `codec:"t,omitempty"`
-	Return *quarantine.Fingerprint `codec:"b,omitempty"`
+	CancelTrial *quarantine.Fingerprint `codec:"b,omitempty"`
 	// Release ends the quarantine of a request.
 	Release *quarantine.Fingerprint `codec:"x,omitempty"`
 }
@@ -120,8 +120,8 @@
 	switch {
 	case c.Trial != nil:
 		result = m.trial(index, at, *c.Trial)
-	case c.Return != nil:
-		result = m.giveBack(index, *c.Return)
+	case c.CancelTrial != nil:
+		result = m.giveBack(index, *c.CancelTrial)
 	case c.Release != nil:
 		result = m.release(index, *c.Release)
 	case len(c.Verdict)+len(c.Failed) > 0:
--- a/instance/quarantine/service.go
+++ b/instance/quarantine/service.go
@@ -149,7 +149,7 @@
 	}
 	c := &state.Command{Trial: &q.Fingerprint}
 	if q.Unused {
-		c = &state.Command{Return: &q.Fingerprint}
+		c = &state.Command{CancelTrial: &q.Fingerprint}
 	}
 	result, err := s.propose(ctx, c)
 	if err != nil {
