--- a/core/control/quarantine/machine.go
+++ b/core/control/quarantine/machine.go
@@ -74,8 +74,8 @@
 
 // The results of commands that ask for something.
 var (
-	// Done says that a trial is granted, or that a request is released.
-	Done = []byte{1}
+	// Granted says that a trial is granted, or that a request is released.
+	Granted = []byte{1}
 	// Refused says that it isn't.
 	Refused = []byte{0}
 )
@@ -116,7 +116,7 @@
 		return nil
 	}
 	m.at = at
-	result := Done
+	result := Granted
 	switch {
 	case c.Trial != nil:
 		result = m.trial(index, at, *c.Trial)
@@ -174,7 +174,7 @@
 	}
 	e.Trials++
 	e.LastTrial, e.Changed, m.index, m.lastTrial = at.UnixNano(), index, index, at
-	return Done
+	return Granted
 }
 
 func (m *Machine) giveBack(index uint64, f quarantine.Fingerprint) []byte {
@@ -184,7 +184,7 @@
 	}
 	e.Trials--
 	e.LastTrial, e.Changed, m.index = 0, index, index
-	return Done
+	return Granted
 }
 
 func (m *Machine) release(index uint64, f quarantine.Fingerprint) []byte {
@@ -194,7 +194,7 @@
 	}
 	m.ledger.Release(f)
 	e.Released, e.Changed, m.index = true, index, index
-	return Done
+	return Granted
 }
 
 // suspect notes whether other requests are suspected now.
--- a/core/control/quarantine/machine_test.go
+++ b/core/control/quarantine/machine_test.go
@@ -59,7 +59,7 @@
 
 func (l *log) trial(name string) bool {
 	f := named(name)
-	return bytes.Equal(l.apply(state.Command{Trial: &f}), state.Done)
+	return bytes.Equal(l.apply(state.Command{Trial: &f}), state.Granted)
 }
 
 // held returns what an instance holds that hears of all changes.
@@ -106,7 +106,7 @@
 	g.Expect(l.m.Entries()[0]).To(HaveField("Crashes", 3))
 
 	f := named("poison")
-	g.Expect(l.apply(state.Command{Release: &f})).To(Equal(state.Done))
+	g.Expect(l.apply(state.Command{Release: &f})).To(Equal(state.Granted))
 	g.Expect(l.m.Since(c.Index).Held).To(ConsistOf(state.Held{Fingerprint: f, Released: true}))
 	g.Expect(l.apply(state.Command{Release: &f})).To(Equal(state.Refused))
 	l.crash("poison")
@@ -180,7 +180,7 @@
 	f := named("poison")
 	g.Expect(l.apply(state.Command{CancelTrial: &f})).To(Equal(state.Refused))
 	g.Expect(l.trial("poison")).To(BeTrue())
-	g.Expect(l.apply(state.Command{CancelTrial: &f})).To(Equal(state.Done))
+	g.Expect(l.apply(state.Command{CancelTrial: &f})).To(Equal(state.Granted))
 	g.Expect(l.trial("poison")).To(BeFalse(), "two trials are apart")
 	l.at = l.at.Add(state.MinTrialInterval)
 	g.Expect(l.trial("poison")).To(BeTrue())
--- a/instance/quarantine/service.go
+++ b/instance/quarantine/service.go
@@ -155,7 +155,7 @@
 	if err != nil {
 		return nil, err
 	}
-	granted := bytes.Equal(result, state.Done)
+	granted := bytes.Equal(result, state.Granted)
 	s.cfg.Log.Info().Str("event", "quarantine_trial").Str("fingerprint", q.Fingerprint.String()).Str("instance", from).
 		Bool("unused", q.Unused).Bool("granted", granted).Msg("trial of a quarantined request")
 	return TrialAnswer{Granted: granted}, nil
@@ -164,7 +164,7 @@
 // Release ends the quarantine of a request. It fails with fault.NotFound where there is none.
 func (s *Service) Release(ctx context.Context, f quarantine.Fingerprint) error {
 	result, err := s.propose(ctx, &state.Command{Release: &f})
-	if err == nil && !bytes.Equal(result, state.Done) {
+	if err == nil && !bytes.Equal(result, state.Granted) {
 		err = fault.New(fault.NotFound, "the request %s is not quarantined", f)
 	}
 	return err
