--- a/core/control/quarantine/machine_test.go
+++ b/core/control/quarantine/machine_test.go
@@ -63,8 +63,8 @@
 }
 
 // held returns what an instance holds that hears of all changes.
-func (l *log) held() map[quarantine.Fingerprint]state.Held {
-	held := map[quarantine.Fingerprint]state.Held{}
+func (l *log) held() map[quarantine.Fingerprint]state.EntryStatus {
+	held := map[quarantine.Fingerprint]state.EntryStatus{}
 	if c := l.m.Since(0); c != nil {
 		for _, h := range c.Held {
 			if !h.Released {
@@ -101,13 +101,13 @@
 	l.judge()
 	c = l.m.Since(c.Index)
 	g.Expect(c.Suspects).To(BeEmpty())
-	g.Expect(c.Held).To(ConsistOf(state.Held{Fingerprint: named("poison"), Trial: true}))
+	g.Expect(c.Held).To(ConsistOf(state.EntryStatus{Fingerprint: named("poison"), Trial: true}))
 	g.Expect(l.m.Entries()[0]).To(HaveField("Target", "/poison"))
 	g.Expect(l.m.Entries()[0]).To(HaveField("Crashes", 3))
 
 	f := named("poison")
 	g.Expect(l.apply(state.Command{Release: &f})).To(Equal(state.Granted))
-	g.Expect(l.m.Since(c.Index).Held).To(ConsistOf(state.Held{Fingerprint: f, Released: true}))
+	g.Expect(l.m.Since(c.Index).Held).To(ConsistOf(state.EntryStatus{Fingerprint: f, Released: true}))
 	g.Expect(l.apply(state.Command{Release: &f})).To(Equal(state.Refused))
 	l.crash("poison")
 	l.judge()
--- a/core/control/quarantine/view.go
+++ b/core/control/quarantine/view.go
@@ -91,8 +91,8 @@
 	return c, !m.ledger.Settled(now)
 }
 
-// Held is what instances are told of an entry.
-type Held struct {
+// EntryStatus is what instances are told of an entry.
+type EntryStatus struct {
 	wire.Array
 	Fingerprint quarantine.Fingerprint
 	// Released says that it is not quarantined any more, Trial that a trial may be asked for,
@@ -106,7 +106,7 @@
 	Index uint64 `codec:"n"`
 	// Full says that Held lists all there are, not only changed ones.
 	Full bool   `codec:"f,omitempty"`
-	Held []Held `codec:"h,omitempty"`
+	Held []EntryStatus `codec:"h,omitempty"`
 	// Suspects are all that are suspected now.
 	Suspects []quarantine.Fingerprint `codec:"s,omitempty"`
 }
@@ -122,7 +122,7 @@
 	c := &Changes{Index: m.index, Full: index < m.pruned, Suspects: m.suspects}
 	for _, e := range m.Entries() {
 		if c.Full && !e.Released || !c.Full && e.Changed > index {
-			c.Held = append(c.Held, Held{Fingerprint: e.Fingerprint, Released: e.Released, Trial: e.TrialAllowed(), Final: e.Final()})
+			c.Held = append(c.Held, EntryStatus{Fingerprint: e.Fingerprint, Released: e.Released, Trial: e.TrialAllowed(), Final: e.Final()})
 		}
 	}
 	return c
--- a/instance/follow/quarantine.go
+++ b/instance/follow/quarantine.go
@@ -12,12 +12,12 @@
 type Quarantine struct {
 	// Index is the log index of the list.
 	Index    uint64
-	held     map[quarantine.Fingerprint]state.Held
+	held     map[quarantine.Fingerprint]state.EntryStatus
 	suspects map[quarantine.Fingerprint]bool
 }
 
 // NewQuarantine returns a list of requests that are quarantined, and of suspected ones.
-func NewQuarantine(index uint64, held []state.Held, suspects []quarantine.Fingerprint) *Quarantine {
+func NewQuarantine(index uint64, held []state.EntryStatus, suspects []quarantine.Fingerprint) *Quarantine {
 	return (*Quarantine)(nil).merge(&state.Changes{Index: index, Held: held, Suspects: suspects})
 }
 
@@ -25,7 +25,7 @@
 func (q *Quarantine) Empty() bool { return q == nil || len(q.held)+len(q.suspects) == 0 }
 
 // Held returns what is known of a request that is quarantined.
-func (q *Quarantine) Held(f quarantine.Fingerprint) (h state.Held, held bool) {
+func (q *Quarantine) Held(f quarantine.Fingerprint) (h state.EntryStatus, held bool) {
 	if q == nil {
 		return h, false
 	}
@@ -62,7 +62,7 @@
 	if c == nil || c.Index <= q.index() {
 		return q
 	}
-	next := &Quarantine{Index: c.Index, held: map[quarantine.Fingerprint]state.Held{}, suspects: map[quarantine.Fingerprint]bool{}}
+	next := &Quarantine{Index: c.Index, held: map[quarantine.Fingerprint]state.EntryStatus{}, suspects: map[quarantine.Fingerprint]bool{}}
 	if q != nil && !c.Full {
 		next.held = maps.Clone(q.held)
 	}
--- a/instance/relay/quarantine_test.go
+++ b/instance/relay/quarantine_test.go
@@ -97,7 +97,7 @@
 }
 
 // quarantine puts a list in the view.
-func (b *bed) quarantine(held []listed.Held, suspects ...quarantine.Fingerprint) {
+func (b *bed) quarantine(held []listed.EntryStatus, suspects ...quarantine.Fingerprint) {
 	b.state.mu.Lock()
 	defer b.state.mu.Unlock()
 	v := *b.state.view
@@ -127,12 +127,12 @@
 func TestQuarantinedRequestIsRefusedForGood(t *testing.T) {
 	a := startUpstream(t, "a", echo)
 	b := start(t, a)
-	b.quarantine([]listed.Held{{Fingerprint: contentOf("/idem/x", "poison"), Trial: true}})
+	b.quarantine([]listed.EntryStatus{{Fingerprint: contentOf("/idem/x", "poison"), Trial: true}})
 	c := b.caller()
 	r := c.call("POST", "/idem/x", "r0", "poison")
 	Expect(r.status).To(Equal(503), "it may be innocent")
 	Expect(r.header.Get("Retry-After")).To(Equal("1.000"))
-	b.quarantine([]listed.Held{{Fingerprint: contentOf("/idem/x", "poison"), Final: true}})
+	b.quarantine([]listed.EntryStatus{{Fingerprint: contentOf("/idem/x", "poison"), Final: true}})
 	r = c.call("POST", "/idem/x", "r1", "poison")
 	Expect(r.status).To(Equal(400))
 	Expect(r.body).To(ContainSubstring("do not send it again"))
@@ -190,7 +190,7 @@
 	a, z := startCrashing(t, "a"), startCrashing(t, "z")
 	b := start(t, a, z)
 	b.list.trials = 1
-	b.quarantine([]listed.Held{{Fingerprint: contentOf("/idem/x", "poison"), Trial: true}})
+	b.quarantine([]listed.EntryStatus{{Fingerprint: contentOf("/idem/x", "poison"), Trial: true}})
 	Expect(b.caller().call("POST", "/idem/x", "r1", "poison").status).To(Equal(502))
 	Expect(b.caller().call("POST", "/idem/x", "r2", "poison").status).To(Equal(503))
 	Expect(len(a.requests()) + len(z.requests())).To(Equal(1))
@@ -203,7 +203,7 @@
 	a, z := startUpstream(t, "a", rejects), startUpstream(t, "z", rejects)
 	b := start(t, a, z)
 	b.list.trials = 1
-	b.quarantine([]listed.Held{{Fingerprint: contentOf("/idem/x", "poison"), Trial: true}})
+	b.quarantine([]listed.EntryStatus{{Fingerprint: contentOf("/idem/x", "poison"), Trial: true}})
 	Expect(b.caller().call("POST", "/idem/x", "r1", "poison").status).To(Equal(503))
 	Expect(len(a.requests()) + len(z.requests())).To(Equal(1))
 }
@@ -214,7 +214,7 @@
 	_ = a.listener.Close()
 	b := start(t, a)
 	b.list.trials = 1
-	b.quarantine([]listed.Held{{Fingerprint: contentOf("/idem/x", "poison"), Trial: true}})
+	b.quarantine([]listed.EntryStatus{{Fingerprint: contentOf("/idem/x", "poison"), Trial: true}})
 	Expect(b.caller().call("POST", "/idem/x", "r1", "poison").status).To(Equal(503))
 	Eventually(told(b.list, func() int { return b.list.returned })).Should(Equal(1))
 }
@@ -242,7 +242,7 @@
 	table.Routes[0].Target = 2 * time.Second
 	b.use(table)
 	b.limits.limit(a, 0)
-	time.AfterFunc(50*time.Millisecond, func() { b.quarantine([]listed.Held{{Fingerprint: contentOf("/idem/x", "poison"), Final: true}}) })
+	time.AfterFunc(50*time.Millisecond, func() { b.quarantine([]listed.EntryStatus{{Fingerprint: contentOf("/idem/x", "poison"), Final: true}}) })
 	time.AfterFunc(100*time.Millisecond, func() { b.limits.limit(a, 1) })
 	Expect(b.caller().call("POST", "/idem/x", "r1", "poison").status).To(Equal(400))
 	Expect(a.requests()).To(BeEmpty())
