--- a/core/control/quarantine/machine.go
+++ b/core/control/quarantine/machine.go
@@ -66,7 +66,7 @@
 	Verdict []quarantine.Fingerprint `codec:"v,omitempty"`
 	Failed  []quarantine.Fingerprint `codec:"f,omitempty"`
 	// Trial asks for a trial of a request, Return gives back one that was not made.
-	Trial  *quarantine.Fingerprint `codec:"t,omitempty"`
+	Trial       *quarantine.Fingerprint `codec:"t,omitempty"`
 	CancelTrial *quarantine.Fingerprint `codec:"b,omitempty"`
 	// Release ends the quarantine of a request.
 	Release *quarantine.Fingerprint `codec:"x,omitempty"`
@@ -80,8 +80,8 @@
 	Refused = []byte{0}
 )
 
-// state is the form of a snapshot.
-type state struct {
+// snapshotState is the form of a snapshot.
+type snapshotState struct {
 	Index     uint64                    `codec:"n"`
 	Pruned    uint64                    `codec:"p"`
 	At        int64                     `codec:"a"`
@@ -121,21 +121,21 @@
 	case c.Trial != nil:
 		result = m.trial(index, at, *c.Trial)
 	case c.CancelTrial != nil:
-		result = m.giveBack(index, *c.CancelTrial)
+		result = m.cancelTrial(index, *c.CancelTrial)
 	case c.Release != nil:
 		result = m.release(index, *c.Release)
 	case len(c.Verdict)+len(c.Failed) > 0:
 		m.quarantine(index, at, c.Verdict)
-		m.fail(index, c.Failed)
+		m.markFailed(index, c.Failed)
 	default:
-		m.take(index, at, c.Reports)
+		m.applyReports(index, at, c.Reports)
 	}
-	m.suspect(index)
+	m.updateSuspects(index)
 	m.prune(index)
 	return result
 }
 
-func (m *Machine) take(index uint64, at time.Time, reports []quarantine.Report) {
+func (m *Machine) applyReports(index uint64, at time.Time, reports []quarantine.Report) {
 	for i := range reports {
 		m.ledger.Take(at, &reports[i])
 		for _, s := range reports[i].Succeeded {
@@ -144,7 +144,7 @@
 	}
 }
 
-func (m *Machine) fail(index uint64, list []quarantine.Fingerprint) {
+func (m *Machine) markFailed(index uint64, list []quarantine.Fingerprint) {
 	for _, f := range list {
 		if e := m.entries[f]; e != nil && !e.Released && !e.Failed {
 			e.Failed, e.Changed, m.index = true, index, index
@@ -177,7 +177,7 @@
 	return Granted
 }
 
-func (m *Machine) giveBack(index uint64, f quarantine.Fingerprint) []byte {
+func (m *Machine) cancelTrial(index uint64, f quarantine.Fingerprint) []byte {
 	e := m.entries[f]
 	if e == nil || e.Released || e.Failed || e.Trials == 0 {
 		return Refused
@@ -197,8 +197,8 @@
 	return Granted
 }
 
-// suspect notes whether other requests are suspected now.
-func (m *Machine) suspect(index uint64) {
+// updateSuspects notes whether other requests are suspected now.
+func (m *Machine) updateSuspects(index uint64) {
 	list := m.ledger.Suspects(m.at)
 	if !slices.Equal(list, m.suspects) {
 		m.suspects, m.index = list, index
@@ -207,7 +207,7 @@
 
 func (m *Machine) prune(index uint64) {
 	for len(m.entries) > maxEntries {
-		f := m.first()
+		f := m.nextToDrop()
 		if !m.entries[f].Released {
 			m.ledger.Release(f)
 		}
@@ -216,19 +216,19 @@
 	}
 }
 
-// first returns the entry that is dropped first.
-func (m *Machine) first() quarantine.Fingerprint {
+// nextToDrop returns the entry that is dropped nextToDrop.
+func (m *Machine) nextToDrop() quarantine.Fingerprint {
 	var best *Entry
 	for _, e := range m.entries {
-		if best == nil || order(e, best) < 0 {
+		if best == nil || compareForDrop(e, best) < 0 {
 			best = e
 		}
 	}
 	return best.Fingerprint
 }
 
-// order tells which of two entries is dropped first.
-func order(a, b *Entry) int {
+// compareForDrop tells which of two entries is dropped first.
+func compareForDrop(a, b *Entry) int {
 	if a.Released != b.Released {
 		if a.Released {
 			return -1
--- a/core/control/quarantine/view.go
+++ b/core/control/quarantine/view.go
@@ -12,7 +12,7 @@
 
 // Snapshot implements control.Machine.
 func (m *Machine) Snapshot() ([]byte, error) {
-	s := state{Index: m.index, Pruned: m.pruned, At: nanos(m.at), LastTrial: nanos(m.lastTrial), Entries: m.Entries(), Crashes: m.ledger.State(), Successes: m.ledger.Successes(), Suspects: m.suspects}
+	s := snapshotState{Index: m.index, Pruned: m.pruned, At: nanos(m.at), LastTrial: nanos(m.lastTrial), Entries: m.Entries(), Crashes: m.ledger.State(), Successes: m.ledger.Successes(), Suspects: m.suspects}
 	return control.Marshal(&s)
 }
 
@@ -32,7 +32,7 @@
 
 // Restore implements control.Machine.
 func (m *Machine) Restore(snapshot []byte) error {
-	var s state
+	var s snapshotState
 	if err := control.Unmarshal(snapshot, &s); err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 	// Index is up to where an instance is that has taken them in.
 	Index uint64 `codec:"n"`
 	// Full says that Held lists all there are, not only changed ones.
-	Full bool   `codec:"f,omitempty"`
+	Full bool          `codec:"f,omitempty"`
 	Held []EntryStatus `codec:"h,omitempty"`
 	// Suspects are all that are suspected now.
 	Suspects []quarantine.Fingerprint `codec:"s,omitempty"`
