--- a/core/control/quarantine/machine_test.go
+++ b/core/control/quarantine/machine_test.go
@@ -52,7 +52,7 @@
 }
 
 func (l *log) judge() {
-	if c, _ := l.m.Judge(l.at.Add(time.Second + time.Millisecond)); c != nil {
+	if c, _ := l.m.NextCommand(l.at.Add(time.Second + time.Millisecond)); c != nil {
 		l.apply(*c)
 	}
 }
--- a/core/control/quarantine/view.go
+++ b/core/control/quarantine/view.go
@@ -73,9 +73,9 @@
 // At returns the log's time at the last command.
 func (m *Machine) At() time.Time { return m.at }
 
-// Judge returns the command that is to follow at a time of the log, nil for none, and whether
+// NextCommand returns the command that is to follow at a time of the log, nil for none, and whether
 // there are crashes that can't be judged yet. It does not change the state.
-func (m *Machine) Judge(now time.Time) (c *Command, unsettled bool) {
+func (m *Machine) NextCommand(now time.Time) (c *Command, unsettled bool) {
 	c = &Command{Verdict: m.ledger.Judge(now)}
 	for _, e := range m.Entries() {
 		if e.Trials == 0 || e.Released || e.Failed {
--- a/instance/quarantine/service.go
+++ b/instance/quarantine/service.go
@@ -203,7 +203,7 @@
 	var verdict *state.Command
 	var unsettled bool
 	now := s.now()
-	machine(g, func(m *state.Machine) { verdict, unsettled = m.Judge(now) })
+	machine(g, func(m *state.Machine) { verdict, unsettled = m.NextCommand(now) })
 	if verdict == nil {
 		return unsettled
 	}
