--- a/core/control/quarantine/machine_test.go
+++ b/core/control/quarantine/machine_test.go
@@ -66,7 +66,7 @@
 func (l *log) held() map[quarantine.Fingerprint]state.EntryStatus {
 	held := map[quarantine.Fingerprint]state.EntryStatus{}
 	if c := l.m.Since(0); c != nil {
-		for _, h := range c.Held {
+		for _, h := range c.Entries {
 			if !h.Released {
 				held[h.Fingerprint] = h
 			}
@@ -96,18 +96,18 @@
 	l.crash("poison")
 	c := l.m.Since(0)
 	g.Expect(c.Suspects).To(Equal([]quarantine.Fingerprint{named("poison")}))
-	g.Expect(c.Held).To(BeEmpty())
+	g.Expect(c.Entries).To(BeEmpty())
 	l.crash("poison")
 	l.judge()
 	c = l.m.Since(c.Index)
 	g.Expect(c.Suspects).To(BeEmpty())
-	g.Expect(c.Held).To(ConsistOf(state.EntryStatus{Fingerprint: named("poison"), Trial: true}))
+	g.Expect(c.Entries).To(ConsistOf(state.EntryStatus{Fingerprint: named("poison"), Trial: true}))
 	g.Expect(l.m.Entries()[0]).To(HaveField("Target", "/poison"))
 	g.Expect(l.m.Entries()[0]).To(HaveField("Crashes", 3))
 
 	f := named("poison")
 	g.Expect(l.apply(state.Command{Release: &f})).To(Equal(state.Granted))
-	g.Expect(l.m.Since(c.Index).Held).To(ConsistOf(state.EntryStatus{Fingerprint: f, Released: true}))
+	g.Expect(l.m.Since(c.Index).Entries).To(ConsistOf(state.EntryStatus{Fingerprint: f, Released: true}))
 	g.Expect(l.apply(state.Command{Release: &f})).To(Equal(state.Refused))
 	l.crash("poison")
 	l.judge()
@@ -227,7 +227,7 @@
 	g.Expect(entries[0].Fingerprint).To(Equal(named("5")), "what was released goes first, then the oldest")
 	c := l.m.Since(3)
 	g.Expect(c.Full).To(BeTrue(), "what was dropped must be dropped by instances too")
-	g.Expect(c.Held).To(HaveLen(most))
+	g.Expect(c.Entries).To(HaveLen(most))
 }
 
 // Guards against members whose states differ after a restart from a snapshot.
--- a/core/control/quarantine/view.go
+++ b/core/control/quarantine/view.go
@@ -106,7 +106,7 @@
 	Index uint64 `codec:"n"`
 	// Full says that Held lists all there are, not only changed ones.
 	Full bool          `codec:"f,omitempty"`
-	Held []EntryStatus `codec:"h,omitempty"`
+	Entries []EntryStatus `codec:"h,omitempty"`
 	// Suspects are all that are suspected now.
 	Suspects []quarantine.Fingerprint `codec:"s,omitempty"`
 }
@@ -122,7 +122,7 @@
 	c := &Changes{Index: m.index, Full: index < m.pruned, Suspects: m.suspects}
 	for _, e := range m.Entries() {
 		if c.Full && !e.Released || !c.Full && e.Changed > index {
-			c.Held = append(c.Held, EntryStatus{Fingerprint: e.Fingerprint, Released: e.Released, Trial: e.TrialAllowed(), Final: e.Final()})
+			c.Entries = append(c.Entries, EntryStatus{Fingerprint: e.Fingerprint, Released: e.Released, Trial: e.TrialAllowed(), Final: e.Final()})
 		}
 	}
 	return c
--- a/instance/follow/quarantine.go
+++ b/instance/follow/quarantine.go
@@ -18,7 +18,7 @@
 
 // NewQuarantine returns a list of requests that are quarantined, and of suspected ones.
 func NewQuarantine(index uint64, held []state.EntryStatus, suspects []quarantine.Fingerprint) *Quarantine {
-	return (*Quarantine)(nil).merge(&state.Changes{Index: index, Held: held, Suspects: suspects})
+	return (*Quarantine)(nil).merge(&state.Changes{Index: index, Entries: held, Suspects: suspects})
 }
 
 // Empty reports whether nothing is suspected or quarantined.
@@ -66,7 +66,7 @@
 	if q != nil && !c.Full {
 		next.held = maps.Clone(q.held)
 	}
-	for _, h := range c.Held {
+	for _, h := range c.Entries {
 		if h.Released {
 			delete(next.held, h.Fingerprint)
 			continue
--- a/instance/follow/quarantine_test.go
+++ b/instance/follow/quarantine_test.go
@@ -29,16 +29,16 @@
 	held := func(x quarantine.Fingerprint) func() bool {
 		return func() bool { _, held := f.View().Quarantine.Held(x); return held }
 	}
-	told(&state.Changes{Index: 5, Held: []state.EntryStatus{{Fingerprint: a, Trial: true}}, Suspects: []quarantine.Fingerprint{b}})
+	told(&state.Changes{Index: 5, Entries: []state.EntryStatus{{Fingerprint: a, Trial: true}}, Suspects: []quarantine.Fingerprint{b}})
 	Eventually(held(a)).Should(BeTrue())
 	Expect(f.View().Quarantine.Suspects(b)).To(BeTrue())
-	told(&state.Changes{Index: 6, Held: []state.EntryStatus{{Fingerprint: b}}})
+	told(&state.Changes{Index: 6, Entries: []state.EntryStatus{{Fingerprint: b}}})
 	Eventually(held(b)).Should(BeTrue())
 	Expect(held(a)()).To(BeTrue(), "changes leave the rest")
 	Expect(f.View().Quarantine.Suspects(b)).To(BeFalse())
-	told(&state.Changes{Index: 7, Held: []state.EntryStatus{{Fingerprint: a, Released: true}}})
+	told(&state.Changes{Index: 7, Entries: []state.EntryStatus{{Fingerprint: a, Released: true}}})
 	Eventually(held(a)).Should(BeFalse())
-	told(&state.Changes{Index: 5, Held: []state.EntryStatus{{Fingerprint: a}}})
+	told(&state.Changes{Index: 5, Entries: []state.EntryStatus{{Fingerprint: a}}})
 	Consistently(held(a), 100*time.Millisecond).Should(BeFalse(), "a member that is behind changes nothing")
 	told(&state.Changes{Index: 8, Full: true})
 	Eventually(held(b)).Should(BeFalse())
