--- a/core/control/quarantine/machine.go
+++ b/core/control/quarantine/machine.go
@@ -1,10 +1,10 @@
-// Package quarantine is the replicated list of requests that are kept from upstreams since
-// they crash each one that runs them, with the evidence of core/quarantine. It is a
-// sub-machine of core/control.
+// Package quarantine holds the replicated list of requests that are not sent to upstreams
+// because they crash every upstream that runs them, with the evidence from core/quarantine. It
+// is one of the state machines of core/control.
 //
-// Evidence is part of the log, so that it adds up whichever members and instances saw a crash,
-// and that neither a verdict nor what led to it is lost with processes: a request that was
-// forgotten would end as many upstreams again.
+// The evidence is part of the log, so that it accumulates whichever members and instances
+// observed a crash, and so that neither a verdict nor its evidence is lost when processes end.
+// A request that was forgotten would crash as many upstreams again.
 package quarantine
 
 import (
@@ -16,19 +16,20 @@
 	"github.com/comfreyladder/comfreyladder/core/quarantine"
 )
 
-// Name of the sub-machine.
+// Name is the name of the state machine.
 const Name = "quarantine"
 
 const (
-	// MaxTrials is how often a quarantined request may be run to see whether it still crashes
-	// its upstream: once, and once more if the outcome of that was lost or proves nothing.
+	// MaxTrials is how often a quarantined request may be run to check whether it still
+	// crashes its upstream: once, and a second time if the first outcome was lost or is
+	// inconclusive.
 	MaxTrials = 2
-	// MinTrialInterval is the least time from a verdict to a trial, and from one trial to the next
-	// one of any request: of two at a time a crash would not tell which caused it.
+	// MinTrialInterval is the minimum time between a verdict and a trial, and between the trials
+	// of any requests. With two trials at a time, a crash could not be attributed to one.
 	MinTrialInterval = time.Second
-	// TrialTimeout is after what time without an outcome a trial may be repeated.
+	// TrialTimeout is how long a trial may go without an outcome before it may be repeated.
 	TrialTimeout = 5 * time.Second
-	// maxEntries bounds the list. Those that were released go first, then the oldest.
+	// maxEntries bounds the list. Released entries are dropped first, then the oldest.
 	maxEntries = 1024
 )
 
@@ -37,50 +38,53 @@
 	Fingerprint  quarantine.Fingerprint `codec:"f"`
 	Organisation string                 `codec:"o"`
 	Target       string                 `codec:"t"`
-	// Crashes is at how many crashes it was under way when it was quarantined.
+	// Crashes is the number of crashes during which the request was in flight, as of its
+	// quarantine.
 	Crashes int `codec:"n"`
-	// Since is when it was quarantined, by the log's time, in nanoseconds since the Unix epoch.
+	// Since is the log's time of the quarantine, in nanoseconds since the Unix epoch.
 	Since int64 `codec:"s"`
-	// Trials counts the runs since, LastTrial is when the latest one was granted, by the log's
-	// time, and Failed says that its upstream has crashed under it.
+	// Trials counts the trials since then. LastTrial is when the latest one was granted, in
+	// the same time. Failed means that an upstream crashed during a trial.
 	Trials    int   `codec:"r"`
 	LastTrial int64 `codec:"l"`
 	Failed    bool  `codec:"d"`
-	// Released entries are kept for a while so that all instances hear of it.
+	// Released marks an entry that is no longer quarantined. It is kept for a while so that
+	// all instances learn of the release.
 	Released bool `codec:"x"`
 	// Changed is the log index of the last change.
 	Changed uint64 `codec:"c"`
 }
 
-// TrialAllowed reports whether the entry has a trial left.
+// TrialAllowed reports whether the entry has a trial left, regardless of time.
 func (e *Entry) TrialAllowed() bool { return !e.Released && !e.Failed && e.Trials < MaxTrials }
 
-// Final reports whether it is proved, as far as it can be, that the request crashes upstreams.
+// Final reports whether a failed trial has confirmed that the request crashes upstreams.
 func (e *Entry) Final() bool { return !e.Released && e.Failed }
 
-// Command is one of the machine's commands: one field is set, or Verdict and Failed.
+// Command is a command of the state machine. One field is set, or both Verdict and Failed.
 type Command struct {
-	// Reports are what instances told.
+	// Reports are crash reports of instances.
 	Reports []quarantine.Report `codec:"r,omitempty"`
-	// Verdict lists requests to quarantine, Failed those that have failed their trial.
+	// Verdict lists requests to quarantine, Failed those whose trial has failed.
 	Verdict []quarantine.Fingerprint `codec:"v,omitempty"`
 	Failed  []quarantine.Fingerprint `codec:"f,omitempty"`
-	// Trial asks for a trial of a request, Return gives back one that was not made.
+	// Trial requests a trial of a quarantined request. CancelTrial returns a granted trial
+	// that was not made.
 	Trial       *quarantine.Fingerprint `codec:"t,omitempty"`
 	CancelTrial *quarantine.Fingerprint `codec:"b,omitempty"`
 	// Release ends the quarantine of a request.
 	Release *quarantine.Fingerprint `codec:"x,omitempty"`
 }
 
-// The results of commands that ask for something.
+// Results of Trial, CancelTrial and Release commands.
 var (
-	// Granted says that a trial is granted, or that a request is released.
+	// Granted means that the command was carried out.
 	Granted = []byte{1}
-	// Refused says that it isn't.
+	// Refused means that the command changed no entry.
 	Refused = []byte{0}
 )
 
-// snapshotState is the form of a snapshot.
+// snapshotState is the encoded form of a snapshot.
 type snapshotState struct {
 	Index     uint64                    `codec:"n"`
 	Pruned    uint64                    `codec:"p"`
@@ -92,24 +96,24 @@
 	Suspects  []quarantine.Fingerprint  `codec:"s"`
 }
 
-// Machine is the sub-machine. It is not safe for concurrent use.
+// Machine is the replicated state machine. It is not safe for concurrent use.
 type Machine struct {
 	ledger  *quarantine.Ledger
 	entries map[quarantine.Fingerprint]*Entry
-	// index is that of the last change that instances need to hear of, pruned that of the
-	// last one that dropped entries.
+	// index is the log index of the last change that instances need to learn of, pruned that
+	// of the last change that dropped entries.
 	index, pruned uint64
 	at            time.Time
 	lastTrial     time.Time
 	suspects      []quarantine.Fingerprint
 }
 
-// New returns a machine that knows of no crash.
+// New returns a Machine without crashes and entries.
 func New() *Machine {
 	return &Machine{ledger: quarantine.NewLedger(quarantine.DefaultPolicy), entries: map[quarantine.Fingerprint]*Entry{}}
 }
 
-// Apply implements control.Machine. A command that does not decode changes nothing.
+// Apply implements control.Machine. A command that cannot be decoded changes nothing.
 func (m *Machine) Apply(index uint64, at time.Time, data []byte) []byte {
 	var c Command
 	if control.Unmarshal(data, &c) != nil {
@@ -197,7 +201,7 @@
 	return Granted
 }
 
-// updateSuspects notes whether other requests are suspected now.
+// updateSuspects recomputes the suspected requests and records a change.
 func (m *Machine) updateSuspects(index uint64) {
 	list := m.ledger.Suspects(m.at)
 	if !slices.Equal(list, m.suspects) {
@@ -216,7 +220,7 @@
 	}
 }
 
-// nextToDrop returns the entry that is dropped nextToDrop.
+// nextToDrop returns the entry to drop next.
 func (m *Machine) nextToDrop() quarantine.Fingerprint {
 	var best *Entry
 	for _, e := range m.entries {
@@ -227,7 +231,7 @@
 	return best.Fingerprint
 }
 
-// compareForDrop tells which of two entries is dropped first.
+// compareForDrop orders entries by which is dropped first.
 func compareForDrop(a, b *Entry) int {
 	if a.Released != b.Released {
 		if a.Released {
--- a/core/control/quarantine/machine_test.go
+++ b/core/control/quarantine/machine_test.go
@@ -14,16 +14,17 @@
 	"github.com/comfreyladder/comfreyladder/core/quarantine"
 )
 
-type log struct {
+// testLog applies commands to a Machine as a log does.
+type testLog struct {
 	m       *state.Machine
 	index   uint64
 	at      time.Time
 	crashes uint64
 }
 
-func newLog() *log { return &log{m: state.New(), at: time.Unix(1000, 0)} }
+func newLog() *testLog { return &testLog{m: state.New(), at: time.Unix(1000, 0)} }
 
-func (l *log) apply(c state.Command) []byte {
+func (l *testLog) apply(c state.Command) []byte {
 	b, err := control.Marshal(&c)
 	if err != nil {
 		panic(err)
@@ -32,38 +33,38 @@
 	return l.m.Apply(l.index, l.at, b)
 }
 
-func named(name string) quarantine.Fingerprint {
+func fingerprintOf(name string) quarantine.Fingerprint {
 	return quarantine.FingerprintOf("h", "/", "o", []byte(name))
 }
 
-// crash tells of a crash a second after the last one.
-func (l *log) crash(names ...string) {
+// crash reports a crash one second after the previous one.
+func (l *testLog) crash(names ...string) {
 	l.at = l.at.Add(time.Second)
 	l.crashes++
 	c := quarantine.Crash{Upstream: l.crashes}
 	for _, n := range names {
-		c.UnderWay = append(c.UnderWay, quarantine.NewAttempt(named(n), 20*time.Millisecond, "o", "/"+n))
+		c.UnderWay = append(c.UnderWay, quarantine.NewAttempt(fingerprintOf(n), 20*time.Millisecond, "o", "/"+n))
 	}
 	l.apply(state.Command{Reports: []quarantine.Report{{Crashes: []quarantine.Crash{c}}}})
 }
 
-func (l *log) succeed(name string) {
-	l.apply(state.Command{Reports: []quarantine.Report{{Succeeded: []quarantine.Success{{Fingerprint: named(name)}}}}})
+func (l *testLog) succeed(name string) {
+	l.apply(state.Command{Reports: []quarantine.Report{{Succeeded: []quarantine.Success{{Fingerprint: fingerprintOf(name)}}}}})
 }
 
-func (l *log) judge() {
+func (l *testLog) decide() {
 	if c, _ := l.m.NextCommand(l.at.Add(time.Second + time.Millisecond)); c != nil {
 		l.apply(*c)
 	}
 }
 
-func (l *log) trial(name string) bool {
-	f := named(name)
+func (l *testLog) trial(name string) bool {
+	f := fingerprintOf(name)
 	return bytes.Equal(l.apply(state.Command{Trial: &f}), state.Granted)
 }
 
-// held returns what an instance holds that hears of all changes.
-func (l *log) held() map[quarantine.Fingerprint]state.EntryStatus {
+// activeEntries returns the unreleased entries of an instance that has received all changes.
+func (l *testLog) activeEntries() map[quarantine.Fingerprint]state.EntryStatus {
 	held := map[quarantine.Fingerprint]state.EntryStatus{}
 	if c := l.m.Since(0); c != nil {
 		for _, h := range c.Entries {
@@ -75,91 +76,91 @@
 	return held
 }
 
-// poisoned is a log with one quarantined request.
-func poisoned() *log {
+// logWithQuarantine returns a log with one quarantined request.
+func logWithQuarantine() *testLog {
 	l := newLog()
 	for range 3 {
 		l.crash("poison", "other")
 	}
 	l.crash("poison")
-	l.judge()
+	l.decide()
 	return l
 }
 
-// Guards against instances that never hear of a quarantine, or of its end.
-func TestInstancesHearOfAQuarantineAndItsEnd(t *testing.T) {
+// Guards against instances that never learn of a quarantine or of its end.
+func TestChangesReportQuarantineAndRelease(t *testing.T) {
 	g := NewWithT(t)
 	l := newLog()
-	g.Expect(l.m.Since(0)).To(BeNil(), "without a crash nothing is told")
+	g.Expect(l.m.Since(0)).To(BeNil(), "no changes before the first crash")
 	l.crash("poison")
-	g.Expect(l.m.Since(0)).To(BeNil(), "nor with one")
+	g.Expect(l.m.Since(0)).To(BeNil(), "no changes after a single crash")
 	l.crash("poison")
 	c := l.m.Since(0)
-	g.Expect(c.Suspects).To(Equal([]quarantine.Fingerprint{named("poison")}))
+	g.Expect(c.Suspects).To(Equal([]quarantine.Fingerprint{fingerprintOf("poison")}))
 	g.Expect(c.Entries).To(BeEmpty())
 	l.crash("poison")
-	l.judge()
+	l.decide()
 	c = l.m.Since(c.Index)
 	g.Expect(c.Suspects).To(BeEmpty())
-	g.Expect(c.Entries).To(ConsistOf(state.EntryStatus{Fingerprint: named("poison"), Trial: true}))
+	g.Expect(c.Entries).To(ConsistOf(state.EntryStatus{Fingerprint: fingerprintOf("poison"), Trial: true}))
 	g.Expect(l.m.Entries()[0]).To(HaveField("Target", "/poison"))
 	g.Expect(l.m.Entries()[0]).To(HaveField("Crashes", 3))
 
-	f := named("poison")
+	f := fingerprintOf("poison")
 	g.Expect(l.apply(state.Command{Release: &f})).To(Equal(state.Granted))
 	g.Expect(l.m.Since(c.Index).Entries).To(ConsistOf(state.EntryStatus{Fingerprint: f, Released: true}))
 	g.Expect(l.apply(state.Command{Release: &f})).To(Equal(state.Refused))
 	l.crash("poison")
-	l.judge()
-	g.Expect(l.held()).To(BeEmpty(), "what was known against it is forgotten")
+	l.decide()
+	g.Expect(l.activeEntries()).To(BeEmpty(), "a release discards the evidence")
 }
 
-// Guards against a quarantined request that is run again and again to see whether it has
-// changed.
+// Guards against running a quarantined request repeatedly to check whether it still crashes
+// upstreams.
 func TestAQuarantinedRequestHasOneTrial(t *testing.T) {
 	g := NewWithT(t)
-	l := poisoned()
-	g.Expect(l.trial("poison")).To(BeFalse(), "not at once")
+	l := logWithQuarantine()
+	g.Expect(l.trial("poison")).To(BeFalse(), "no trial right after the verdict")
 	l.at = l.at.Add(state.MinTrialInterval)
 	g.Expect(l.trial("other")).To(BeFalse())
-	g.Expect(l.held()[named("poison")].Final).To(BeFalse(), "as long as it may be innocent")
+	g.Expect(l.activeEntries()[fingerprintOf("poison")].Final).To(BeFalse(), "not final before a trial has failed")
 	g.Expect(l.trial("poison")).To(BeTrue())
-	g.Expect(l.held()[named("poison")].Final).To(BeFalse())
+	g.Expect(l.activeEntries()[fingerprintOf("poison")].Final).To(BeFalse())
 	l.crash("poison", "beside")
-	l.judge()
-	g.Expect(l.held()[named("poison")].Final).To(BeTrue())
+	l.decide()
+	g.Expect(l.activeEntries()[fingerprintOf("poison")].Final).To(BeTrue())
 	for range 10 {
 		l.at = l.at.Add(time.Minute)
 		g.Expect(l.trial("poison")).To(BeFalse())
 	}
-	g.Expect(l.held()[named("poison")].Trial).To(BeFalse())
+	g.Expect(l.activeEntries()[fingerprintOf("poison")].Trial).To(BeFalse())
 }
 
-// Guards against an innocent request that fails its trial since another one has ended the
-// upstream at which it was made.
+// Guards against failing the trial of a harmless request because another request crashed the
+// upstream that ran the trial.
 func TestATrialBesideAnotherSuspectProvesNothing(t *testing.T) {
 	g := NewWithT(t)
-	l := poisoned()
+	l := logWithQuarantine()
 	for range 3 {
 		l.crash("second")
 	}
-	l.judge()
+	l.decide()
 	l.at = l.at.Add(state.MinTrialInterval)
 	g.Expect(l.trial("poison")).To(BeTrue())
 	l.crash("poison", "second")
-	l.judge()
-	g.Expect(l.held()[named("poison")].Final).To(BeFalse())
+	l.decide()
+	g.Expect(l.activeEntries()[fingerprintOf("poison")].Final).To(BeFalse())
 	l.at = l.at.Add(state.TrialTimeout)
-	g.Expect(l.trial("poison")).To(BeTrue(), "it has one more")
+	g.Expect(l.trial("poison")).To(BeTrue(), "a second trial is left")
 	l.succeed("poison")
-	g.Expect(l.held()).NotTo(HaveKey(named("poison")))
+	g.Expect(l.activeEntries()).NotTo(HaveKey(fingerprintOf("poison")))
 }
 
-// Guards against a request that stays undecided for good since the outcome of its trial was
-// lost with the instance that made it, and against trial after trial.
+// Guards against a request that stays undecided forever because the outcome of its trial was
+// lost with the instance that ran it, and against unlimited trials.
 func TestATrialWhoseOutcomeIsLostIsRepeatedOnce(t *testing.T) {
 	g := NewWithT(t)
-	l := poisoned()
+	l := logWithQuarantine()
 	l.at = l.at.Add(state.MinTrialInterval)
 	g.Expect(l.trial("poison")).To(BeTrue())
 	l.at = l.at.Add(state.TrialTimeout / 2)
@@ -168,25 +169,25 @@
 	g.Expect(l.trial("poison")).To(BeTrue())
 	l.at = l.at.Add(time.Hour)
 	g.Expect(l.trial("poison")).To(BeFalse())
-	l.judge()
-	g.Expect(l.held()[named("poison")].Final).To(BeFalse(), "nothing is proved")
+	l.decide()
+	g.Expect(l.activeEntries()[fingerprintOf("poison")].Final).To(BeFalse(), "no trial has failed")
 }
 
-// Guards against a trial that is lost since no upstream could be reached for it.
+// Guards against using up a trial that was not made because no upstream was reachable.
 func TestATrialThatWasNotMadeIsGivenBack(t *testing.T) {
 	g := NewWithT(t)
-	l := poisoned()
+	l := logWithQuarantine()
 	l.at = l.at.Add(state.MinTrialInterval)
-	f := named("poison")
+	f := fingerprintOf("poison")
 	g.Expect(l.apply(state.Command{CancelTrial: &f})).To(Equal(state.Refused))
 	g.Expect(l.trial("poison")).To(BeTrue())
 	g.Expect(l.apply(state.Command{CancelTrial: &f})).To(Equal(state.Granted))
-	g.Expect(l.trial("poison")).To(BeFalse(), "two trials are apart")
+	g.Expect(l.trial("poison")).To(BeFalse(), "trials must be MinTrialInterval apart")
 	l.at = l.at.Add(state.MinTrialInterval)
 	g.Expect(l.trial("poison")).To(BeTrue())
 }
 
-// Guards against two trials at a time: a crash would not tell which request caused it.
+// Guards against concurrent trials: a crash could not be attributed to one of the requests.
 func TestTrialsOfDifferentRequestsAreApart(t *testing.T) {
 	g := NewWithT(t)
 	l := newLog()
@@ -194,7 +195,7 @@
 		l.crash("one")
 		l.crash("two")
 	}
-	l.judge()
+	l.decide()
 	l.at = l.at.Add(state.MinTrialInterval)
 	g.Expect(l.trial("one")).To(BeTrue())
 	g.Expect(l.trial("two")).To(BeFalse())
@@ -202,35 +203,35 @@
 	g.Expect(l.trial("two")).To(BeTrue())
 }
 
-// Guards against an innocent request that stays quarantined though an upstream has run it.
+// Guards against a request that stays quarantined although an upstream has completed it.
 func TestSuccessEndsAQuarantine(t *testing.T) {
 	g := NewWithT(t)
-	l := poisoned()
+	l := logWithQuarantine()
 	l.succeed("poison")
-	g.Expect(l.held()).To(BeEmpty())
+	g.Expect(l.activeEntries()).To(BeEmpty())
 }
 
-// Guards against a list that grows with each request of the kind.
+// Guards against a list that grows without bound with the number of quarantined requests.
 func TestTheListIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	l := newLog()
-	f := named("0")
+	f := fingerprintOf("0")
 	const most = 1024
 	for i := range most + 5 {
-		l.apply(state.Command{Verdict: []quarantine.Fingerprint{named(fmt.Sprint(i))}})
+		l.apply(state.Command{Verdict: []quarantine.Fingerprint{fingerprintOf(fmt.Sprint(i))}})
 		if i == 0 {
 			l.apply(state.Command{Release: &f})
 		}
 	}
 	entries := l.m.Entries()
 	g.Expect(entries).To(HaveLen(most))
-	g.Expect(entries[0].Fingerprint).To(Equal(named("5")), "what was released goes first, then the oldest")
+	g.Expect(entries[0].Fingerprint).To(Equal(fingerprintOf("5")), "released entries are dropped first, then the oldest")
 	c := l.m.Since(3)
-	g.Expect(c.Full).To(BeTrue(), "what was dropped must be dropped by instances too")
+	g.Expect(c.Full).To(BeTrue(), "instances must drop the dropped entries too")
 	g.Expect(c.Entries).To(HaveLen(most))
 }
 
-// Guards against members whose states differ after a restart from a snapshot.
+// Guards against members whose states diverge after a restart from a snapshot.
 func TestASnapshotHoldsTheWholeState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := newLog(), newLog()
@@ -239,15 +240,15 @@
 			step := rapid.IntRange(0, 6).Draw(t, "step")
 			name := names.Draw(t, "name")
 			more := rapid.SliceOfN(names, 0, 2).Draw(t, "beside")
-			for _, l := range []*log{a, b} {
-				f := named(name)
+			for _, l := range []*testLog{a, b} {
+				f := fingerprintOf(name)
 				switch step {
 				case 0, 1, 2:
 					l.crash(append(more, name)...)
 				case 3:
 					l.succeed(name)
 				case 4:
-					l.judge()
+					l.decide()
 				case 5:
 					l.trial(name)
 				case 6:
@@ -269,8 +270,8 @@
 	})
 }
 
-// Guards against a command of no sense that changes the state or ends the member.
-func TestWhatDoesNotDecodeChangesNothing(t *testing.T) {
+// Guards against an undecodable command or snapshot that changes the state or stops the member.
+func TestUndecodableInputChangesNothing(t *testing.T) {
 	g := NewWithT(t)
 	m := state.New()
 	g.Expect(m.Apply(1, time.Unix(1, 0), []byte{0xff, 0x00})).To(BeNil())
--- a/core/control/quarantine/view.go
+++ b/core/control/quarantine/view.go
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// Entries returns the list, the oldest change first.
+// Entries returns all entries, the least recently changed first.
 func (m *Machine) Entries() []Entry {
 	list := make([]Entry, 0, len(m.entries))
 	for _, e := range m.entries {
@@ -61,20 +61,20 @@
 	return list
 }
 
-// Suspects returns the requests that are suspected.
+// Suspects returns the suspected requests, sorted.
 func (m *Machine) Suspects() []quarantine.Fingerprint { return m.suspects }
 
-// Describe returns whose request it is, where it went, and at how many crashes it was under
-// way.
+// Describe returns the organisation and target of a request, and during how many crashes it was
+// in flight.
 func (m *Machine) Describe(f quarantine.Fingerprint) (organisation, target string, crashes int) {
 	return m.ledger.Describe(f)
 }
 
-// At returns the log's time at the last command.
+// At returns the log's time of the last command.
 func (m *Machine) At() time.Time { return m.at }
 
-// NextCommand returns the command that is to follow at a time of the log, nil for none, and whether
-// there are crashes that can't be judged yet. It does not change the state.
+// NextCommand returns the command to propose at a time of the log, or nil, and whether there are
+// crashes that cannot be evaluated yet. It does not change the state.
 func (m *Machine) NextCommand(now time.Time) (c *Command, unsettled bool) {
 	c = &Command{Verdict: m.ledger.Judge(now)}
 	for _, e := range m.Entries() {
@@ -91,30 +91,30 @@
 	return c, !m.ledger.Settled(now)
 }
 
-// EntryStatus is what instances are told of an entry.
+// EntryStatus is the part of an entry that instances receive.
 type EntryStatus struct {
 	wire.Array
 	Fingerprint quarantine.Fingerprint
-	// Released says that it is not quarantined any more, Trial that a trial may be asked for,
-	// Final that it has failed its trial.
+	// Released means that the request is no longer quarantined, Trial that a trial may be
+	// requested, Final that a trial has failed.
 	Released, Trial, Final bool
 }
 
-// Changes is what an instance is behind by.
+// Changes holds the changes that an instance has not received yet.
 type Changes struct {
-	// Index is up to where an instance is that has taken them in.
+	// Index is the log index that the instance has reached once it has applied the changes.
 	Index uint64 `codec:"n"`
-	// Full says that Held lists all there are, not only changed ones.
-	Full bool          `codec:"f,omitempty"`
+	// Full means that Entries lists all quarantined requests, not only changed entries.
+	Full    bool          `codec:"f,omitempty"`
 	Entries []EntryStatus `codec:"h,omitempty"`
-	// Suspects are all that are suspected now.
+	// Suspects lists all requests that are suspected now.
 	Suspects []quarantine.Fingerprint `codec:"s,omitempty"`
 }
 
-// Index returns the log index of the last change that instances need to hear of.
+// Index returns the log index of the last change that instances need to learn of.
 func (m *Machine) Index() uint64 { return m.index }
 
-// Since returns what has changed after an index; nil for nothing.
+// Since returns the changes after an index, or nil if there are none.
 func (m *Machine) Since(index uint64) *Changes {
 	if m.index <= index {
 		return nil
