--- a/core/control/revision/machine.go
+++ b/core/control/revision/machine.go
@@ -38,7 +38,7 @@
 type state struct {
 	Revision uint64          `codec:"r"`
 	Document intent.Document `codec:"d"`
-	History  []Moved         `codec:"h"`
+	History  []HistoryEntry         `codec:"h"`
 	Records  []Record        `codec:"n"`
 	// Forgotten is the highest number of each operator without a record.
 	Forgotten map[string]uint64 `codec:"f"`
@@ -66,12 +66,12 @@
 
 // Since returns the known revisions after base, oldest first, and the first one
 // that is still known.
-func (m *Machine) Since(base uint64) (moved []Moved, from uint64) {
+func (m *Machine) Since(base uint64) (moved []HistoryEntry, from uint64) {
 	from = m.s.Revision + 1
 	if len(m.s.History) > 0 {
 		from = m.s.History[0].Record.Revision
 	}
-	i := slices.IndexFunc(m.s.History, func(x Moved) bool { return x.Record.Revision > base })
+	i := slices.IndexFunc(m.s.History, func(x HistoryEntry) bool { return x.Record.Revision > base })
 	if i < 0 {
 		return nil, from
 	}
@@ -145,7 +145,7 @@
 		Detail: fmt.Sprintf("intent %d of operator %q won and is revision %d; choose another number", c.Number, r.Operator, r.Revision)}
 	for _, h := range m.s.History {
 		if h.Record.Revision == r.Revision {
-			a.Moved, a.MovedFrom = []Moved{h}, r.Revision
+			a.Moved, a.MovedFrom = []HistoryEntry{h}, r.Revision
 		}
 	}
 	return a
@@ -202,7 +202,7 @@
 	m.s.Records = append(m.s.Records, r)
 	m.numbers[r.Number] = r
 	m.forget()
-	m.s.History = append(m.s.History, Moved{Record: r, Encoded: encoded})
+	m.s.History = append(m.s.History, HistoryEntry{Record: r, Encoded: encoded})
 	m.trim()
 }
 
--- a/core/control/revision/types.go
+++ b/core/control/revision/types.go
@@ -75,8 +75,8 @@
 	At int64 `codec:"a" json:"at"`
 }
 
-// Moved is one revision between a plan's base and the current one.
-type Moved struct {
+// HistoryEntry is one revision between a plan's base and the current one.
+type HistoryEntry struct {
 	Record Record `codec:"r"`
 	// Encoded holds the changes as bytes, since values of any type would not
 	// keep it when they are encoded twice; see Changes.
@@ -84,7 +84,7 @@
 }
 
 // Changes returns what the revision changed.
-func (m *Moved) Changes() ([]intent.Change, error) {
+func (m *HistoryEntry) Changes() ([]intent.Change, error) {
 	var out []intent.Change
 	err := control.Unmarshal(m.Encoded, &out)
 	return out, err
@@ -100,7 +100,7 @@
 	Current uint64 `codec:"current"`
 	// Moved lists the revisions since the base, oldest first (BaseMoved); with
 	// NumberTaken it holds what the winner changed, if that is still known.
-	Moved []Moved `codec:"moved"`
+	Moved []HistoryEntry `codec:"moved"`
 	// MovedFrom is the first revision that Moved can tell about; above the
 	// base's successor when older ones are forgotten.
 	MovedFrom uint64           `codec:"moved_from"`
