--- a/core/control/revision/patch.go
+++ b/core/control/revision/patch.go
@@ -16,13 +16,13 @@
 	// the document that is no list.
 	Set intent.Document `codec:"s"`
 	// Removed holds the names of those that are gone.
-	Removed Names `codec:"r"`
+	Removed EntryNames `codec:"r"`
 	// Digest is that of the whole document.
 	Digest Digest `codec:"d"`
 }
 
-// Names lists entries of a document, by their lists.
-type Names struct {
+// EntryNames lists entries of a document, by their lists.
+type EntryNames struct {
 	Classes       []string `codec:"c,omitempty"`
 	Organisations []string `codec:"o,omitempty"`
 	Upstreams     []string `codec:"u,omitempty"`
