--- a/core/control/revision/machine.go
+++ b/core/control/revision/machine.go
@@ -11,34 +11,34 @@
 	"github.com/comfreyladder/comfreyladder/core/intent"
 )
 
-// Limits of the history that explains what moved.
+// Limits of the stored history and records.
 const (
-	// MaxHistory is how many revisions are kept with their changes.
+	// MaxHistory is how many revisions are kept together with their changes.
 	MaxHistory = 256
-	// MaxHistoryBytes bounds their encoded size, so that some large intents
-	// do not fill the memory of every member.
+	// MaxHistoryBytes bounds the encoded size of these changes, so that a few large
+	// intents do not fill the memory of every member.
 	MaxHistoryBytes = 4 << 20
-	// DefaultRecords is how many accepted numbers are remembered, for resends:
-	// at 5,900 changes a day those of four to five days, in some 7 MB.
+	// DefaultRecords is how many accepted numbers are kept to recognise resends: at
+	// 5,900 changes a day those of four to five days, in about 7 MB.
 	DefaultRecords = 1 << 15
 )
 
-// Machine holds the current document, the history, and a record of the newest
-// accepted numbers, which a resend finds again. Of older ones only the highest of
-// each operator is kept, and no number up to it is accepted from that operator
-// any more: were it, a resend that comes very late would be taken for a new
-// intent. It is not safe for concurrent use.
+// Machine holds the current document, the history, and records of the latest accepted
+// numbers, by which resends are recognised. Of the older numbers only the highest of
+// each operator is kept, and no number up to it is accepted from that operator any
+// more. Otherwise a very late resend would be taken for a new intent. It is not safe
+// for concurrent use.
 type Machine struct {
-	s       state
-	numbers map[uint64]Record
-	// records must be equal on all members.
-	records int
+	s               snapshotState
+	recordsByNumber map[uint64]Record
+	// maxRecords must be the same on all members.
+	maxRecords int
 }
 
-type state struct {
+type snapshotState struct {
 	Revision uint64          `codec:"r"`
 	Document intent.Document `codec:"d"`
-	History  []HistoryEntry         `codec:"h"`
+	History  []HistoryEntry  `codec:"h"`
 	Records  []Record        `codec:"n"`
 	// Forgotten is the highest number of each operator without a record.
 	Forgotten map[string]uint64 `codec:"f"`
@@ -46,26 +46,26 @@
 
 var _ control.Machine = (*Machine)(nil)
 
-// New returns a machine at revision 0, the empty document.
+// New returns a Machine at revision 0, the empty document.
 func New() *Machine { return NewWithRecords(DefaultRecords) }
 
-// NewWithRecords is New with another count of remembered numbers.
+// NewWithRecords is New with a different limit on the records of accepted numbers.
 func NewWithRecords(records int) *Machine {
-	return &Machine{s: state{Forgotten: map[string]uint64{}}, numbers: map[uint64]Record{}, records: records}
+	return &Machine{s: snapshotState{Forgotten: map[string]uint64{}}, recordsByNumber: map[uint64]Record{}, maxRecords: records}
 }
 
 // Current returns the revision in force and its document, which must not be
 // changed. Revision 0 is the empty document before the first intent.
 func (m *Machine) Current() (uint64, *intent.Document) { return m.s.Revision, &m.s.Document }
 
-// ByNumber returns the accepted intent with a number.
+// ByNumber returns the record of the accepted intent with a number.
 func (m *Machine) ByNumber(number uint64) (Record, bool) {
-	r, ok := m.numbers[number]
+	r, ok := m.recordsByNumber[number]
 	return r, ok
 }
 
-// Since returns the known revisions after base, oldest first, and the first one
-// that is still known.
+// Since returns the revisions after base that are still in the history, oldest first,
+// and the first revision of the history.
 func (m *Machine) Since(base uint64) (moved []HistoryEntry, from uint64) {
 	from = m.s.Revision + 1
 	if len(m.s.History) > 0 {
@@ -81,7 +81,7 @@
 // Apply implements control.Machine.
 func (m *Machine) Apply(_ uint64, at time.Time, data []byte) []byte {
 	var c Confirm
-	answer := Answer{Outcome: Refused, Detail: "the confirm does not decode"}
+	answer := Answer{Outcome: Refused, Detail: "cannot decode the confirm"}
 	if control.Unmarshal(data, &c) == nil {
 		answer = m.confirm(c, at)
 	}
@@ -98,14 +98,14 @@
 	if err != nil {
 		return Answer{Outcome: Refused, Detail: err.Error()}
 	}
-	if r, taken := m.numbers[c.Number]; taken {
-		return m.again(c, digest, r)
+	if r, taken := m.recordsByNumber[c.Number]; taken {
+		return m.answerResend(c, digest, r)
 	}
 	if last, known := m.s.Forgotten[c.Operator]; known && c.Number <= last {
 		return Answer{Outcome: NumberForgotten, Detail: fmt.Sprintf(
-			"your intents up to %d are too old to tell whether this one was accepted; see what is in force and choose a higher number", last)}
+			"the records of your intents up to number %d have been dropped, so it is unknown whether this one was accepted; check the revision in force and choose a higher number", last)}
 	}
-	if refusal := m.refuse(c, doc); refusal != nil {
+	if refusal := m.checkConfirm(c, doc); refusal != nil {
 		return *refusal
 	}
 	r := Record{Revision: m.s.Revision + 1, Operator: c.Operator, Number: c.Number, Digest: digest, At: at.UnixNano()}
@@ -113,9 +113,9 @@
 	return Answer{Outcome: Accepted, Record: r}
 }
 
-// document returns what a confirm puts in force, and its digest. Of a patch on
-// another base than the current one only the digest is known, which is enough to
-// know a resend; anything else is refused for its base.
+// document returns the document that a confirm puts in force, and its digest. For a
+// patch on a base other than the current revision only the digest is known. That
+// suffices to recognise a resend; any other such confirm is refused because of its base.
 func (m *Machine) document(c *Confirm) (*intent.Document, Digest, error) {
 	switch {
 	case c.Patch == nil:
@@ -128,21 +128,21 @@
 	return doc, c.Patch.Digest, err
 }
 
-// again answers a confirm whose number was accepted before. It comes first, even
+// answerResend answers a confirm whose number was accepted before. It comes first, even
 // before the check of the base: after its answer was lost, the sender of the
 // accepted confirm must not be told that the base moved, by itself, and plan the
 // same change twice. The base is not part of the content: the operator may have
-// planned anew before sending again.
-func (m *Machine) again(c Confirm, digest Digest, r Record) Answer {
+// planned anew before sending answerResend.
+func (m *Machine) answerResend(c Confirm, digest Digest, r Record) Answer {
 	switch {
 	case r.Operator == c.Operator && r.Digest == digest:
 		return Answer{Outcome: Accepted, Record: r}
 	case r.Operator == c.Operator:
 		return Answer{Outcome: ContentDiffers, Record: r,
-			Detail: fmt.Sprintf("your intent %d with other content is revision %d already; choose another number", c.Number, r.Revision)}
+			Detail: fmt.Sprintf("your intent %d was already accepted with different content as revision %d; choose another number", c.Number, r.Revision)}
 	}
 	a := Answer{Outcome: NumberTaken, Record: r,
-		Detail: fmt.Sprintf("intent %d of operator %q won and is revision %d; choose another number", c.Number, r.Operator, r.Revision)}
+		Detail: fmt.Sprintf("intent %d of operator %q was accepted first as revision %d; choose another number", c.Number, r.Operator, r.Revision)}
 	for _, h := range m.s.History {
 		if h.Record.Revision == r.Revision {
 			a.Moved, a.MovedFrom = []HistoryEntry{h}, r.Revision
@@ -151,22 +151,22 @@
 	return a
 }
 
-func (m *Machine) refuse(c Confirm, doc *intent.Document) *Answer {
-	if a := invalid(doc); a != nil {
+func (m *Machine) checkConfirm(c Confirm, doc *intent.Document) *Answer {
+	if a := validateDocument(doc); a != nil {
 		return a
 	}
 	if !m.mayConfirm(c.Operator) {
-		return &Answer{Outcome: NotAllowed, Detail: fmt.Sprintf("operator %q may not confirm under revision %d", c.Operator, m.s.Revision)}
+		return &Answer{Outcome: NotAllowed, Detail: fmt.Sprintf("operator %q is not allowed to confirm under revision %d", c.Operator, m.s.Revision)}
 	}
 	if c.Base == m.s.Revision {
 		return nil
 	}
-	a := &Answer{Outcome: BaseMoved, Detail: fmt.Sprintf("the plan was made on revision %d, the current one is %d", c.Base, m.s.Revision)}
+	a := &Answer{Outcome: BaseMoved, Detail: fmt.Sprintf("the plan was made on revision %d, but the current revision is %d", c.Base, m.s.Revision)}
 	a.Moved, a.MovedFrom = m.Since(c.Base)
 	return a
 }
 
-func invalid(doc *intent.Document) *Answer {
+func validateDocument(doc *intent.Document) *Answer {
 	if doc == nil {
 		return nil
 	}
@@ -182,8 +182,8 @@
 	return a
 }
 
-// mayConfirm asks the current document, except before the first intent, which
-// brings the operators.
+// mayConfirm reports whether the current document lets the operator confirm. Before the
+// first intent, which defines the operators, everyone may.
 func (m *Machine) mayConfirm(operator string) bool {
 	if m.s.Revision == 0 {
 		return true
@@ -200,28 +200,28 @@
 	}
 	m.s.Revision, m.s.Document = r.Revision, doc
 	m.s.Records = append(m.s.Records, r)
-	m.numbers[r.Number] = r
-	m.forget()
+	m.recordsByNumber[r.Number] = r
+	m.dropOldRecords()
 	m.s.History = append(m.s.History, HistoryEntry{Record: r, Encoded: encoded})
-	m.trim()
+	m.trimHistory()
 }
 
-// forget drops the oldest records. A quarter goes at a time, so that the rest is
-// copied seldom.
-func (m *Machine) forget() {
-	if len(m.s.Records) <= m.records {
+// dropOldRecords drops the oldest records, a quarter of them at a time, so that the
+// remaining ones are rarely copied.
+func (m *Machine) dropOldRecords() {
+	if len(m.s.Records) <= m.maxRecords {
 		return
 	}
 	const share = 4
-	old := m.s.Records[:len(m.s.Records)-m.records+m.records/share]
+	old := m.s.Records[:len(m.s.Records)-m.maxRecords+m.maxRecords/share]
 	for _, r := range old {
-		delete(m.numbers, r.Number)
+		delete(m.recordsByNumber, r.Number)
 		m.s.Forgotten[r.Operator] = max(m.s.Forgotten[r.Operator], r.Number)
 	}
 	m.s.Records = slices.Clone(m.s.Records[len(old):])
 }
 
-func (m *Machine) trim() {
+func (m *Machine) trimHistory() {
 	size := 0
 	for i := len(m.s.History) - 1; i >= 0; i-- {
 		size += len(m.s.History[i].Encoded)
@@ -237,7 +237,7 @@
 
 // Restore implements control.Machine.
 func (m *Machine) Restore(snapshot []byte) error {
-	var s state
+	var s snapshotState
 	if err := control.Unmarshal(snapshot, &s); err != nil {
 		return err
 	}
@@ -245,9 +245,9 @@
 		s.Forgotten = map[string]uint64{}
 	}
 	m.s = s
-	m.numbers = make(map[uint64]Record, len(s.Records))
+	m.recordsByNumber = make(map[uint64]Record, len(s.Records))
 	for _, r := range s.Records {
-		m.numbers[r.Number] = r
+		m.recordsByNumber[r.Number] = r
 	}
 	return nil
 }
--- a/core/control/revision/patch.go
+++ b/core/control/revision/patch.go
@@ -8,20 +8,20 @@
 	"github.com/comfreyladder/comfreyladder/core/intent"
 )
 
-// Patch is a document as the entries in which it differs from that of the base.
-// A document of 1,600 organisations takes 270 KB, which the leader sent to each
-// voter for each change; one organisation takes 200 bytes.
+// Patch is a document given as its differences from the base. The leader sends each
+// change to every voter: a document of 1,600 organisations takes 270 KB, a single
+// organisation 200 bytes.
 type Patch struct {
-	// Set holds the entries that are new or other than in the base, and all of
-	// the document that is no list.
+	// Set holds the list entries that are new or differ from the base, and all fields of
+	// the document that are not lists.
 	Set intent.Document `codec:"s"`
-	// Removed holds the names of those that are gone.
+	// Removed holds the names of entries of the base that the document does not have.
 	Removed EntryNames `codec:"r"`
-	// Digest is that of the whole document.
+	// Digest is the digest of the complete document.
 	Digest Digest `codec:"d"`
 }
 
-// EntryNames lists entries of a document, by their lists.
+// EntryNames holds the names of entries in each list of a document.
 type EntryNames struct {
 	Classes       []string `codec:"c,omitempty"`
 	Organisations []string `codec:"o,omitempty"`
@@ -38,47 +38,47 @@
 func serviceName(v *intent.Service) string           { return v.Name }
 func operatorName(v *intent.Operator) string         { return v.Name }
 
-// NewPatch returns the patch that makes doc of base; both are normalized and stay
-// as they are. It fails with fault.Internal when a patch cannot say the
-// difference; then the document itself is to be sent.
+// NewPatch returns the patch that turns base into doc. Both must be normalized and are
+// not modified. It fails with fault.Internal if a patch cannot express the difference;
+// the complete document has to be sent then.
 func NewPatch(base, doc *intent.Document) (*Patch, error) {
 	digest, err := DigestOf(doc)
 	if err != nil {
 		return nil, err
 	}
 	p := &Patch{Set: *doc, Digest: digest}
-	p.Set.Classes, p.Removed.Classes = differ(base.Classes, doc.Classes, className)
-	p.Set.Organisations, p.Removed.Organisations = differ(base.Organisations, doc.Organisations, organisationName)
-	p.Set.Upstreams, p.Removed.Upstreams = differ(base.Upstreams, doc.Upstreams, upstreamName)
-	p.Set.Models, p.Removed.Models = differ(base.Models, doc.Models, modelName)
-	p.Set.Services, p.Removed.Services = differ(base.Services, doc.Services, serviceName)
-	p.Set.Operators, p.Removed.Operators = differ(base.Operators, doc.Operators, operatorName)
+	p.Set.Classes, p.Removed.Classes = diffEntries(base.Classes, doc.Classes, className)
+	p.Set.Organisations, p.Removed.Organisations = diffEntries(base.Organisations, doc.Organisations, organisationName)
+	p.Set.Upstreams, p.Removed.Upstreams = diffEntries(base.Upstreams, doc.Upstreams, upstreamName)
+	p.Set.Models, p.Removed.Models = diffEntries(base.Models, doc.Models, modelName)
+	p.Set.Services, p.Removed.Services = diffEntries(base.Services, doc.Services, serviceName)
+	p.Set.Operators, p.Removed.Operators = diffEntries(base.Operators, doc.Operators, operatorName)
 	_, err = p.Apply(base)
 	return p, err
 }
 
-// Apply returns the document that the patch makes of base. It fails with
-// fault.Internal when that is not the one which the patch was made for: a member
-// must never put anything else in force than what the operator confirmed.
+// Apply returns base with the patch applied. It fails with fault.Internal if the result
+// is not the document that the patch was made for: a member must never put anything in
+// force other than what the operator confirmed.
 func (p *Patch) Apply(base *intent.Document) (*intent.Document, error) {
 	doc := p.Set
-	doc.Classes = merge(base.Classes, p.Set.Classes, p.Removed.Classes, className)
-	doc.Organisations = merge(base.Organisations, p.Set.Organisations, p.Removed.Organisations, organisationName)
-	doc.Upstreams = merge(base.Upstreams, p.Set.Upstreams, p.Removed.Upstreams, upstreamName)
-	doc.Models = merge(base.Models, p.Set.Models, p.Removed.Models, modelName)
-	doc.Services = merge(base.Services, p.Set.Services, p.Removed.Services, serviceName)
-	doc.Operators = merge(base.Operators, p.Set.Operators, p.Removed.Operators, operatorName)
+	doc.Classes = mergeEntries(base.Classes, p.Set.Classes, p.Removed.Classes, className)
+	doc.Organisations = mergeEntries(base.Organisations, p.Set.Organisations, p.Removed.Organisations, organisationName)
+	doc.Upstreams = mergeEntries(base.Upstreams, p.Set.Upstreams, p.Removed.Upstreams, upstreamName)
+	doc.Models = mergeEntries(base.Models, p.Set.Models, p.Removed.Models, modelName)
+	doc.Services = mergeEntries(base.Services, p.Set.Services, p.Removed.Services, serviceName)
+	doc.Operators = mergeEntries(base.Operators, p.Set.Operators, p.Removed.Operators, operatorName)
 	digest, err := DigestOf(&doc)
 	if err != nil {
 		return nil, err
 	}
 	if digest != p.Digest {
-		return nil, fault.New(fault.Internal, "the patch does not make the document that was confirmed")
+		return nil, fault.New(fault.Internal, "applying the patch does not result in the confirmed document")
 	}
 	return &doc, nil
 }
 
-func differ[T any](base, next []T, name func(*T) string) (set []T, removed []string) {
+func diffEntries[T any](base, next []T, name func(*T) string) (set []T, removed []string) {
 	old := make(map[string]*T, len(base))
 	for i := range base {
 		old[name(&base[i])] = &base[i]
@@ -97,7 +97,7 @@
 	return set, removed
 }
 
-func merge[T any](base, set []T, removed []string, name func(*T) string) []T {
+func mergeEntries[T any](base, set []T, removed []string, name func(*T) string) []T {
 	drop := make(map[string]bool, len(set)+len(removed))
 	for _, n := range removed {
 		drop[n] = true
--- a/core/control/revision/patch_test.go
+++ b/core/control/revision/patch_test.go
@@ -13,8 +13,8 @@
 	"github.com/comfreyladder/comfreyladder/core/intent"
 )
 
-// drawn is a document with some of a few organisations and models.
-func drawn(t *rapid.T) intent.Document {
+// drawDocument draws a document with a random selection of organisations and models.
+func drawDocument(t *rapid.T) intent.Document {
 	d := document(rapid.SampledFrom([]float64{0.1, 0.2}).Draw(t, "floor"))
 	for _, n := range rapid.SliceOfNDistinct(rapid.IntRange(0, 6), 0, 6, rapid.ID).Draw(t, "organisations") {
 		d.Organisations = append(d.Organisations, intent.Organisation{
@@ -30,10 +30,10 @@
 	return d
 }
 
-// What a user would see: a configuration in force that nobody confirmed. What
-// happens: a confirm travels as the difference from its base, and a member makes
-// another document of it. Two machines, one given patches and one given whole
-// documents, must answer and end alike, whatever base and number a confirm has.
+// Guards against a configuration in force that nobody confirmed: a confirm is sent as the
+// difference from its base, and a member derives a different document from it. A state
+// machine that receives patches and one that receives complete documents must give the
+// same answers and reach the same state, whatever the base and number of each confirm.
 func TestPatchesPutTheSameInForce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
@@ -41,7 +41,7 @@
 		documents := []intent.Document{{}}
 		for step := range rapid.IntRange(1, 12).Draw(t, "steps") {
 			base := rapid.IntRange(max(0, len(documents)-2), len(documents)-1).Draw(t, "base")
-			doc := drawn(t)
+			doc := drawDocument(t)
 			c := revision.Confirm{Operator: "ada", Number: uint64(rapid.IntRange(1, step+1).Draw(t, "number")), Base: uint64(base), Document: doc}
 			p, err := revision.NewPatch(&documents[base], &doc)
 			g.Expect(err).NotTo(HaveOccurred())
--- a/core/control/revision/revision_test.go
+++ b/core/control/revision/revision_test.go
@@ -51,9 +51,9 @@
 	return n
 }
 
-// What a user would see: two operators believe that their change is in force.
-// What happens: both confirm an intent with the same number, on the same base.
-// Cause: the second overwrites the first, or is answered as if it were the first.
+// Guards against two operators who both believe that their change is in force. Both
+// confirm an intent with the same number on the same base, and the second overwrites the
+// first or is answered as if it were the first.
 func TestEqualNumbersHaveOneWinner(t *testing.T) {
 	g := NewWithT(t)
 	m := revision.New()
@@ -69,9 +69,9 @@
 	g.Expect(changes[0].Path).To(Equal("class.urgent"))
 }
 
-// What a user would see: a change that was confirmed is reported as refused. What
-// happens: the answer is lost, others confirm more, the log is truncated and the
-// instance restarts, the operator sends again. Cause: the first answer is forgotten.
+// Guards against reporting an accepted change as refused. The answer is lost, others
+// confirm more changes, the log is truncated, the instance restarts, and the operator
+// resends. This goes wrong if the first answer has been forgotten.
 func TestResendGetsTheFirstAnswer(t *testing.T) {
 	g := NewWithT(t)
 	m := revision.New()
@@ -93,9 +93,9 @@
 	g.Expect(from).To(Equal(uint64(52)))
 }
 
-// What a user would see: a colleague's change is silently undone. What happens:
-// both plan on one revision, both confirm. Cause: the second plan's document,
-// which lacks the first change, is taken as it is.
+// Guards against silently undoing a colleague's change. Both plan on the same revision
+// and confirm; the second document, which lacks the first change, must not be accepted
+// as it is.
 func TestMovedBaseIsRefusedAndNamed(t *testing.T) {
 	g := NewWithT(t)
 	m := revision.New()
@@ -108,7 +108,7 @@
 	g.Expect(late.Current).To(Equal(uint64(2)))
 	changes, _ := late.Moved[0].Changes()
 	g.Expect(changes[0].Fields[0].Field).To(Equal("floor"))
-	g.Expect(confirm(m, "bo", 3, 2, 0.5).Outcome).To(Equal(revision.Accepted), "a refused confirm leaves its number free")
+	g.Expect(confirm(m, "bo", 3, 2, 0.5).Outcome).To(Equal(revision.Accepted), "a refused confirm does not use up its number")
 }
 
 func TestBadIntentsAreRefusedWithAllProblems(t *testing.T) {
@@ -128,8 +128,8 @@
 	g.Expect(garbage.Outcome).To(Equal(revision.Refused))
 }
 
-// Members that restarted from a snapshot must answer byte for byte like those
-// that did not, or their states drift apart.
+// Members that restarted from a snapshot must give byte-identical answers to those of
+// members that did not. Otherwise their states diverge.
 func TestRestoredMemberAnswersAlike(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := revision.New(), revision.New()
@@ -159,9 +159,9 @@
 	})
 }
 
-// Story: an operator's confirm is answered, but the answer is lost, and a script
-// sends it again a week later. In between thousands of changes were accepted and
-// the record of this one was dropped. It must not be taken for a new intent.
+// Guards against taking a very late resend for a new intent. The answer to a confirm is
+// lost, and a script resends it a week later, after thousands of changes have been
+// accepted and the record of this one was dropped.
 func TestVeryLateResendIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	const records = 8
@@ -178,6 +178,6 @@
 	g.Expect(fault.CodeOf(late.Err())).To(Equal(fault.Conflict))
 	g.Expect(confirm(m, "ada", 4, current, 0).Outcome).To(Equal(revision.NumberForgotten))
 	last := confirm(m, "bo", 100+3*records-1, 0, float64(3*records)/100)
-	g.Expect(last.Outcome).To(Equal(revision.Accepted), "a recent resend gets its answer")
+	g.Expect(last.Outcome).To(Equal(revision.Accepted), "a recent resend gets its first answer")
 	g.Expect(confirm(m, "ada", 6, current, 0.9).Err()).To(Succeed())
 }
--- a/core/control/revision/types.go
+++ b/core/control/revision/types.go
@@ -1,6 +1,6 @@
-// Package revision is the sub-machine that turns operators' intents into numbered
-// revisions of the configuration. A revision is never taken back; the next one
-// follows only from a plan that was made on the current one.
+// Package revision is the replicated state machine that turns operators' intents into
+// numbered revisions of the configuration. A revision is never withdrawn. A new revision
+// is accepted only if its plan was made on the current one.
 package revision
 
 import (
@@ -12,13 +12,13 @@
 	"github.com/comfreyladder/comfreyladder/core/intent"
 )
 
-// Name is the name of the sub-machine.
+// Name is the name of the state machine.
 const Name = "intent"
 
 // Digest is the hex SHA-256 digest of a normalized document.
 type Digest string
 
-// DigestOf returns the digest of a document, which it normalizes.
+// DigestOf normalizes the document in place and returns its digest.
 func DigestOf(d *intent.Document) (Digest, error) {
 	d.Normalize()
 	b, err := control.Marshal(d)
@@ -29,43 +29,43 @@
 	return Digest(hex.EncodeToString(sum[:])), nil
 }
 
-// Confirm is the command: an operator confirms a plan.
+// Confirm is the state machine's command: an operator confirms a plan.
 type Confirm struct {
 	Operator string `codec:"operator" json:"operator"`
-	// Number is chosen by the operator and names the intent. It makes a resend
-	// recognisable; it belongs to whose confirm was accepted first.
+	// Number is chosen by the operator and identifies the intent, so that resends are
+	// recognised. It belongs to the operator whose confirm was accepted first.
 	Number uint64 `codec:"number" json:"number"`
 	// Base is the revision that the plan was made on.
 	Base     uint64          `codec:"base" json:"base"`
 	Document intent.Document `codec:"document" json:"document"`
-	// Patch, if set, stands for the document, seen from the base.
+	// Patch, if set, replaces Document: it is applied to the base.
 	Patch *Patch `codec:"patch,omitempty" json:"patch,omitempty"`
 }
 
-// Outcome says what became of a Confirm.
+// Outcome is the outcome of a Confirm.
 type Outcome string
 
-// The outcomes of a Confirm.
+// Outcomes of a Confirm.
 const (
-	// Accepted means that the document is a revision; for a resend too.
+	// Accepted means that the document became a revision, now or before a resend.
 	Accepted Outcome = "accepted"
-	// NumberTaken means that another operator's intent has the number.
+	// NumberTaken means that another operator's intent has this number.
 	NumberTaken Outcome = "number_taken"
-	// ContentDiffers means that the operator's own intent has the number, but
-	// with another document.
+	// ContentDiffers means that the operator used this number before for a different
+	// document.
 	ContentDiffers Outcome = "content_differs"
-	// NumberForgotten means that the number is at most one of the operator's
-	// that is not remembered any more.
+	// NumberForgotten means that the operator used this number or a higher one in an
+	// intent whose record has been dropped.
 	NumberForgotten Outcome = "number_forgotten"
 	// BaseMoved means that the plan was made on another revision.
 	BaseMoved Outcome = "base_moved"
 	// Refused means that the document is not valid.
 	Refused Outcome = "refused"
-	// NotAllowed means that the operator may not confirm.
+	// NotAllowed means that the operator is unknown or may only read.
 	NotAllowed Outcome = "not_allowed"
 )
 
-// Record tells who brought a revision, with what and when.
+// Record describes the intent that became a revision.
 type Record struct {
 	Revision uint64 `codec:"r" json:"revision"`
 	Operator string `codec:"o" json:"operator"`
@@ -78,8 +78,8 @@
 // HistoryEntry is one revision between a plan's base and the current one.
 type HistoryEntry struct {
 	Record Record `codec:"r"`
-	// Encoded holds the changes as bytes, since values of any type would not
-	// keep it when they are encoded twice; see Changes.
+	// Encoded holds the encoded changes. They are kept as bytes because fields of type
+	// any would lose their types when they are decoded and encoded again. Use Changes.
 	Encoded []byte `codec:"c"`
 }
 
@@ -93,22 +93,22 @@
 // Answer is the result of a Confirm.
 type Answer struct {
 	Outcome Outcome `codec:"outcome"`
-	// Record is the revision that the document became (Accepted), or that of
-	// the intent which has the number (NumberTaken, ContentDiffers).
+	// Record is that of the accepted document (Accepted), or that of the intent which
+	// already has the number (NumberTaken, ContentDiffers).
 	Record Record `codec:"record"`
 	// Current is the revision in force when the answer was made.
 	Current uint64 `codec:"current"`
-	// Moved lists the revisions since the base, oldest first (BaseMoved); with
-	// NumberTaken it holds what the winner changed, if that is still known.
+	// Moved lists the revisions since the base, oldest first (BaseMoved). With
+	// NumberTaken it holds the revision that has the number, if still in the history.
 	Moved []HistoryEntry `codec:"moved"`
-	// MovedFrom is the first revision that Moved can tell about; above the
-	// base's successor when older ones are forgotten.
+	// MovedFrom is the first revision that Moved can contain. It is greater than the
+	// base's successor if older revisions have been dropped from the history.
 	MovedFrom uint64           `codec:"moved_from"`
 	Problems  []intent.Problem `codec:"problems"`
 	Detail    string           `codec:"detail"`
 }
 
-// Err returns nil for an accepted confirm, and else fault.Conflict, fault.Invalid
+// Err returns nil for an accepted confirm, and otherwise fault.Conflict, fault.Invalid
 // or fault.Forbidden with the detail.
 func (a Answer) Err() error {
 	switch a.Outcome {
