--- a/core/control/revision/machine.go
+++ b/core/control/revision/machine.go
@@ -128,11 +128,11 @@
 	return doc, c.Patch.Digest, err
 }
 
-// answerResend answers a confirm whose number was accepted before. It comes first, even
-// before the check of the base: after its answer was lost, the sender of the
-// accepted confirm must not be told that the base moved, by itself, and plan the
-// same change twice. The base is not part of the content: the operator may have
-// planned anew before sending answerResend.
+// answerResend answers a confirm whose number was accepted before. This check precedes
+// all others that may refuse a valid document, even that of the base: a sender whose
+// first answer was lost must not be told that the base has moved, which its own confirm
+// did, and plan the same change twice. The base is not part of the compared content,
+// since the operator may have planned again before the resend.
 func (m *Machine) answerResend(c Confirm, digest Digest, r Record) Answer {
 	switch {
 	case r.Operator == c.Operator && r.Digest == digest:
--- a/core/control/revision/types.go
+++ b/core/control/revision/types.go
@@ -75,7 +75,8 @@
 	At int64 `codec:"a" json:"at"`
 }
 
-// HistoryEntry is one revision between a plan's base and the current one.
+// HistoryEntry is a revision and its changes, for example one between a plan's base and
+// the current revision.
 type HistoryEntry struct {
 	Record Record `codec:"r"`
 	// Encoded holds the encoded changes. They are kept as bytes because fields of type
