--- a/core/control/serving/machine.go
+++ b/core/control/serving/machine.go
@@ -92,15 +92,15 @@
 
 // Limits of the state.
 const (
-	// keepEnded is for how long ended incarnations are remembered, so that their
+	// endedRetention is for how long ended incarnations are remembered, so that their
 	// late heartbeats don't bring them back.
-	keepEnded = 10 * time.Minute
+	endedRetention = 10 * time.Minute
 	// maxUpstreams bounds the incarnations in the state; the longest ended go first.
 	maxUpstreams = 16384
 )
 
-// state is the form of a snapshot.
-type state struct {
+// snapshotState is the form of a snapshot.
+type snapshotState struct {
 	Version   uint64     `codec:"v"`
 	Table     []byte     `codec:"t"`
 	Source    []byte     `codec:"s"`
@@ -112,14 +112,14 @@
 
 // Machine is the sub-machine. It is not safe for concurrent use.
 type Machine struct {
-	s  state
-	by map[string]*Upstream
+	s    snapshotState
+	byID map[string]*Upstream
 	// services are those that the table in force names.
 	services map[string]bool
 }
 
 // New returns a machine without a table and upstreams.
-func New() *Machine { return &Machine{by: map[string]*Upstream{}} }
+func New() *Machine { return &Machine{byID: map[string]*Upstream{}} }
 
 // Apply implements control.Machine. The result is empty; a command that does not
 // decode changes nothing.
@@ -136,7 +136,7 @@
 	case c.Leave != "":
 		m.leave(index, at, c.Leave, c.LeaveBorn)
 	default:
-		m.silence(index, at, c.Silent)
+		m.markSilent(index, at, c.Silent)
 	}
 	m.prune(index, at)
 	return nil
@@ -168,7 +168,7 @@
 }
 
 func (m *Machine) announce(index uint64, at time.Time, u *Upstream) {
-	known := m.by[u.ID]
+	known := m.byID[u.ID]
 	next := *u
 	next.Begun = index
 	if known != nil {
@@ -196,11 +196,11 @@
 // back. Where both say when they started, the later one has the address at once, and an
 // upstream of a service that the table does not name takes it from nobody.
 func (m *Machine) claimAddress(index uint64, at time.Time, by *Upstream) {
-	for id, u := range m.by {
+	for id, u := range m.byID {
 		if id == by.ID || u.Address != by.Address || (u.State != Ready && u.State != Draining) {
 			continue
 		}
-		if by.Born > 0 && u.Born > by.Born || m.named(u.Service) && !m.named(by.Service) {
+		if by.Born > 0 && u.Born > by.Born || m.hasService(u.Service) && !m.hasService(by.Service) {
 			by.State = Superseded
 			continue
 		}
@@ -209,13 +209,13 @@
 	}
 }
 
-// named reports whether the table in force names a service.
-func (m *Machine) named(service string) bool { return m.services[service] }
+// hasService reports whether the table in force names a service.
+func (m *Machine) hasService(service string) bool { return m.services[service] }
 
 // leave ends an incarnation. Where the leave does not say which one under the ID it is
 // of, it ends the one that is known: work must not go on to an upstream that left.
 func (m *Machine) leave(index uint64, at time.Time, id string, born int64) {
-	known := m.by[id]
+	known := m.byID[id]
 	if known == nil || born > 0 && compare(known, &Upstream{Born: born}) == newer {
 		// The leave may overtake the announcement; it has to outlive it.
 		known = &Upstream{ID: id, Born: born, Begun: index}
@@ -228,9 +228,9 @@
 	m.set(index, at, &next)
 }
 
-func (m *Machine) silence(index uint64, at time.Time, ids []string) {
+func (m *Machine) markSilent(index uint64, at time.Time, ids []string) {
 	for _, id := range ids {
-		if u := m.by[id]; u != nil && !u.Silent && u.State != Gone {
+		if u := m.byID[id]; u != nil && !u.Silent && u.State != Gone {
 			next := *u
 			next.Silent = true
 			m.set(index, at, &next)
@@ -240,28 +240,28 @@
 
 func (m *Machine) set(index uint64, at time.Time, u *Upstream) {
 	u.Changed, u.At = index, at.UnixNano()
-	m.by[u.ID] = u
+	m.byID[u.ID] = u
 	m.s.Index = index
 }
 
 func (m *Machine) prune(index uint64, at time.Time) {
-	limit := at.Add(-keepEnded).UnixNano()
-	for id, u := range m.by {
+	limit := at.Add(-endedRetention).UnixNano()
+	for id, u := range m.byID {
 		if u.At < limit && (u.Silent || u.State >= Superseded) {
-			delete(m.by, id)
+			delete(m.byID, id)
 			m.s.Pruned, m.s.Index = index, index
 		}
 	}
-	for len(m.by) > maxUpstreams {
-		delete(m.by, m.oldest())
+	for len(m.byID) > maxUpstreams {
+		delete(m.byID, m.oldest())
 		m.s.Pruned, m.s.Index = index, index
 	}
 }
 
 func (m *Machine) oldest() string {
 	best := ""
-	for id, u := range m.by {
-		if b := m.by[best]; b == nil || u.At < b.At || u.At == b.At && id < best {
+	for id, u := range m.byID {
+		if b := m.byID[best]; b == nil || u.At < b.At || u.At == b.At && id < best {
 			best = id
 		}
 	}
@@ -277,13 +277,13 @@
 
 // Restore implements control.Machine.
 func (m *Machine) Restore(snapshot []byte) error {
-	var s state
+	var s snapshotState
 	if err := control.Unmarshal(snapshot, &s); err != nil {
 		return err
 	}
-	m.by = make(map[string]*Upstream, len(s.Upstreams))
+	m.byID = make(map[string]*Upstream, len(s.Upstreams))
 	for i := range s.Upstreams {
-		m.by[s.Upstreams[i].ID] = &s.Upstreams[i]
+		m.byID[s.Upstreams[i].ID] = &s.Upstreams[i]
 	}
 	s.Upstreams = nil
 	m.s = s
@@ -293,8 +293,8 @@
 
 // Upstreams returns all incarnations, by ID.
 func (m *Machine) Upstreams() []Upstream {
-	list := make([]Upstream, 0, len(m.by))
-	for _, u := range m.by {
+	list := make([]Upstream, 0, len(m.byID))
+	for _, u := range m.byID {
 		list = append(list, *u)
 	}
 	slices.SortFunc(list, func(a, b Upstream) int { return strings.Compare(a.ID, b.ID) })
@@ -303,7 +303,7 @@
 
 // Upstream returns one incarnation.
 func (m *Machine) Upstream(id string) (Upstream, bool) {
-	u := m.by[id]
+	u := m.byID[id]
 	if u == nil {
 		return Upstream{}, false
 	}
@@ -335,7 +335,7 @@
 	if m.s.TableAt > index {
 		c.Table = m.s.Table
 	}
-	for _, u := range m.by {
+	for _, u := range m.byID {
 		if c.Full || u.Changed > index {
 			c.Upstreams = append(c.Upstreams, *u)
 		}
