--- a/core/control/serving/incarnation.go
+++ b/core/control/serving/incarnation.go
@@ -36,8 +36,8 @@
 	return newer
 }
 
-// TellsNews reports whether a heartbeat changes what is known under its ID.
-func TellsNews(known, u *Upstream) bool {
+// ChangesState reports whether a heartbeat changes what is known under its ID.
+func ChangesState(known, u *Upstream) bool {
 	switch compare(known, u) {
 	case older:
 		return false
--- a/core/control/serving/incarnation_test.go
+++ b/core/control/serving/incarnation_test.go
@@ -80,7 +80,7 @@
 	l.beat("a", 0, 7, serving.Ready)
 	was, _ := l.m.Upstream("a")
 	next := serving.Upstream{ID: "a", Service: "s", Address: "x:1", Slots: 4, Born: start - 9000, Sequence: 8, State: serving.Ready}
-	g.Expect(serving.TellsNews(&was, &next)).To(BeTrue(), "the start has to be kept")
+	g.Expect(serving.ChangesState(&was, &next)).To(BeTrue(), "the start has to be kept")
 	l.beat("a", start-9000, 8, serving.Ready)
 	u, _ := l.m.Upstream("a")
 	g.Expect(u.Begun).To(Equal(was.Begun))
--- a/instance/serving/serving.go
+++ b/instance/serving/serving.go
@@ -254,7 +254,7 @@
 	var ok bool
 	machine(g, func(m *serving.Machine) { known, ok = m.Upstream(u.ID) })
 	s.note(u.ID)
-	if ok && !serving.TellsNews(&known, &u) {
+	if ok && !serving.ChangesState(&known, &u) {
 		return nil
 	}
 	err = s.propose(ctx, &serving.Command{Announce: &u})
