--- a/core/control/serving/incarnation.go
+++ b/core/control/serving/incarnation.go
@@ -26,11 +26,11 @@
 // heartbeat that it had sent before.
 func compare(known, u *Upstream) relation {
 	switch {
-	case u.Born == 0 || u.Born == known.Born:
+	case u.StartedAt == 0 || u.StartedAt == known.StartedAt:
 		return same
-	case known.Born == 0 && u.Born <= known.At/int64(time.Millisecond):
+	case known.StartedAt == 0 && u.StartedAt <= known.At/int64(time.Millisecond):
 		return same
-	case u.Born < known.Born:
+	case u.StartedAt < known.StartedAt:
 		return older
 	}
 	return newer
@@ -47,7 +47,7 @@
 	if known.State == Gone || u.Sequence <= known.Sequence {
 		return false
 	}
-	if known.Silent || known.State == Superseded || known.Born < u.Born {
+	if known.Silent || known.State == Superseded || known.StartedAt < u.StartedAt {
 		return true
 	}
 	return known.State != Draining && known.State != u.State ||
--- a/core/control/serving/incarnation_test.go
+++ b/core/control/serving/incarnation_test.go
@@ -17,7 +17,7 @@
 const start = 1_000_000
 
 func (l *log) beat(id string, born int64, sequence uint64, s serving.State) {
-	l.apply(serving.Command{Announce: &serving.Upstream{ID: id, Service: "s", Address: "x:1", Slots: 4, Born: born, Sequence: sequence, State: s}})
+	l.apply(serving.Command{Announce: &serving.Upstream{ID: id, Service: "s", Address: "x:1", Slots: 4, StartedAt: born, Sequence: sequence, State: s}})
 }
 
 func (l *log) leave(id string, born int64) { l.apply(serving.Command{Leave: id, LeaveBorn: born}) }
@@ -33,7 +33,7 @@
 		"left":                      func(l *log) { l.leave("a", start-50) },
 		"left without saying which": func(l *log) { l.leave("a", 0) },
 		"superseded": func(l *log) {
-			l.apply(serving.Command{Announce: &serving.Upstream{ID: "b", Service: "s", Address: "x:1", Born: start - 10, Sequence: 1, State: serving.Ready}})
+			l.apply(serving.Command{Announce: &serving.Upstream{ID: "b", Service: "s", Address: "x:1", StartedAt: start - 10, Sequence: 1, State: serving.Ready}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -79,7 +79,7 @@
 	l := newLog()
 	l.beat("a", 0, 7, serving.Ready)
 	was, _ := l.m.Upstream("a")
-	next := serving.Upstream{ID: "a", Service: "s", Address: "x:1", Slots: 4, Born: start - 9000, Sequence: 8, State: serving.Ready}
+	next := serving.Upstream{ID: "a", Service: "s", Address: "x:1", Slots: 4, StartedAt: start - 9000, Sequence: 8, State: serving.Ready}
 	g.Expect(serving.ChangesState(&was, &next)).To(BeTrue(), "the start has to be kept")
 	l.beat("a", start-9000, 8, serving.Ready)
 	u, _ := l.m.Upstream("a")
@@ -87,7 +87,7 @@
 	l.beat("a", 0, 9, serving.Draining)
 	g.Expect(l.state("a")).To(Equal(serving.Draining), "without a start it is of the known incarnation")
 	u, _ = l.m.Upstream("a")
-	g.Expect(u.Born).To(Equal(int64(start - 9000)))
+	g.Expect(u.StartedAt).To(Equal(int64(start - 9000)))
 }
 
 // An engine crashes behind a partition, another one starts at its address, and the dead
@@ -163,7 +163,7 @@
 			l.beat("a", m.born, m.sequence, m.state)
 		}
 		u, _ := l.m.Upstream("a")
-		if u.Born != last.born || u.State != last.state {
+		if u.StartedAt != last.born || u.State != last.state {
 			t.Fatalf("said last: %+v; the state: %+v", last, u)
 		}
 	})
--- a/core/control/serving/machine.go
+++ b/core/control/serving/machine.go
@@ -47,9 +47,9 @@
 	Domain  string `codec:"d"`
 	Slots   int    `codec:"n"`
 	State   State  `codec:"t"`
-	// Born is the Unix millisecond at which the incarnation started, by its own word; zero
+	// StartedAt is the Unix millisecond at which the incarnation started, by its own word; zero
 	// where it does not say. Sequence orders its heartbeats.
-	Born     int64  `codec:"b,omitempty"`
+	StartedAt     int64  `codec:"b,omitempty"`
 	Sequence uint64 `codec:"q"`
 	// Begun is the log index at which the incarnation was first heard of. It tells two
 	// incarnations under one ID apart for those who remember anything by the ID.
@@ -179,7 +179,7 @@
 			if known.State == Gone || u.Sequence <= known.Sequence {
 				return
 			}
-			next.Begun, next.Born = known.Begun, max(known.Born, u.Born)
+			next.Begun, next.StartedAt = known.Begun, max(known.StartedAt, u.StartedAt)
 			if known.State == Draining {
 				// An incarnation that began to drain does not come back.
 				next.State = Draining
@@ -200,7 +200,7 @@
 		if id == by.ID || u.Address != by.Address || (u.State != Ready && u.State != Draining) {
 			continue
 		}
-		if by.Born > 0 && u.Born > by.Born || m.hasService(u.Service) && !m.hasService(by.Service) {
+		if by.StartedAt > 0 && u.StartedAt > by.StartedAt || m.hasService(u.Service) && !m.hasService(by.Service) {
 			by.State = Superseded
 			continue
 		}
@@ -216,11 +216,11 @@
 // of, it ends the one that is known: work must not go on to an upstream that left.
 func (m *Machine) leave(index uint64, at time.Time, id string, born int64) {
 	known := m.byID[id]
-	if known == nil || born > 0 && compare(known, &Upstream{Born: born}) == newer {
+	if known == nil || born > 0 && compare(known, &Upstream{StartedAt: born}) == newer {
 		// The leave may overtake the announcement; it has to outlive it.
-		known = &Upstream{ID: id, Born: born, Begun: index}
+		known = &Upstream{ID: id, StartedAt: born, Begun: index}
 	}
-	if known.State == Gone || born > 0 && born < known.Born {
+	if known.State == Gone || born > 0 && born < known.StartedAt {
 		return
 	}
 	next := *known
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -80,7 +80,7 @@
 				}
 				delete(f.byBegun, u.begun)
 				u.retire()
-				f.log.Event("upstream_restarted").Str("upstream", id).Str("address", info.Address).Int("born", info.Born).Int("index", int64(v.Index)).End()
+				f.log.Event("upstream_restarted").Str("upstream", id).Str("address", info.Address).Int("born", info.StartedAt).Int("index", int64(v.Index)).End()
 			}
 			u = newUpstream(info)
 			f.upstreams[id], f.byBegun[u.begun] = u, u
--- a/instance/serving/serving.go
+++ b/instance/serving/serving.go
@@ -259,7 +259,7 @@
 	}
 	err = s.propose(ctx, &serving.Command{Announce: &u})
 	s.cfg.Log.Info().Str("event", "upstream_announced").Str("upstream", u.ID).Str("service", u.Service).Str("address", u.Address).
-		Str("state", u.State.String()).Int64("born", u.Born).Uint64("sequence", u.Sequence).Str("before", known.State.String()).Bool("was_silent", known.Silent).Bool("preemptible", u.Preemptible).Int64("leaves_ms", u.LeavesMS).
+		Str("state", u.State.String()).Int64("born", u.StartedAt).Uint64("sequence", u.Sequence).Str("before", known.State.String()).Bool("was_silent", known.Silent).Bool("preemptible", u.Preemptible).Int64("leaves_ms", u.LeavesMS).
 		Str("outcome", outcome(err)).Err(err).Msg("heartbeat of an upstream")
 	return err
 }
