--- a/core/control/serving/incarnation_test.go
+++ b/core/control/serving/incarnation_test.go
@@ -20,7 +20,7 @@
 	l.apply(serving.Command{Announce: &serving.Upstream{ID: id, Service: "s", Address: "x:1", Slots: 4, StartedAt: born, Sequence: sequence, State: s}})
 }
 
-func (l *log) leave(id string, born int64) { l.apply(serving.Command{Leave: id, LeaveBorn: born}) }
+func (l *log) leave(id string, born int64) { l.apply(serving.Command{Leave: id, LeaveStartedAt: born}) }
 
 // An engine crashes and starts again under its ID while requests wait for it. Its
 // heartbeats count from one again. Were they ordered by their sequence alone, it would
--- a/core/control/serving/machine.go
+++ b/core/control/serving/machine.go
@@ -85,7 +85,7 @@
 	Announce *Upstream `codec:"a,omitempty"`
 	// Leave is the ID of an incarnation that leaves, LeaveBorn when it started if it says so.
 	Leave     string `codec:"l,omitempty"`
-	LeaveBorn int64  `codec:"b,omitempty"`
+	LeaveStartedAt int64  `codec:"b,omitempty"`
 	// Silent lists incarnations that no member has heard for a while.
 	Silent []string `codec:"x,omitempty"`
 }
@@ -134,7 +134,7 @@
 	case c.Announce != nil:
 		m.announce(index, at, c.Announce)
 	case c.Leave != "":
-		m.leave(index, at, c.Leave, c.LeaveBorn)
+		m.leave(index, at, c.Leave, c.LeaveStartedAt)
 	default:
 		m.markSilent(index, at, c.Silent)
 	}
--- a/instance/serving/serving.go
+++ b/instance/serving/serving.go
@@ -268,7 +268,7 @@
 // does not say when. When it returns without a failure, every confirmed answer from then
 // on has it.
 func (s *Service) Leave(ctx context.Context, id string, born int64) error {
-	err := s.propose(ctx, &serving.Command{Leave: id, LeaveBorn: born})
+	err := s.propose(ctx, &serving.Command{Leave: id, LeaveStartedAt: born})
 	s.cfg.Log.Info().Str("event", "upstream_left").Str("upstream", id).Int64("born", born).Str("outcome", outcome(err)).Err(err).Msg("an upstream leaves")
 	return err
 }
