--- a/core/control/serving/incarnation_test.go
+++ b/core/control/serving/incarnation_test.go
@@ -47,14 +47,14 @@
 			g.Expect(u.State).To(Equal(serving.Ready))
 			g.Expect(u.Silent).To(BeFalse())
 			g.Expect(u.Sequence).To(Equal(uint64(1)))
-			g.Expect(u.Begun).NotTo(Equal(was.Begun), "whoever remembers things by the ID must see that they are void")
+			g.Expect(u.FirstIndex).NotTo(Equal(was.FirstIndex), "whoever remembers things by the ID must see that they are void")
 
 			l.beat("a", start-50, 99, serving.Draining)
 			l.leave("a", start-50)
 			g.Expect(l.state("a")).To(Equal(serving.Ready), "what the dead incarnation sent changes nothing")
 			l.beat("a", start+500, 2, serving.Ready)
 			v, _ := l.m.Upstream("a")
-			g.Expect(v.Begun).To(Equal(u.Begun))
+			g.Expect(v.FirstIndex).To(Equal(u.FirstIndex))
 		})
 	}
 }
@@ -83,7 +83,7 @@
 	g.Expect(serving.ChangesState(&was, &next)).To(BeTrue(), "the start has to be kept")
 	l.beat("a", start-9000, 8, serving.Ready)
 	u, _ := l.m.Upstream("a")
-	g.Expect(u.Begun).To(Equal(was.Begun))
+	g.Expect(u.FirstIndex).To(Equal(was.FirstIndex))
 	l.beat("a", 0, 9, serving.Draining)
 	g.Expect(l.state("a")).To(Equal(serving.Draining), "without a start it is of the known incarnation")
 	u, _ = l.m.Upstream("a")
--- a/core/control/serving/machine.go
+++ b/core/control/serving/machine.go
@@ -51,9 +51,9 @@
 	// where it does not say. Sequence orders its heartbeats.
 	StartedAt     int64  `codec:"b,omitempty"`
 	Sequence uint64 `codec:"q"`
-	// Begun is the log index at which the incarnation was first heard of. It tells two
+	// FirstIndex is the log index at which the incarnation was first heard of. It tells two
 	// incarnations under one ID apart for those who remember anything by the ID.
-	Begun uint64 `codec:"g,omitempty"`
+	FirstIndex uint64 `codec:"g,omitempty"`
 	// Silent means that no heartbeat came for a while. It may still serve those
 	// that reach it.
 	Silent bool `codec:"x"`
@@ -170,7 +170,7 @@
 func (m *Machine) announce(index uint64, at time.Time, u *Upstream) {
 	known := m.byID[u.ID]
 	next := *u
-	next.Begun = index
+	next.FirstIndex = index
 	if known != nil {
 		switch compare(known, u) {
 		case older:
@@ -179,7 +179,7 @@
 			if known.State == Gone || u.Sequence <= known.Sequence {
 				return
 			}
-			next.Begun, next.StartedAt = known.Begun, max(known.StartedAt, u.StartedAt)
+			next.FirstIndex, next.StartedAt = known.FirstIndex, max(known.StartedAt, u.StartedAt)
 			if known.State == Draining {
 				// An incarnation that began to drain does not come back.
 				next.State = Draining
@@ -218,7 +218,7 @@
 	known := m.byID[id]
 	if known == nil || born > 0 && compare(known, &Upstream{StartedAt: born}) == newer {
 		// The leave may overtake the announcement; it has to outlive it.
-		known = &Upstream{ID: id, StartedAt: born, Begun: index}
+		known = &Upstream{ID: id, StartedAt: born, FirstIndex: index}
 	}
 	if known.State == Gone || born > 0 && born < known.StartedAt {
 		return
--- a/instance/follow/follow.go
+++ b/instance/follow/follow.go
@@ -84,7 +84,7 @@
 // Knows reports whether an incarnation is known by the log index at which it was first heard of.
 func (v *View) Knows(begun uint64) bool {
 	for _, u := range v.Upstreams {
-		if u.Begun == begun {
+		if u.FirstIndex == begun {
 			return true
 		}
 	}
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -71,7 +71,7 @@
 	f.services = map[string][]*upstream{}
 	for id, info := range v.Upstreams {
 		u := f.upstreams[id]
-		if u == nil || u.address != info.Address || u.begun != info.Begun {
+		if u == nil || u.address != info.Address || u.begun != info.FirstIndex {
 			// An upstream that started again keeps nothing, is as fast as any, and has none
 			// of the work that its ID had before.
 			if u != nil {
--- a/instance/relay/load_test.go
+++ b/instance/relay/load_test.go
@@ -137,7 +137,7 @@
 	sim := map[string]*simEngine{}
 	for i := range engines {
 		id := fmt.Sprint("e", i)
-		view.Upstreams[id] = &serving.Upstream{ID: id, Service: "s", Address: id, Domain: "d", Slots: slots, State: serving.Ready, Begun: uint64(i + 1)}
+		view.Upstreams[id] = &serving.Upstream{ID: id, Service: "s", Address: id, Domain: "d", Slots: slots, State: serving.Ready, FirstIndex: uint64(i + 1)}
 		sim[id] = &simEngine{id: id, slots: slots, perMS: 80, kept: map[uint64]bool{}}
 		if i < slow {
 			sim[id].slowness = slowTimes
--- a/instance/relay/suite_test.go
+++ b/instance/relay/suite_test.go
@@ -249,7 +249,7 @@
 	RegisterTestingT(t)
 	v := &follow.View{Index: 1, Routes: route.NewIndex(routes()), Upstreams: map[string]*serving.Upstream{}, Forwarders: 1}
 	for _, u := range ups {
-		v.Upstreams[u.id] = &serving.Upstream{ID: u.id, Service: "s", Address: u.listener.Addr().String(), State: serving.Ready, Slots: 8, Begun: u.begun()}
+		v.Upstreams[u.id] = &serving.Upstream{ID: u.id, Service: "s", Address: u.listener.Addr().String(), State: serving.Ready, Slots: 8, FirstIndex: u.begun()}
 	}
 	b := &bed{t: t, state: &state{view: v, lease: time.Minute}, list: &fakeQuarantine{}, limits: &fakeLimits{}}
 	b.service = relay.New(relay.Config{
--- a/instance/relay/upstream.go
+++ b/instance/relay/upstream.go
@@ -40,7 +40,7 @@
 }
 
 func newUpstream(info *serving.Upstream) *upstream {
-	u := &upstream{id: info.ID, address: info.Address, begun: info.Begun}
+	u := &upstream{id: info.ID, address: info.Address, begun: info.FirstIndex}
 	u.pool.address = info.Address
 	return u
 }
--- a/instance/serving/fleet.go
+++ b/instance/serving/fleet.go
@@ -57,7 +57,7 @@
 		if u.Service != service || !u.Usable() || u.Silent {
 			continue
 		}
-		if perSecond, limited := s.Limit(u.Begun); limited {
+		if perSecond, limited := s.Limit(u.FirstIndex); limited {
 			sum += 1 - balance.TakenPart(perSecond, eachPerSecond)
 		}
 	}
--- a/instance/serving/limits.go
+++ b/instance/serving/limits.go
@@ -45,7 +45,7 @@
 	there := map[uint64]bool{}
 	machine(g, func(m *serving.Machine) {
 		for _, u := range m.Upstreams() {
-			there[u.Begun] = u.State <= serving.Draining
+			there[u.FirstIndex] = u.State <= serving.Draining
 		}
 	})
 	s.mu.Lock()
