--- a/core/control/usage/bytes_bench_test.go
+++ b/core/control/usage/bytes_bench_test.go
@@ -11,15 +11,16 @@
 	core "github.com/comfreyladder/comfreyladder/core/usage"
 )
 
-// size is a deployment whose requests are counted.
-type size struct {
+// deployment is a deployment whose requests are counted.
+type deployment struct {
 	instances, organisations, perSecond int
 }
 
-// told plays some seconds of counting and returns the bytes a second that one instance tells
-// its member, and that members put into the log. Instances tell every quarter of a second,
-// members propose twice a second; a sixth of the instances is at each of six members.
-func (s size) told(seconds int) (instance, log float64) {
+// bytesPerSecond simulates some seconds of counting and returns the bytes per second that one
+// instance sends to its member and that all members append to the log. Instances report four
+// times a second and members propose twice a second. Each of six members receives the reports
+// of a sixth of the instances.
+func (s deployment) bytesPerSecond(seconds int) (instance, log float64) {
 	const members, ticks = 6, 4
 	r := rand.New(rand.NewPCG(1, 2))
 	counters := make([]*core.Counter, s.instances)
@@ -33,7 +34,7 @@
 	for tick := range seconds * ticks {
 		now := time.Unix(1000, 0).Add(time.Duration(tick) * time.Second / ticks)
 		for range s.perSecond / ticks {
-			// A few organisations are large.
+			// The cube gives a few organisations most of the requests.
 			u := r.Float64()
 			counters[r.IntN(s.instances)].Add(now, fmt.Sprintf("hule%03d", int(u*u*u*float64(s.organisations))))
 		}
@@ -58,14 +59,14 @@
 	return instance / float64(s.instances*seconds), log / float64(seconds)
 }
 
-// BenchmarkCounts tells the bytes of usage counts. With 73 instances, 24 organisations and 600
-// requests a second an instance tells 109 B a second and the log takes 6.6 kB; with 450
-// instances, 1,600 organisations and 4,700 requests 150 B and 62 kB. There were none before.
+// BenchmarkCounts measures the bytes of usage counts. With 73 instances, 24 organisations and
+// 600 requests per second, an instance sends 109 B/s and the log grows by 6.6 kB/s; with 450
+// instances, 1,600 organisations and 4,700 requests per second, 150 B/s and 62 kB/s.
 func BenchmarkCounts(b *testing.B) {
-	for _, s := range []size{{73, 24, 600}, {450, 1600, 4700}} {
+	for _, s := range []deployment{{73, 24, 600}, {450, 1600, 4700}} {
 		b.Run(fmt.Sprint(s.instances), func(b *testing.B) {
 			for b.Loop() {
-				instance, log := s.told(20)
+				instance, log := s.bytesPerSecond(20)
 				b.ReportMetric(instance, "B/s-instance")
 				b.ReportMetric(log, "B/s-log")
 			}
--- a/core/control/usage/machine.go
+++ b/core/control/usage/machine.go
@@ -1,10 +1,10 @@
-// Package usage is the sub-machine that holds what instances counted (core/usage), closes
-// windows, and remembers which reports were settled with the one who takes them. It is a
-// sub-machine of core/control.
+// Package usage is the replicated state machine that holds the request counts of instances
+// (core/usage), closes windows, and records which reports have been settled with their
+// receiver. It is one of the state machines of core/control.
 //
-// The content of a report is what the counts are when the window's close is applied. So it
-// is the same for every holder of the duty, whoever dies after sending it: a second report
-// of a window with other counts would bill an organisation twice or wrongly.
+// The content of a report is fixed when the close of its window is applied. So it is the same
+// for every holder of the duty, even if one dies after sending it. A second report of a
+// window with different counts would bill an organisation twice or wrongly.
 package usage
 
 import (
@@ -16,81 +16,82 @@
 	"github.com/comfreyladder/comfreyladder/core/usage"
 )
 
-// Name of the sub-machine.
+// Name is the name of the state machine.
 const Name = "usage"
 
-// Outcome is what became of a report.
+// Outcome is the outcome of a report.
 type Outcome string
 
-// The outcomes of a report.
+// Outcomes of a report.
 const (
-	// Open reports are still to be acknowledged.
+	// Open reports have not been acknowledged or refused yet.
 	Open Outcome = ""
-	// Acknowledged reports were taken.
+	// Acknowledged reports were accepted by the receiver.
 	Acknowledged Outcome = "acknowledged"
-	// Refused reports were called faulty; to send them again can't help.
+	// Refused reports were rejected as invalid, so a resend cannot succeed.
 	Refused Outcome = "refused"
 )
 
-// Total is what one organisation used in a window.
+// Total is the number of requests of an organisation in a window.
 type Total struct {
 	Organisation string `codec:"o"`
 	Requests     uint64 `codec:"n"`
 }
 
-// Closed is a window whose report is agreed on.
+// Closed is a closed window, whose report is fixed.
 type Closed struct {
 	Window int64   `codec:"w"`
 	Totals []Total `codec:"t"`
-	// Instances told counts of the window, that it was over, or something of the window before;
-	// Missing of them had not told all of it when it was closed.
+	// Instances is how many instances had sent a report during this window, during the one
+	// before, or later. Missing of them had not yet reported all of their counts for the
+	// window when it was closed.
 	Instances int `codec:"i"`
 	Missing   int `codec:"m"`
-	// Late is how many requests were told after that. They are in no report.
+	// Late is how many requests were reported after the close. They are in no report.
 	Late    uint64  `codec:"l"`
 	Outcome Outcome `codec:"s"`
-	// At is when it was closed and SettledAt when it was settled, by the log's time, in
-	// nanoseconds since the Unix epoch.
+	// At is when the window was closed and SettledAt when its report was settled, by the
+	// log's time, in nanoseconds since the Unix epoch.
 	At        int64 `codec:"a"`
 	SettledAt int64 `codec:"b"`
 }
 
-// Settle says what became of a window's report.
+// Settle is the command that records the outcome of a window's report.
 type Settle struct {
 	Window  int64   `codec:"w"`
 	Outcome Outcome `codec:"s"`
 }
 
-// Command is one of the machine's commands: exactly one field is set.
+// Command is a command of the state machine. Exactly one field is set.
 type Command struct {
-	// Counts are reports of instances, as one member gathered them.
+	// Counts are reports of instances, as collected by one member.
 	Counts []usage.Report `codec:"c,omitempty"`
-	// Close ends a window. Only the next one in order can be closed, and only once.
+	// Close closes a window. Windows can only be closed in order, and only once.
 	Close  *int64  `codec:"x,omitempty"`
 	Settle *Settle `codec:"s,omitempty"`
 }
 
 const (
-	// keepSettled is how many settled windows are remembered, for operators.
-	keepSettled = 64
-	// maxOpen bounds the windows that wait to be acknowledged: those of three hours at five
-	// seconds each. The oldest go first.
+	// maxSettled is how many settled windows are kept for operators to inspect.
+	maxSettled = 64
+	// maxOpen bounds the windows whose reports are open: three hours of windows of five
+	// seconds. The oldest are dropped first.
 	maxOpen = 2160
-	// keepCounts is for how many windows after its close a window's counts are kept by
-	// instance, to tell how much came late.
-	keepCounts = 3
-	// keepInstances is after how many windows without a word an instance is forgotten.
-	keepInstances = 24
+	// countRetention is for how many windows after its close a window's counts are kept per
+	// instance, to determine how many requests were reported late.
+	countRetention = 3
+	// instanceRetention is after how many windows without a report an instance is dropped.
+	instanceRetention = 24
 )
 
-// instance is what one start of an instance has told.
+// instance is one run of an instance in a snapshot.
 type instance struct {
 	ID uint64 `codec:"i"`
-	// Current is the window that went on there when it told last.
+	// Current is the window in progress at the instance as of its latest report.
 	Current int64 `codec:"c"`
 }
 
-// cell is one total in a snapshot.
+// cell is the count of one organisation at one run of an instance in a snapshot.
 type cell struct {
 	Instance     uint64 `codec:"i"`
 	Window       int64  `codec:"w"`
@@ -98,8 +99,8 @@
 	Requests     uint64 `codec:"n"`
 }
 
-// state is the form of a snapshot.
-type state struct {
+// snapshotState is the encoded form of a snapshot.
+type snapshotState struct {
 	Begun     bool       `codec:"b"`
 	Next      int64      `codec:"n"`
 	Instances []instance `codec:"i"`
@@ -112,21 +113,21 @@
 	organisation string
 }
 
-// Machine is the sub-machine. It is not safe for concurrent use.
+// Machine is the replicated state machine. It is not safe for concurrent use.
 type Machine struct {
-	begun     bool
+	started   bool
 	next      int64
 	instances map[uint64]int64
 	windows   map[int64]map[cellKey]uint64
 	closed    []Closed
 }
 
-// New returns a machine that has heard nothing.
+// New returns a Machine without counts.
 func New() *Machine {
 	return &Machine{instances: map[uint64]int64{}, windows: map[int64]map[cellKey]uint64{}}
 }
 
-// Apply implements control.Machine. The result is empty; a command that does not decode
+// Apply implements control.Machine. The result is empty. A command that cannot be decoded
 // changes nothing.
 func (m *Machine) Apply(_ uint64, at time.Time, data []byte) []byte {
 	var c Command
@@ -150,9 +151,9 @@
 	if r.Empty() {
 		return
 	}
-	if !m.begun {
-		// Nobody counted before this: the window that goes on is the first one.
-		m.begun, m.next = true, r.Current
+	if !m.started {
+		// This is the first report, so its window in progress is the first window.
+		m.started, m.next = true, r.Current
 	}
 	m.instances[r.Instance] = max(m.instances[r.Instance], r.Current)
 	for _, n := range r.Counts {
@@ -169,14 +170,14 @@
 			continue
 		}
 		if n.Window < m.next {
-			m.late(n.Window, n.Requests-w[k])
+			m.addLate(n.Window, n.Requests-w[k])
 		}
 		w[k] = n.Requests
 	}
 }
 
-// late notes requests of a window that is closed.
-func (m *Machine) late(window int64, requests uint64) {
+// addLate adds to the late requests of a closed window.
+func (m *Machine) addLate(window int64, requests uint64) {
 	for i := range m.closed {
 		if m.closed[i].Window == window {
 			m.closed[i].Late += requests
@@ -185,10 +186,10 @@
 }
 
 func (m *Machine) close(window int64, at time.Time) {
-	if !m.begun || window != m.next {
+	if !m.started || window != m.next {
 		return
 	}
-	instances, missing := m.told(window)
+	instances, missing := m.participants(window)
 	m.closed = append(m.closed, Closed{
 		Window: window, Totals: m.totals(window), Instances: instances, Missing: missing, At: at.UnixNano(),
 	})
@@ -212,16 +213,16 @@
 	return list
 }
 
-// awaited is for how many windows an instance is waited for that tells nothing any more: it
-// may be cut off for some seconds, and come back with what it counted meanwhile. One that has
-// ended is waited for as long.
-const awaited = 1
+// graceWindows is for how many windows the close waits for an instance that has stopped reporting.
+// It may be cut off for some seconds and then report what it has counted meanwhile. An instance
+// that has ended is waited for just as long.
+const graceWindows = 1
 
-// told returns how many instances told anything during a window or since, or lately before, and
-// how many of them may still tell something of it.
-func (m *Machine) told(window int64) (instances, missing int) {
+// participants returns how many instances reported during a window, later, or at most
+// graceWindows before it, and how many of them may still report counts of the window.
+func (m *Machine) participants(window int64) (instances, missing int) {
 	for _, current := range m.instances {
-		if current < window-awaited {
+		if current < window-graceWindows {
 			continue
 		}
 		instances++
@@ -242,21 +243,21 @@
 	m.prune()
 }
 
-// prune bounds the state.
+// prune drops old counts, instances and closed windows.
 func (m *Machine) prune() {
 	for window := range m.windows {
-		if window < m.next-keepCounts {
+		if window < m.next-countRetention {
 			delete(m.windows, window)
 		}
 	}
 	for id, current := range m.instances {
-		if current < m.next-keepInstances {
+		if current < m.next-instanceRetention {
 			delete(m.instances, id)
 		}
 	}
 	settled, open := 0, 0
 	for i := len(m.closed) - 1; i >= 0; i-- {
-		kind, limit := &settled, keepSettled
+		kind, limit := &settled, maxSettled
 		if m.closed[i].Outcome == Open {
 			kind, limit = &open, maxOpen
 		}
@@ -266,17 +267,17 @@
 	}
 }
 
-// Next returns the window to be closed next; false while nobody has counted.
-func (m *Machine) Next() (int64, bool) { return m.next, m.begun }
+// Next returns the next window to close, or false before the first report.
+func (m *Machine) Next() (int64, bool) { return m.next, m.started }
 
-// Complete reports whether every instance that told anything during a window, or the one
-// before, has told all of it.
+// Complete reports whether every instance that reported during a window, the one before, or
+// later has reported all of its counts for the window.
 func (m *Machine) Complete(window int64) bool {
-	instances, missing := m.told(window)
+	instances, missing := m.participants(window)
 	return instances > 0 && missing == 0
 }
 
-// Open returns the closed windows whose reports are to be acknowledged, the oldest first.
+// Open returns the closed windows whose reports are open, the oldest first.
 func (m *Machine) Open() (list []Closed) {
 	for i := range m.closed {
 		if m.closed[i].Outcome == Open {
@@ -286,12 +287,12 @@
 	return list
 }
 
-// Closed returns the closed windows that are remembered, the oldest first.
+// Closed returns the closed windows that are kept, the oldest first.
 func (m *Machine) Closed() []Closed { return slices.Clone(m.closed) }
 
 // Snapshot implements control.Machine.
 func (m *Machine) Snapshot() ([]byte, error) {
-	s := state{Begun: m.begun, Next: m.next, Closed: m.closed}
+	s := snapshotState{Begun: m.started, Next: m.next, Closed: m.closed}
 	for id, current := range m.instances {
 		s.Instances = append(s.Instances, instance{id, current})
 	}
@@ -301,7 +302,7 @@
 			s.Cells = append(s.Cells, cell{k.instance, window, k.organisation, n})
 		}
 		if len(cells) == 0 {
-			// A closed window without counts is still one of which more may come late.
+			// Late counts may still arrive for a closed window without counts.
 			s.Cells = append(s.Cells, cell{Window: window})
 		}
 	}
@@ -313,12 +314,12 @@
 
 // Restore implements control.Machine.
 func (m *Machine) Restore(snapshot []byte) error {
-	var s state
+	var s snapshotState
 	if err := control.Unmarshal(snapshot, &s); err != nil {
 		return err
 	}
 	*m = *New()
-	m.begun, m.next, m.closed = s.Begun, s.Next, s.Closed
+	m.started, m.next, m.closed = s.Begun, s.Next, s.Closed
 	for _, i := range s.Instances {
 		m.instances[i.ID] = i.Current
 	}
--- a/core/control/usage/machine_test.go
+++ b/core/control/usage/machine_test.go
@@ -26,7 +26,7 @@
 
 func closeWindow(m *usage.Machine, window int64) { apply(m, usage.Command{Close: &window}) }
 
-func tell(m *usage.Machine, instance uint64, current int64, list ...core.Count) {
+func report(m *usage.Machine, instance uint64, current int64, list ...core.Count) {
 	apply(m, usage.Command{Counts: []core.Report{{Instance: instance, Current: current, Counts: list}}})
 }
 
@@ -34,25 +34,25 @@
 	return core.Count{Window: window, Organisation: organisation, Requests: n}
 }
 
-// A holder sends a window's report and dies before the answer; more counts come in, and
-// its successor closes the window as well. An organisation is billed by what was sent
-// first: the second close must change nothing.
+// A holder sends a window's report and dies before the answer. More counts arrive, and its
+// successor closes the window again. The organisation is billed by the first report, so the
+// second close must change nothing.
 func TestAClosedWindowNeverChanges(t *testing.T) {
 	g := NewWithT(t)
 	m := usage.New()
-	tell(m, 1, 10, count(10, "o", 3))
-	tell(m, 2, 10, count(10, "o", 4))
+	report(m, 1, 10, count(10, "o", 3))
+	report(m, 2, 10, count(10, "o", 4))
 	closeWindow(m, 9)
-	g.Expect(m.Closed()).To(BeEmpty(), "windows before the first one are nobody's")
+	g.Expect(m.Closed()).To(BeEmpty(), "windows before the first one cannot be closed")
 	closeWindow(m, 10)
 	first := m.Closed()[0]
 	g.Expect(first.Totals).To(Equal([]usage.Total{{Organisation: "o", Requests: 7}}))
 	g.Expect([]int{first.Instances, first.Missing}).To(Equal([]int{2, 2}))
-	tell(m, 2, 11, count(10, "o", 6))
+	report(m, 2, 11, count(10, "o", 6))
 	closeWindow(m, 10)
 	g.Expect(m.Closed()).To(HaveLen(1))
 	g.Expect(m.Closed()[0].Totals).To(Equal(first.Totals))
-	g.Expect(m.Closed()[0].Late).To(Equal(uint64(2)), "operators see what the report lacks")
+	g.Expect(m.Closed()[0].Late).To(Equal(uint64(2)), "late requests are visible to operators")
 	g.Expect(m.Open()).To(HaveLen(1))
 	apply(m, usage.Command{Settle: &usage.Settle{Window: 10, Outcome: usage.Acknowledged}})
 	apply(m, usage.Command{Settle: &usage.Settle{Window: 10, Outcome: usage.Refused}})
@@ -60,50 +60,50 @@
 	g.Expect(m.Closed()[0].Outcome).To(Equal(usage.Acknowledged))
 }
 
-func TestWindowsAreCompleteOnceAllHaveToldThem(t *testing.T) {
+func TestWindowIsCompleteOnceAllInstancesReported(t *testing.T) {
 	g := NewWithT(t)
 	m := usage.New()
 	g.Expect(m.Complete(10)).To(BeFalse())
-	tell(m, 1, 10)
-	tell(m, 2, 10)
+	report(m, 1, 10)
+	report(m, 2, 10)
 	g.Expect(m.Complete(10)).To(BeFalse())
-	tell(m, 1, 11)
+	report(m, 1, 11)
 	g.Expect(m.Complete(10)).To(BeFalse())
-	tell(m, 2, 12)
+	report(m, 2, 12)
 	g.Expect(m.Complete(10)).To(BeTrue())
 	closeWindow(m, 10)
 	g.Expect(m.Complete(11)).To(BeFalse(), "instance 1 is in window 11")
 	closeWindow(m, 11)
-	tell(m, 2, 13)
+	report(m, 2, 13)
 	g.Expect(m.Complete(12)).To(BeFalse(), "instance 1 may be cut off, and come back with counts of 12")
 	closeWindow(m, 12)
-	tell(m, 2, 14)
-	g.Expect(m.Complete(13)).To(BeTrue(), "who told nothing since window 11 has ended")
+	report(m, 2, 14)
+	g.Expect(m.Complete(13)).To(BeTrue(), "instance 1 has not reported since window 11 and is taken to have ended")
 }
 
-// A failure domain is cut off from the middle of a window to the middle of the next but one.
-// The first window is closed without its instances, as late as may be; the next one must wait
-// for them too, or their organisations are billed for less than they used.
-func TestInstancesThatWereMissingAreWaitedForInTheNextWindow(t *testing.T) {
+// A failure domain is cut off from the middle of one window to the middle of the second one
+// after it. The first window is closed without its instances, at the latest possible time. The
+// next window must wait for them too; otherwise organisations are billed for less than they used.
+func TestNextWindowWaitsForMissingInstances(t *testing.T) {
 	g := NewWithT(t)
 	m := usage.New()
-	tell(m, 1, 10, count(10, "o", 3))
-	tell(m, 2, 10, count(10, "o", 4))
-	tell(m, 2, 12, count(11, "o", 5))
+	report(m, 1, 10, count(10, "o", 3))
+	report(m, 2, 10, count(10, "o", 4))
+	report(m, 2, 12, count(11, "o", 5))
 	closeWindow(m, 10)
-	g.Expect(m.Complete(11)).To(BeFalse(), "instance 1 has told nothing of window 11")
-	tell(m, 1, 12, count(10, "o", 6), count(11, "o", 7))
+	g.Expect(m.Complete(11)).To(BeFalse(), "instance 1 has not reported window 11")
+	report(m, 1, 12, count(10, "o", 6), count(11, "o", 7))
 	g.Expect(m.Complete(11)).To(BeTrue())
 	closeWindow(m, 11)
 	g.Expect(m.Closed()[1].Totals).To(Equal([]usage.Total{{Organisation: "o", Requests: 12}}))
 	g.Expect(m.Closed()[1].Missing).To(BeZero())
 }
 
-// The state is bounded although nobody takes the reports, and instances come and go.
+// The state is bounded even if no report is ever settled and instances come and go.
 func TestTheStateIsBounded(t *testing.T) {
 	m := usage.New()
 	for w := range int64(5000) {
-		tell(m, uint64(1+w), w, count(w, "o", 1))
+		report(m, uint64(1+w), w, count(w, "o", 1))
 		closeWindow(m, w)
 	}
 	g := NewWithT(t)
@@ -114,27 +114,27 @@
 	g.Expect(len(b)).To(BeNumerically("<", 300_000))
 }
 
-// source is one start of an instance, with what it counted.
+// source is one run of an instance, with the counts that are expected of it.
 type source struct {
 	counter *core.Counter
 	truth   map[string]uint64
 	last    []core.Report
 }
 
-// telling is instances that tell two members, which commit to one machine.
-type telling struct {
+// simulation has instances that report to two members, which commit to one state machine.
+type simulation struct {
 	*rapid.T
 	m       *usage.Machine
 	members []*core.Collector
 	sources []*source
 	starts  uint64
 	now     time.Time
-	// ended is what instances counted that have ended.
+	// ended holds the counts of instances that have ended.
 	ended map[string]uint64
 }
 
-func newTelling(t *rapid.T) *telling {
-	w := &telling{
+func newSimulation(t *rapid.T) *simulation {
+	w := &simulation{
 		T: t, m: usage.New(), members: []*core.Collector{core.NewCollector(), core.NewCollector()},
 		now: time.Unix(50, 0), ended: map[string]uint64{},
 	}
@@ -144,50 +144,50 @@
 	return w
 }
 
-func (w *telling) start() *source {
+func (w *simulation) start() *source {
 	w.starts++
 	return &source{counter: core.NewCounter(w.starts, span), truth: map[string]uint64{}}
 }
 
-func (w *telling) commit(member int) {
+func (w *simulation) commit(member int) {
 	list, revision := w.members[member].Uncommitted()
 	apply(w.m, usage.Command{Counts: list})
 	w.members[member].Committed(revision)
 }
 
-func (w *telling) tell(s *source, member int) {
+func (w *simulation) report(s *source, member int) {
 	r, revision := s.counter.Report(w.now, fmt.Sprint(member))
 	w.members[member].Take(&r)
 	s.counter.Told(&r, revision, fmt.Sprint(member))
 	s.last = append(s.last, r)
 }
 
-// add adds what a source counted to a sum.
+// add adds the counts of a source to a sum.
 func (s *source) add(sum map[string]uint64) {
 	for o, n := range s.truth {
 		sum[o] += n
 	}
 }
 
-// loseMember loses a member with what it has not committed; all it heard is told again to
-// the other one, as to a member that is new to the instance.
-func (w *telling) loseMember(member int) {
+// loseMember replaces a member that is lost with its uncommitted counts. Instances report all
+// of their counts again to the other member, as to any member that they have not used before.
+func (w *simulation) loseMember(member int) {
 	w.members[member] = core.NewCollector()
 	for _, s := range w.sources {
-		w.tell(s, 1-member)
-		w.tell(s, member)
+		w.report(s, 1-member)
+		w.report(s, member)
 	}
 }
 
-// end ends an instance after it has told everything.
-func (w *telling) end(s *source, member int) {
-	w.tell(s, member)
+// end ends an instance after it has reported all of its counts.
+func (w *simulation) end(s *source, member int) {
+	w.report(s, member)
 	s.add(w.ended)
 	w.commit(member)
 	*s = *w.start()
 }
 
-func (w *telling) snapshot() {
+func (w *simulation) snapshot() {
 	b, err := w.m.Snapshot()
 	if err != nil {
 		w.Fatal(err)
@@ -201,7 +201,7 @@
 	}
 }
 
-func (w *telling) step() {
+func (w *simulation) step() {
 	s := rapid.SampledFrom(w.sources).Draw(w.T, "source")
 	member := rapid.IntRange(0, 1).Draw(w.T, "member")
 	switch rapid.IntRange(0, 7).Draw(w.T, "step") {
@@ -210,7 +210,7 @@
 		s.counter.Add(w.now, o)
 		s.truth[o]++
 	case 2:
-		w.tell(s, member)
+		w.report(s, member)
 	case 3:
 		if len(s.last) > 0 {
 			r := rapid.SampledFrom(s.last).Draw(w.T, "doubled")
@@ -227,18 +227,18 @@
 	}
 }
 
-// Instances count and tell two members; reports are lost, doubled and late; instances are
-// killed and start anew; members commit what they gathered, or fail to, or are lost with
-// it. Each request that was told to a member that went on is in the totals, once.
-func TestWhatIsToldCountsOnce(t *testing.T) {
+// Instances count requests and report to two members. Reports are lost, duplicated and late,
+// instances end and restart, and members commit what they collected, fail to, or are lost with
+// it. Each request that was reported to a surviving member must be in the totals exactly once.
+func TestEachReportedRequestCountsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newTelling(t)
+		w := newSimulation(t)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			w.step()
 		}
 		truth := w.ended
 		for _, s := range w.sources {
-			w.tell(s, 0)
+			w.report(s, 0)
 			s.add(truth)
 		}
 		w.commit(0)
--- a/core/control/usage/model_test.go
+++ b/core/control/usage/model_test.go
@@ -10,23 +10,23 @@
 	core "github.com/comfreyladder/comfreyladder/core/usage"
 )
 
-// The bounds of the exploration: how many steps, and how often each kind may come.
+// Bounds of the exploration: the number of steps, and how often each kind may occur.
 const (
 	modelSteps  = 10
 	modelTells  = 2
 	modelCloses = 2
 	modelSends  = 2
-	modelMoves  = 1 // of a member to another's snapshot
+	modelMoves  = 1 // restores of a member from another one's snapshot
 )
 
-// member is one member's replica: it has applied a part of the log, and may have begun from a
-// snapshot of another one.
+// member is a member's replica. It has applied a prefix of the log, and may have been restored
+// from another member's snapshot.
 type member struct {
 	applied  int
 	snapshot string
 }
 
-// machine returns the member's machine as it stands.
+// machine returns the member's state machine in its current state.
 func (m *member) machine() *usage.Machine {
 	machine := usage.New()
 	if err := machine.Restore([]byte(m.snapshot)); err != nil {
@@ -43,11 +43,11 @@
 	m.snapshot = string(snapshot)
 }
 
-// differs stands between two contents that one window was reported with.
+// differs separates different contents that were reported for the same window.
 const differs = " and then "
 
-// reports is a state of two members that both believe to hold the duty, one after the other or
-// at the same time, and of what the provider was sent.
+// reports is a state of the model: two members that both believe that they hold the duty, one
+// after the other or at the same time, and the reports that the provider was sent.
 type reports struct {
 	log                         []usage.Command
 	members                     [2]member
@@ -77,7 +77,7 @@
 	return key
 }
 
-// next returns all states that may follow.
+// next returns all possible successor states.
 func (r *reports) next() (list []*reports) {
 	step := func(do func(n *reports) bool) {
 		if n := r.clone(); do(n) {
@@ -98,12 +98,12 @@
 		step(func(n *reports) bool { return n.close(i) })
 		step(func(n *reports) bool { return n.send(i, true) })
 		step(func(n *reports) bool { return n.send(i, false) })
-		step(func(n *reports) bool { return n.move(i) })
+		step(func(n *reports) bool { return n.restoreFromOther(i) })
 	}
 	return list
 }
 
-// apply applies what is in the log and has not been applied.
+// apply applies the rest of the log.
 func (m *member) apply(log []usage.Command) bool {
 	if m.applied == len(log) {
 		return false
@@ -117,7 +117,7 @@
 	return true
 }
 
-// close proposes the end of the window that a member, which may lag, takes for the next one.
+// close proposes to close the window that a member, which may lag, considers the next one.
 func (r *reports) close(i int) bool {
 	window, begun := r.members[i].machine().Next()
 	r.closes++
@@ -125,7 +125,7 @@
 	return begun && r.closes <= modelCloses
 }
 
-// send sends the oldest open report; its answer may be lost.
+// send sends the oldest open report. Its answer is lost unless answered is set.
 func (r *reports) send(i int, answered bool) bool {
 	open := r.members[i].machine().Open()
 	r.sends++
@@ -143,8 +143,8 @@
 	return true
 }
 
-// move lets a member that lags go on from the other one's snapshot.
-func (r *reports) move(i int) bool {
+// restoreFromOther lets a lagging member continue from the other one's snapshot.
+func (r *reports) restoreFromOther(i int) bool {
 	other := r.members[1-i]
 	r.moves++
 	if r.moves > modelMoves || other.applied <= r.members[i].applied {
@@ -154,9 +154,10 @@
 	return true
 }
 
-// Guards against two reports of one window that differ, whoever sends them, how far behind
-// or by a snapshot, in each order of counts, closes, sendings and answers.
-func TestEveryOrderOfReportsKeepsTheirContent(t *testing.T) {
+// Guards against two reports of one window with different contents, in every interleaving of
+// counts, closes, sends and answers, whichever member sends them, however far it lags, and also
+// after it was restored from a snapshot.
+func TestReportContentIsTheSameInEveryInterleaving(t *testing.T) {
 	first := &reports{sent: map[int64]string{}}
 	for i := range first.members {
 		first.members[i].keep(usage.New())
