--- a/core/quarantine/compare_test.go
+++ b/core/quarantine/compare_test.go
@@ -16,7 +16,7 @@
 
 // judge is a way to find requests that crash upstreams.
 type judge interface {
-	Crashed(upstream uint64, at time.Time, underWay []quarantine.Attempt)
+	RecordCrash(upstream uint64, at time.Time, underWay []quarantine.Attempt)
 	Succeeded(f quarantine.Fingerprint, at time.Time)
 	Suspects(now time.Time) []quarantine.Fingerprint
 	Judge(now time.Time) []quarantine.Fingerprint
@@ -26,7 +26,7 @@
 // never quarantines nothing.
 type never struct{}
 
-func (never) Crashed(uint64, time.Time, []quarantine.Attempt) {}
+func (never) RecordCrash(uint64, time.Time, []quarantine.Attempt) {}
 func (never) Succeeded(quarantine.Fingerprint, time.Time)     {}
 func (never) Suspects(time.Time) []quarantine.Fingerprint     { return nil }
 func (never) Judge(time.Time) []quarantine.Fingerprint        { return nil }
@@ -40,7 +40,7 @@
 
 func newCounter() judge { return &counter{seen: map[quarantine.Fingerprint]map[uint64]bool{}} }
 
-func (c *counter) Crashed(upstream uint64, _ time.Time, underWay []quarantine.Attempt) {
+func (c *counter) RecordCrash(upstream uint64, _ time.Time, underWay []quarantine.Attempt) {
 	for _, a := range underWay {
 		if c.seen[a.Fingerprint] == nil {
 			c.seen[a.Fingerprint] = map[uint64]bool{}
@@ -317,7 +317,7 @@
 	for _, r := range lost {
 		r.at = nil
 		a, edge := quarantine.NewAttempt(r.f, x.now.Sub(r.sentAt), "", ""), r.edge
-		x.tell(edge, func(j judge) { j.Crashed(life, at, []quarantine.Attempt{a}) })
+		x.tell(edge, func(j judge) { j.RecordCrash(life, at, []quarantine.Attempt{a}) })
 	}
 	for _, r := range lost {
 		spared := x.w.spare && x.suspects[r.edge][r.f]
--- a/core/quarantine/ledger.go
+++ b/core/quarantine/ledger.go
@@ -66,9 +66,9 @@
 	return &Ledger{policy: p, crashes: map[uint64]*crash{}, succeeded: map[Fingerprint]time.Time{}, guilty: map[Fingerprint]bool{}}
 }
 
-// Crashed notes requests that were under way when an incarnation of an upstream crashed. All
+// RecordCrash notes requests that were under way when an incarnation of an upstream crashed. All
 // instances name an incarnation by the same number, so one crash counts once whoever tells.
-func (l *Ledger) Crashed(upstream uint64, at time.Time, underWay []Attempt) {
+func (l *Ledger) RecordCrash(upstream uint64, at time.Time, underWay []Attempt) {
 	c := l.crashes[upstream]
 	if c == nil {
 		c = &crash{upstream: upstream, at: at, underWay: map[Fingerprint]attempt{}}
--- a/core/quarantine/ledger_test.go
+++ b/core/quarantine/ledger_test.go
@@ -48,7 +48,7 @@
 func (b *book) crash(names ...string) {
 	b.crashes++
 	b.now = b.now.Add(time.Second)
-	b.Crashed(b.crashes, b.now, ran(0, names...))
+	b.RecordCrash(b.crashes, b.now, ran(0, names...))
 }
 
 func (b *book) verdict() []quarantine.Fingerprint { return b.Judge(b.now.Add(time.Second)) }
@@ -144,7 +144,7 @@
 	g := NewWithT(t)
 	b := newBook()
 	for i := range 10 {
-		b.Crashed(uint64(i+1), epoch.Add(time.Duration(i)*time.Millisecond), ran(time.Second, "status"))
+		b.RecordCrash(uint64(i+1), epoch.Add(time.Duration(i)*time.Millisecond), ran(time.Second, "status"))
 	}
 	b.now = epoch.Add(time.Second)
 	g.Expect(b.verdict()).To(BeEmpty())
@@ -157,7 +157,7 @@
 	b := newBook()
 	for i := range 3 {
 		at := epoch.Add(time.Duration(i) * 30 * time.Millisecond)
-		b.Crashed(uint64(i+1), at, ran(20*time.Millisecond, "culprit"))
+		b.RecordCrash(uint64(i+1), at, ran(20*time.Millisecond, "culprit"))
 	}
 	b.now = epoch.Add(time.Second)
 	g.Expect(b.verdict()).To(Equal(fingerprints("culprit")))
@@ -168,7 +168,7 @@
 	g := NewWithT(t)
 	b := newBook()
 	for i := range 9 {
-		b.Crashed(7, epoch.Add(time.Duration(i)*time.Second), ran(0, "a", fmt.Sprint(i)))
+		b.RecordCrash(7, epoch.Add(time.Duration(i)*time.Second), ran(0, "a", fmt.Sprint(i)))
 	}
 	b.now = epoch.Add(10 * time.Second)
 	g.Expect(b.verdict()).To(BeEmpty())
@@ -194,9 +194,9 @@
 	b.crash("beside")
 	g.Expect(b.Judge(b.now)).To(BeEmpty())
 	g.Expect(b.Settled(b.now)).To(BeFalse())
-	b.Crashed(1, epoch.Add(time.Second), ran(0, "culprit"))
-	b.Crashed(2, epoch.Add(2*time.Second), ran(0, "culprit"))
-	b.Crashed(3, epoch.Add(3*time.Second), ran(0, "culprit"))
+	b.RecordCrash(1, epoch.Add(time.Second), ran(0, "culprit"))
+	b.RecordCrash(2, epoch.Add(2*time.Second), ran(0, "culprit"))
+	b.RecordCrash(3, epoch.Add(3*time.Second), ran(0, "culprit"))
 	b.crash("culprit")
 	g.Expect(b.verdict()).To(Equal(fingerprints("culprit")))
 }
@@ -211,7 +211,7 @@
 	proves := func() bool { return b.Proves(named("x"), at, at.Add(2*time.Second)) }
 	g.Expect(b.Proves(named("x"), at, at.Add(time.Second/2))).To(BeFalse(), "another one may follow")
 	g.Expect(proves()).To(BeTrue())
-	b.Crashed(99, at.Add(300*time.Millisecond), ran(0, "y"))
+	b.RecordCrash(99, at.Add(300*time.Millisecond), ran(0, "y"))
 	g.Expect(proves()).To(BeFalse())
 	b.Alive(99)
 	b.crash("beside")
@@ -256,7 +256,7 @@
 		judge := func(list []report) []quarantine.Fingerprint {
 			l := quarantine.NewLedger(quarantine.DefaultPolicy)
 			for _, r := range list {
-				l.Crashed(r.upstream, r.at, r.under)
+				l.RecordCrash(r.upstream, r.at, r.under)
 			}
 			return l.Judge(epoch.Add(time.Minute))
 		}
--- a/core/quarantine/report.go
+++ b/core/quarantine/report.go
@@ -65,7 +65,7 @@
 	ago := func(ms int64) time.Time { return now.Add(-time.Duration(ms) * time.Millisecond) }
 	for i := range r.Crashes {
 		c := &r.Crashes[i]
-		l.Crashed(c.Upstream, ago(c.AgeMS), c.UnderWay)
+		l.RecordCrash(c.Upstream, ago(c.AgeMS), c.UnderWay)
 	}
 	for _, s := range r.Succeeded {
 		l.Succeeded(s.Fingerprint, ago(s.AgeMS))
--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -165,7 +165,7 @@
 	if len(underWay) == 0 {
 		return
 	}
-	r.own.Crashed(upstream, at, underWay)
+	r.own.RecordCrash(upstream, at, underWay)
 	r.own.Forget(clock.Now())
 	r.judge()
 	if len(r.at) >= maxUnsent {
