--- a/core/quarantine/judge.go
+++ b/core/quarantine/judge.go
@@ -59,11 +59,11 @@
 	for {
 		counts := l.counts(until)
 		f, n := leader(counts, held)
-		if n < l.policy.Crashes {
+		if n < l.policy.QuarantineThreshold {
 			break
 		}
 		same := l.alike(f, counts, until)
-		if len(same) > 1 && n == l.policy.Crashes {
+		if len(same) > 1 && n == l.policy.QuarantineThreshold {
 			for _, g := range same {
 				held[g] = true
 			}
--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -96,7 +96,7 @@
 // NewRecorder returns a recorder that has not started.
 func NewRecorder(cfg RecorderConfig) *Recorder {
 	policy := quarantine.DefaultPolicy
-	policy.Crashes += aloneMore
+	policy.QuarantineThreshold += aloneMore
 	policy.Settle = 0
 	return &Recorder{cfg: cfg, wake: make(chan struct{}, 1), own: quarantine.NewLedger(policy)}
 }
