--- a/core/quarantine/compare_test.go
+++ b/core/quarantine/compare_test.go
@@ -63,7 +63,7 @@
 func ledgerOf(crashes int, at time.Duration) func() judge {
 	return func() judge {
 		p := quarantine.DefaultPolicy
-		p.QuarantineThreshold, p.Suspect, p.Settle = crashes, crashes-1, at
+		p.QuarantineThreshold, p.SuspectThreshold, p.Settle = crashes, crashes-1, at
 		return quarantine.NewLedger(p)
 	}
 }
--- a/core/quarantine/judge.go
+++ b/core/quarantine/judge.go
@@ -42,7 +42,7 @@
 // Suspects returns the requests that are suspected and not quarantined, in order.
 func (l *Ledger) Suspects(now time.Time) (list []Fingerprint) {
 	for f, n := range l.counts(now) {
-		if n >= l.policy.Suspect {
+		if n >= l.policy.SuspectThreshold {
 			list = append(list, f)
 		}
 	}
@@ -126,7 +126,7 @@
 		}
 		alone := true
 		for g := range c.underWay {
-			alone = alone && (g == f || !l.guilty[g] && counts[g] < l.policy.Suspect)
+			alone = alone && (g == f || !l.guilty[g] && counts[g] < l.policy.SuspectThreshold)
 		}
 		if alone {
 			return true
