--- a/core/quarantine/judge.go
+++ b/core/quarantine/judge.go
@@ -29,7 +29,7 @@
 			continue
 		}
 		for f, a := range c.underWay {
-			if at, seen := last[f]; seen && c.at.Sub(at) < l.policy.Apart && !a.sent.After(at) {
+			if at, seen := last[f]; seen && c.at.Sub(at) < l.policy.MinCrashInterval && !a.sent.After(at) {
 				continue
 			}
 			last[f] = c.at
--- a/core/quarantine/ledger.go
+++ b/core/quarantine/ledger.go
@@ -11,9 +11,9 @@
 	// QuarantineThreshold is at how many crashes a request is quarantined, and SuspectThreshold at how many it is
 	// suspected.
 	QuarantineThreshold, SuspectThreshold int
-	// Apart is the least time between two crashes that count as two for a request that was
+	// MinCrashInterval is the least time between two crashes that count as two for a request that was
 	// sent before either. What ends several upstreams at the same moment is no request.
-	Apart time.Duration
+	MinCrashInterval time.Duration
 	// Settle is for how long a crash is not judged, so that all instances can tell what they
 	// had under way at it.
 	Settle time.Duration
@@ -32,7 +32,7 @@
 
 // DefaultPolicy is the policy of instances.
 var DefaultPolicy = Policy{
-	QuarantineThreshold: 3, SuspectThreshold: 2, Apart: 100 * time.Millisecond, Settle: 100 * time.Millisecond,
+	QuarantineThreshold: 3, SuspectThreshold: 2, MinCrashInterval: 100 * time.Millisecond, Settle: 100 * time.Millisecond,
 	Exonerated: 10 * time.Second, Isolated: time.Second, Memory: 10 * time.Minute, MaxCrashes: 1024, MaxAttempts: 16384,
 }
 
