--- a/core/quarantine/compare_test.go
+++ b/core/quarantine/compare_test.go
@@ -63,7 +63,7 @@
 func ledgerOf(crashes int, at time.Duration) func() judge {
 	return func() judge {
 		p := quarantine.DefaultPolicy
-		p.QuarantineThreshold, p.SuspectThreshold, p.Settle = crashes, crashes-1, at
+		p.QuarantineThreshold, p.SuspectThreshold, p.SettleDelay = crashes, crashes-1, at
 		return quarantine.NewLedger(p)
 	}
 }
@@ -339,7 +339,7 @@
 	x.after(x.upTo(x.w.up), func() {
 		report(x.judges[at])
 		x.look(at)
-		x.after(quarantine.DefaultPolicy.Settle+time.Millisecond, func() { x.look(at) })
+		x.after(quarantine.DefaultPolicy.SettleDelay+time.Millisecond, func() { x.look(at) })
 	})
 }
 
--- a/core/quarantine/judge.go
+++ b/core/quarantine/judge.go
@@ -54,7 +54,7 @@
 // Each one explains its crashes, so that those beside it are judged by the others. Where
 // several were under way at the same crashes, none is judged before one crash more.
 func (l *Ledger) Judge(now time.Time) (verdict []Fingerprint) {
-	until := now.Add(-l.policy.Settle)
+	until := now.Add(-l.policy.SettleDelay)
 	held := map[Fingerprint]bool{}
 	for {
 		counts := l.counts(until)
@@ -148,7 +148,7 @@
 // Settled reports whether all crashes may be judged at a time.
 func (l *Ledger) Settled(now time.Time) bool {
 	for _, c := range l.crashes {
-		if now.Sub(c.at) <= l.policy.Settle {
+		if now.Sub(c.at) <= l.policy.SettleDelay {
 			return false
 		}
 	}
--- a/core/quarantine/ledger.go
+++ b/core/quarantine/ledger.go
@@ -14,9 +14,9 @@
 	// MinCrashInterval is the least time between two crashes that count as two for a request that was
 	// sent before either. What ends several upstreams at the same moment is no request.
 	MinCrashInterval time.Duration
-	// Settle is for how long a crash is not judged, so that all instances can tell what they
+	// SettleDelay is for how long a crash is not judged, so that all instances can tell what they
 	// had under way at it.
-	Settle time.Duration
+	SettleDelay time.Duration
 	// Exonerated is for how long after a success no crash counts against a request: one that
 	// crashes what runs it has none. Between the crashes of others a request that comes often
 	// may find no upstream to succeed at.
@@ -32,7 +32,7 @@
 
 // DefaultPolicy is the policy of instances.
 var DefaultPolicy = Policy{
-	QuarantineThreshold: 3, SuspectThreshold: 2, MinCrashInterval: 100 * time.Millisecond, Settle: 100 * time.Millisecond,
+	QuarantineThreshold: 3, SuspectThreshold: 2, MinCrashInterval: 100 * time.Millisecond, SettleDelay: 100 * time.Millisecond,
 	Exonerated: 10 * time.Second, Isolated: time.Second, Memory: 10 * time.Minute, MaxCrashes: 1024, MaxAttempts: 16384,
 }
 
--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -97,7 +97,7 @@
 func NewRecorder(cfg RecorderConfig) *Recorder {
 	policy := quarantine.DefaultPolicy
 	policy.QuarantineThreshold += aloneMore
-	policy.Settle = 0
+	policy.SettleDelay = 0
 	return &Recorder{cfg: cfg, wake: make(chan struct{}, 1), own: quarantine.NewLedger(policy)}
 }
 
