--- a/core/quarantine/ledger.go
+++ b/core/quarantine/ledger.go
@@ -17,10 +17,10 @@
 	// SettleDelay is for how long a crash is not judged, so that all instances can tell what they
 	// had under way at it.
 	SettleDelay time.Duration
-	// Exonerated is for how long after a success no crash counts against a request: one that
+	// ExonerationPeriod is for how long after a success no crash counts against a request: one that
 	// crashes what runs it has none. Between the crashes of others a request that comes often
 	// may find no upstream to succeed at.
-	Exonerated time.Duration
+	ExonerationPeriod time.Duration
 	// Isolated is how far from all others a crash must be to prove by itself that the request
 	// under way at it caused it.
 	Isolated time.Duration
@@ -33,7 +33,7 @@
 // DefaultPolicy is the policy of instances.
 var DefaultPolicy = Policy{
 	QuarantineThreshold: 3, SuspectThreshold: 2, MinCrashInterval: 100 * time.Millisecond, SettleDelay: 100 * time.Millisecond,
-	Exonerated: 10 * time.Second, Isolated: time.Second, Memory: 10 * time.Minute, MaxCrashes: 1024, MaxAttempts: 16384,
+	ExonerationPeriod: 10 * time.Second, Isolated: time.Second, Memory: 10 * time.Minute, MaxCrashes: 1024, MaxAttempts: 16384,
 }
 
 // crash is the end of one incarnation of an upstream.
@@ -92,7 +92,7 @@
 // exonerated reports whether a crash at a time does not count against a request.
 func (l *Ledger) exonerated(f Fingerprint, at time.Time) bool {
 	last, ok := l.succeeded[f]
-	return ok && !at.After(last.Add(l.policy.Exonerated))
+	return ok && !at.After(last.Add(l.policy.ExonerationPeriod))
 }
 
 // Succeeded notes that an upstream ran a request to its end at a time: it does not crash what
@@ -127,7 +127,7 @@
 // Forget drops the crashes that are too old, or too many, and successes that count no more.
 func (l *Ledger) Forget(now time.Time) {
 	for f, at := range l.succeeded {
-		if now.Sub(at) > l.policy.Exonerated {
+		if now.Sub(at) > l.policy.ExonerationPeriod {
 			delete(l.succeeded, f)
 		}
 	}
--- a/core/quarantine/ledger_test.go
+++ b/core/quarantine/ledger_test.go
@@ -131,7 +131,7 @@
 		b.crash("status")
 	}
 	g.Expect(b.verdict()).To(BeEmpty())
-	b.now = b.now.Add(quarantine.DefaultPolicy.Exonerated)
+	b.now = b.now.Add(quarantine.DefaultPolicy.ExonerationPeriod)
 	for range 3 {
 		b.crash("status")
 	}
--- a/instance/quarantine/recent.go
+++ b/instance/quarantine/recent.go
@@ -17,7 +17,7 @@
 }
 
 func (r *recent) note(now time.Time, f quarantine.Fingerprint) {
-	if len(r.newer) >= maxRecent || now.Sub(r.begun) >= quarantine.DefaultPolicy.Exonerated {
+	if len(r.newer) >= maxRecent || now.Sub(r.begun) >= quarantine.DefaultPolicy.ExonerationPeriod {
 		r.newer, r.older, r.begun = map[quarantine.Fingerprint]time.Time{}, r.newer, now
 	}
 	r.newer[f] = now
@@ -28,5 +28,5 @@
 	if at, ok = r.newer[f]; !ok {
 		at, ok = r.older[f]
 	}
-	return at, ok && now.Sub(at) < quarantine.DefaultPolicy.Exonerated
+	return at, ok && now.Sub(at) < quarantine.DefaultPolicy.ExonerationPeriod
 }
