--- a/core/quarantine/judge.go
+++ b/core/quarantine/judge.go
@@ -118,7 +118,7 @@
 // upstreams: one that is isolated, and at which nothing else was under way that is quarantined
 // or suspected.
 func (l *Ledger) Proves(f Fingerprint, since, now time.Time) bool {
-	until := now.Add(-l.policy.Isolated)
+	until := now.Add(-l.policy.IsolationPeriod)
 	counts := l.counts(now)
 	for _, c := range l.crashes {
 		if _, ok := c.underWay[f]; !ok || c.at.Before(since) || c.at.After(until) || !l.isolated(c) {
@@ -138,7 +138,7 @@
 // isolated reports whether no other upstream crashed about the time of a crash.
 func (l *Ledger) isolated(c *crash) bool {
 	for _, other := range l.crashes {
-		if other != c && other.at.Sub(c.at).Abs() < l.policy.Isolated {
+		if other != c && other.at.Sub(c.at).Abs() < l.policy.IsolationPeriod {
 			return false
 		}
 	}
--- a/core/quarantine/ledger.go
+++ b/core/quarantine/ledger.go
@@ -21,9 +21,9 @@
 	// crashes what runs it has none. Between the crashes of others a request that comes often
 	// may find no upstream to succeed at.
 	ExonerationPeriod time.Duration
-	// Isolated is how far from all others a crash must be to prove by itself that the request
+	// IsolationPeriod is how far from all others a crash must be to prove by itself that the request
 	// under way at it caused it.
-	Isolated time.Duration
+	IsolationPeriod time.Duration
 	// Memory is for how long a crash is remembered. MaxCrashes and MaxAttempts bound how many
 	// are, and how many requests under way at them; the oldest go first.
 	Memory                  time.Duration
@@ -33,7 +33,7 @@
 // DefaultPolicy is the policy of instances.
 var DefaultPolicy = Policy{
 	QuarantineThreshold: 3, SuspectThreshold: 2, MinCrashInterval: 100 * time.Millisecond, SettleDelay: 100 * time.Millisecond,
-	ExonerationPeriod: 10 * time.Second, Isolated: time.Second, Memory: 10 * time.Minute, MaxCrashes: 1024, MaxAttempts: 16384,
+	ExonerationPeriod: 10 * time.Second, IsolationPeriod: time.Second, Memory: 10 * time.Minute, MaxCrashes: 1024, MaxAttempts: 16384,
 }
 
 // crash is the end of one incarnation of an upstream.
