--- a/core/quarantine/ledger.go
+++ b/core/quarantine/ledger.go
@@ -24,16 +24,16 @@
 	// IsolationPeriod is how far from all others a crash must be to prove by itself that the request
 	// under way at it caused it.
 	IsolationPeriod time.Duration
-	// Memory is for how long a crash is remembered. MaxCrashes and MaxAttempts bound how many
+	// CrashRetention is for how long a crash is remembered. MaxCrashes and MaxAttempts bound how many
 	// are, and how many requests under way at them; the oldest go first.
-	Memory                  time.Duration
+	CrashRetention                  time.Duration
 	MaxCrashes, MaxAttempts int
 }
 
 // DefaultPolicy is the policy of instances.
 var DefaultPolicy = Policy{
 	QuarantineThreshold: 3, SuspectThreshold: 2, MinCrashInterval: 100 * time.Millisecond, SettleDelay: 100 * time.Millisecond,
-	ExonerationPeriod: 10 * time.Second, IsolationPeriod: time.Second, Memory: 10 * time.Minute, MaxCrashes: 1024, MaxAttempts: 16384,
+	ExonerationPeriod: 10 * time.Second, IsolationPeriod: time.Second, CrashRetention: 10 * time.Minute, MaxCrashes: 1024, MaxAttempts: 16384,
 }
 
 // crash is the end of one incarnation of an upstream.
@@ -133,7 +133,7 @@
 	}
 	attempts := 0
 	for id, c := range l.crashes {
-		if now.Sub(c.at) > l.policy.Memory {
+		if now.Sub(c.at) > l.policy.CrashRetention {
 			delete(l.crashes, id)
 			continue
 		}
--- a/core/quarantine/ledger_test.go
+++ b/core/quarantine/ledger_test.go
@@ -224,7 +224,7 @@
 	b := newBook()
 	b.crash("a")
 	b.crash("a")
-	b.now = b.now.Add(quarantine.DefaultPolicy.Memory)
+	b.now = b.now.Add(quarantine.DefaultPolicy.CrashRetention)
 	b.crash("a")
 	b.Forget(b.now)
 	g.Expect(b.verdict()).To(BeEmpty())
