--- a/core/control/quarantine/view.go
+++ b/core/control/quarantine/view.go
@@ -76,7 +76,7 @@
 // NextCommand returns the command to propose at a time of the log, or nil, and whether there are
 // crashes that cannot be evaluated yet. It does not change the state.
 func (m *Machine) NextCommand(now time.Time) (c *Command, unsettled bool) {
-	c = &Command{Verdict: m.ledger.Judge(now)}
+	c = &Command{Verdict: m.ledger.ToQuarantine(now)}
 	for _, e := range m.Entries() {
 		if e.Trials == 0 || e.Released || e.Failed {
 			continue
--- a/core/quarantine/compare_test.go
+++ b/core/quarantine/compare_test.go
@@ -19,7 +19,7 @@
 	RecordCrash(upstream uint64, at time.Time, underWay []quarantine.Attempt)
 	Succeeded(f quarantine.Fingerprint, at time.Time)
 	Suspects(now time.Time) []quarantine.Fingerprint
-	Judge(now time.Time) []quarantine.Fingerprint
+	ToQuarantine(now time.Time) []quarantine.Fingerprint
 	Quarantine(f quarantine.Fingerprint)
 }
 
@@ -29,7 +29,7 @@
 func (never) RecordCrash(uint64, time.Time, []quarantine.Attempt) {}
 func (never) Succeeded(quarantine.Fingerprint, time.Time)     {}
 func (never) Suspects(time.Time) []quarantine.Fingerprint     { return nil }
-func (never) Judge(time.Time) []quarantine.Fingerprint        { return nil }
+func (never) ToQuarantine(time.Time) []quarantine.Fingerprint        { return nil }
 func (never) Quarantine(quarantine.Fingerprint)               {}
 
 // counter quarantines whatever was under way at three crashes without a success.
@@ -51,7 +51,7 @@
 
 func (c *counter) Succeeded(f quarantine.Fingerprint, _ time.Time) { delete(c.seen, f) }
 
-func (c *counter) Judge(time.Time) (list []quarantine.Fingerprint) {
+func (c *counter) ToQuarantine(time.Time) (list []quarantine.Fingerprint) {
 	for f, n := range c.seen {
 		if len(n) >= 3 {
 			list = append(list, f)
@@ -345,7 +345,7 @@
 
 func (x *world) look(at int) {
 	j := x.judges[at]
-	verdict, suspects := j.Judge(x.now), j.Suspects(x.now)
+	verdict, suspects := j.ToQuarantine(x.now), j.Suspects(x.now)
 	for _, f := range verdict {
 		j.Quarantine(f)
 		x.trials[f], x.tried[f] = x.now.Add(trialAfter), 0
--- a/core/quarantine/judge.go
+++ b/core/quarantine/judge.go
@@ -50,10 +50,10 @@
 	return list
 }
 
-// Judge returns the requests that are to be quarantined, the one with the most crashes first.
+// ToQuarantine returns the requests that are to be quarantined, the one with the most crashes first.
 // Each one explains its crashes, so that those beside it are judged by the others. Where
 // several were under way at the same crashes, none is judged before one crash more.
-func (l *Ledger) Judge(now time.Time) (verdict []Fingerprint) {
+func (l *Ledger) ToQuarantine(now time.Time) (verdict []Fingerprint) {
 	until := now.Add(-l.policy.SettleDelay)
 	held := map[Fingerprint]bool{}
 	for {
--- a/core/quarantine/ledger_test.go
+++ b/core/quarantine/ledger_test.go
@@ -51,7 +51,7 @@
 	b.RecordCrash(b.crashes, b.now, ran(0, names...))
 }
 
-func (b *book) verdict() []quarantine.Fingerprint { return b.Judge(b.now.Add(time.Second)) }
+func (b *book) verdict() []quarantine.Fingerprint { return b.ToQuarantine(b.now.Add(time.Second)) }
 
 // Guards against a request that ends upstreams and is never found.
 func TestRequestUnderWayAtEachCrashIsFound(t *testing.T) {
@@ -192,7 +192,7 @@
 	b.crash("beside")
 	b.crash("beside")
 	b.crash("beside")
-	g.Expect(b.Judge(b.now)).To(BeEmpty())
+	g.Expect(b.ToQuarantine(b.now)).To(BeEmpty())
 	g.Expect(b.Settled(b.now)).To(BeFalse())
 	b.RecordCrash(1, epoch.Add(time.Second), ran(0, "culprit"))
 	b.RecordCrash(2, epoch.Add(2*time.Second), ran(0, "culprit"))
@@ -258,7 +258,7 @@
 			for _, r := range list {
 				l.RecordCrash(r.upstream, r.at, r.under)
 			}
-			return l.Judge(epoch.Add(time.Minute))
+			return l.ToQuarantine(epoch.Add(time.Minute))
 		}
 		want := judge(all)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -226,7 +226,7 @@
 	if r.own.Empty() {
 		return
 	}
-	r.suspects, r.guilty = set(r.own.Suspects(now)), set(r.own.Judge(now))
+	r.suspects, r.guilty = set(r.own.Suspects(now)), set(r.own.ToQuarantine(now))
 }
 
 func set(list []quarantine.Fingerprint) map[quarantine.Fingerprint]bool {
