--- a/core/quarantine/compare_test.go
+++ b/core/quarantine/compare_test.go
@@ -17,7 +17,7 @@
 // judge is a way to find requests that crash upstreams.
 type judge interface {
 	RecordCrash(upstream uint64, at time.Time, underWay []quarantine.Attempt)
-	Succeeded(f quarantine.Fingerprint, at time.Time)
+	RecordSuccess(f quarantine.Fingerprint, at time.Time)
 	Suspects(now time.Time) []quarantine.Fingerprint
 	ToQuarantine(now time.Time) []quarantine.Fingerprint
 	Quarantine(f quarantine.Fingerprint)
@@ -27,7 +27,7 @@
 type never struct{}
 
 func (never) RecordCrash(uint64, time.Time, []quarantine.Attempt) {}
-func (never) Succeeded(quarantine.Fingerprint, time.Time)     {}
+func (never) RecordSuccess(quarantine.Fingerprint, time.Time)     {}
 func (never) Suspects(time.Time) []quarantine.Fingerprint     { return nil }
 func (never) ToQuarantine(time.Time) []quarantine.Fingerprint        { return nil }
 func (never) Quarantine(quarantine.Fingerprint)               {}
@@ -49,7 +49,7 @@
 	}
 }
 
-func (c *counter) Succeeded(f quarantine.Fingerprint, _ time.Time) { delete(c.seen, f) }
+func (c *counter) RecordSuccess(f quarantine.Fingerprint, _ time.Time) { delete(c.seen, f) }
 
 func (c *counter) ToQuarantine(time.Time) (list []quarantine.Fingerprint) {
 	for f, n := range c.seen {
@@ -274,7 +274,7 @@
 		ended := x.now
 		u.running = slices.DeleteFunc(u.running, func(other *simRequest) bool { return other == r })
 		x.out.served++
-		x.tell(r.edge, func(j judge) { j.Succeeded(r.f, ended) })
+		x.tell(r.edge, func(j judge) { j.RecordSuccess(r.f, ended) })
 		if x.known[r.edge][r.f] {
 			x.after(x.upTo(x.w.up)+x.upTo(x.w.down), func() {
 				for e := range x.known {
--- a/core/quarantine/ledger.go
+++ b/core/quarantine/ledger.go
@@ -95,9 +95,9 @@
 	return ok && !at.After(last.Add(l.policy.ExonerationPeriod))
 }
 
-// Succeeded notes that an upstream ran a request to its end at a time: it does not crash what
+// RecordSuccess notes that an upstream ran a request to its end at a time: it does not crash what
 // runs it.
-func (l *Ledger) Succeeded(f Fingerprint, at time.Time) {
+func (l *Ledger) RecordSuccess(f Fingerprint, at time.Time) {
 	if at.After(l.succeeded[f]) {
 		l.succeeded[f] = at
 	}
--- a/core/quarantine/ledger_test.go
+++ b/core/quarantine/ledger_test.go
@@ -115,7 +115,7 @@
 	b := newBook()
 	b.crash("status")
 	b.crash("status")
-	b.Succeeded(named("status"), b.now)
+	b.RecordSuccess(named("status"), b.now)
 	b.crash("status")
 	g.Expect(b.verdict()).To(BeEmpty())
 	g.Expect(b.Suspects(b.now)).To(BeEmpty())
@@ -126,7 +126,7 @@
 func TestSuccessCountsForAWhile(t *testing.T) {
 	g := NewWithT(t)
 	b := newBook()
-	b.Succeeded(named("status"), b.now)
+	b.RecordSuccess(named("status"), b.now)
 	for range 4 {
 		b.crash("status")
 	}
--- a/core/quarantine/report.go
+++ b/core/quarantine/report.go
@@ -68,7 +68,7 @@
 		l.RecordCrash(c.Upstream, ago(c.AgeMS), c.UnderWay)
 	}
 	for _, s := range r.Succeeded {
-		l.Succeeded(s.Fingerprint, ago(s.AgeMS))
+		l.RecordSuccess(s.Fingerprint, ago(s.AgeMS))
 	}
 	l.Forget(now)
 }
--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -185,7 +185,7 @@
 	now := clock.Now()
 	r.successes.note(now, f)
 	if !r.own.Empty() {
-		r.own.Succeeded(f, now)
+		r.own.RecordSuccess(f, now)
 		r.judge()
 	}
 	if r.isKnown(f) {
