--- a/core/control/quarantine/machine.go
+++ b/core/control/quarantine/machine.go
@@ -164,7 +164,7 @@
 		e := &Entry{Fingerprint: f, Since: at.UnixNano(), Changed: index}
 		e.Organisation, e.Target, e.Crashes = m.ledger.Describe(f)
 		m.entries[f], m.index = e, index
-		m.ledger.Quarantine(f)
+		m.ledger.MarkQuarantined(f)
 	}
 }
 
--- a/core/control/quarantine/view.go
+++ b/core/control/quarantine/view.go
@@ -43,7 +43,7 @@
 		e := &s.Entries[i]
 		m.entries[e.Fingerprint] = e
 		if !e.Released {
-			m.ledger.Quarantine(e.Fingerprint)
+			m.ledger.MarkQuarantined(e.Fingerprint)
 		}
 	}
 	return nil
--- a/core/quarantine/compare_test.go
+++ b/core/quarantine/compare_test.go
@@ -20,7 +20,7 @@
 	RecordSuccess(f quarantine.Fingerprint, at time.Time)
 	Suspects(now time.Time) []quarantine.Fingerprint
 	ToQuarantine(now time.Time) []quarantine.Fingerprint
-	Quarantine(f quarantine.Fingerprint)
+	MarkQuarantined(f quarantine.Fingerprint)
 }
 
 // never quarantines nothing.
@@ -30,7 +30,7 @@
 func (never) RecordSuccess(quarantine.Fingerprint, time.Time)     {}
 func (never) Suspects(time.Time) []quarantine.Fingerprint     { return nil }
 func (never) ToQuarantine(time.Time) []quarantine.Fingerprint        { return nil }
-func (never) Quarantine(quarantine.Fingerprint)               {}
+func (never) MarkQuarantined(quarantine.Fingerprint)               {}
 
 // counter quarantines whatever was under way at three crashes without a success.
 type counter struct {
@@ -347,7 +347,7 @@
 	j := x.judges[at]
 	verdict, suspects := j.ToQuarantine(x.now), j.Suspects(x.now)
 	for _, f := range verdict {
-		j.Quarantine(f)
+		j.MarkQuarantined(f)
 		x.trials[f], x.tried[f] = x.now.Add(trialAfter), 0
 		if !x.poisoned[f] {
 			x.wrong[f] = true
--- a/core/quarantine/ledger.go
+++ b/core/quarantine/ledger.go
@@ -112,8 +112,8 @@
 // Alive notes that an incarnation that was believed to have crashed has answered.
 func (l *Ledger) Alive(upstream uint64) { delete(l.crashes, upstream) }
 
-// Quarantine notes that a request is quarantined.
-func (l *Ledger) Quarantine(f Fingerprint) { l.guilty[f] = true }
+// MarkQuarantined notes that a request is quarantined.
+func (l *Ledger) MarkQuarantined(f Fingerprint) { l.guilty[f] = true }
 
 // Release notes that a request is no longer quarantined; what was known against it is
 // forgotten.
--- a/core/quarantine/ledger_test.go
+++ b/core/quarantine/ledger_test.go
@@ -74,7 +74,7 @@
 	}
 	b.crash("culprit")
 	g.Expect(b.verdict()).To(Equal(fingerprints("culprit")))
-	b.Quarantine(named("culprit"))
+	b.MarkQuarantined(named("culprit"))
 	g.Expect(b.Suspects(b.now)).To(BeEmpty())
 	g.Expect(b.verdict()).To(BeEmpty())
 }
