--- a/core/quarantine/ledger.go
+++ b/core/quarantine/ledger.go
@@ -109,8 +109,8 @@
 	}
 }
 
-// Alive notes that an incarnation that was believed to have crashed has answered.
-func (l *Ledger) Alive(upstream uint64) { delete(l.crashes, upstream) }
+// RetractCrash notes that an incarnation that was believed to have crashed has answered.
+func (l *Ledger) RetractCrash(upstream uint64) { delete(l.crashes, upstream) }
 
 // MarkQuarantined notes that a request is quarantined.
 func (l *Ledger) MarkQuarantined(f Fingerprint) { l.guilty[f] = true }
--- a/core/quarantine/ledger_test.go
+++ b/core/quarantine/ledger_test.go
@@ -181,7 +181,7 @@
 	b.crash("a")
 	b.crash("a")
 	b.crash("a")
-	b.Alive(2)
+	b.RetractCrash(2)
 	g.Expect(b.verdict()).To(BeEmpty())
 }
 
@@ -213,7 +213,7 @@
 	g.Expect(proves()).To(BeTrue())
 	b.RecordCrash(99, at.Add(300*time.Millisecond), ran(0, "y"))
 	g.Expect(proves()).To(BeFalse())
-	b.Alive(99)
+	b.RetractCrash(99)
 	b.crash("beside")
 	g.Expect(proves()).To(BeFalse(), "the other one is suspected")
 }
--- a/core/quarantine/report.go
+++ b/core/quarantine/report.go
@@ -60,7 +60,7 @@
 // Take takes in a report that came at a time.
 func (l *Ledger) Take(now time.Time, r *Report) {
 	for _, upstream := range r.Alive {
-		l.Alive(upstream)
+		l.RetractCrash(upstream)
 	}
 	ago := func(ms int64) time.Time { return now.Add(-time.Duration(ms) * time.Millisecond) }
 	for i := range r.Crashes {
--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -210,7 +210,7 @@
 func (r *Recorder) Alive(upstream uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.own.Alive(upstream)
+	r.own.RetractCrash(upstream)
 	r.judge()
 	if len(r.unsent.Alive) >= maxUnsent {
 		return
