--- a/core/control/quarantine/view.go
+++ b/core/control/quarantine/view.go
@@ -81,7 +81,7 @@
 		if e.Trials == 0 || e.Released || e.Failed {
 			continue
 		}
-		if m.ledger.Proves(e.Fingerprint, time.Unix(0, e.LastTrial), now) {
+		if m.ledger.ConfirmsCrash(e.Fingerprint, time.Unix(0, e.LastTrial), now) {
 			c.Failed = append(c.Failed, e.Fingerprint)
 		}
 	}
--- a/core/quarantine/judge.go
+++ b/core/quarantine/judge.go
@@ -114,10 +114,10 @@
 	return true
 }
 
-// Proves reports whether a crash since a time proves by itself that a request crashes
+// ConfirmsCrash reports whether a crash since a time proves by itself that a request crashes
 // upstreams: one that is isolated, and at which nothing else was under way that is quarantined
 // or suspected.
-func (l *Ledger) Proves(f Fingerprint, since, now time.Time) bool {
+func (l *Ledger) ConfirmsCrash(f Fingerprint, since, now time.Time) bool {
 	until := now.Add(-l.policy.IsolationPeriod)
 	counts := l.counts(now)
 	for _, c := range l.crashes {
--- a/core/quarantine/ledger_test.go
+++ b/core/quarantine/ledger_test.go
@@ -208,8 +208,8 @@
 	b.now = epoch.Add(time.Minute)
 	b.crash("x", "beside")
 	at := b.now
-	proves := func() bool { return b.Proves(named("x"), at, at.Add(2*time.Second)) }
-	g.Expect(b.Proves(named("x"), at, at.Add(time.Second/2))).To(BeFalse(), "another one may follow")
+	proves := func() bool { return b.ConfirmsCrash(named("x"), at, at.Add(2*time.Second)) }
+	g.Expect(b.ConfirmsCrash(named("x"), at, at.Add(time.Second/2))).To(BeFalse(), "another one may follow")
 	g.Expect(proves()).To(BeTrue())
 	b.RecordCrash(99, at.Add(300*time.Millisecond), ran(0, "y"))
 	g.Expect(proves()).To(BeFalse())
