--- a/core/control/quarantine/machine.go
+++ b/core/control/quarantine/machine.go
@@ -141,7 +141,7 @@
 
 func (m *Machine) applyReports(index uint64, at time.Time, reports []quarantine.Report) {
 	for i := range reports {
-		m.ledger.Take(at, &reports[i])
+		m.ledger.ApplyReport(at, &reports[i])
 		for _, s := range reports[i].Succeeded {
 			m.release(index, s.Fingerprint)
 		}
--- a/core/quarantine/report.go
+++ b/core/quarantine/report.go
@@ -57,8 +57,8 @@
 	return Attempt{Fingerprint: f, RanMS: ran.Milliseconds(), Organisation: organisation, Target: target[:min(len(target), maxTarget)]}
 }
 
-// Take takes in a report that came at a time.
-func (l *Ledger) Take(now time.Time, r *Report) {
+// ApplyReport takes in a report that came at a time.
+func (l *Ledger) ApplyReport(now time.Time, r *Report) {
 	for _, upstream := range r.Alive {
 		l.RetractCrash(upstream)
 	}
