--- a/core/quarantine/compare_test.go
+++ b/core/quarantine/compare_test.go
@@ -28,9 +28,9 @@
 
 func (never) RecordCrash(uint64, time.Time, []quarantine.Attempt) {}
 func (never) RecordSuccess(quarantine.Fingerprint, time.Time)     {}
-func (never) Suspects(time.Time) []quarantine.Fingerprint     { return nil }
-func (never) ToQuarantine(time.Time) []quarantine.Fingerprint        { return nil }
-func (never) MarkQuarantined(quarantine.Fingerprint)               {}
+func (never) Suspects(time.Time) []quarantine.Fingerprint         { return nil }
+func (never) ToQuarantine(time.Time) []quarantine.Fingerprint     { return nil }
+func (never) MarkQuarantined(quarantine.Fingerprint)              {}
 
 // counter quarantines whatever was under way at three crashes without a success.
 type counter struct {
--- a/core/quarantine/fingerprint.go
+++ b/core/quarantine/fingerprint.go
@@ -1,5 +1,5 @@
-// Package quarantine finds the requests that crash each upstream that runs them, from which
-// requests were under way at which crash. It does no I/O.
+// Package quarantine finds the requests that crash every upstream that runs them, based on
+// which requests were in flight at which crash. It does no I/O.
 package quarantine
 
 import (
@@ -11,17 +11,17 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// Fingerprint identifies a request by its content: whoever sends the same content to the same
-// place for the same organisation has the same fingerprint, at any instance.
+// Fingerprint identifies a request by its content. Requests with the same content, host, target
+// and organisation have the same fingerprint at every instance.
 type Fingerprint [16]byte
 
 // FingerprintOf returns the fingerprint of a request for a host and target by an organisation,
-// which is empty for an anonymous caller. The case of the host does not count.
+// which is empty for an anonymous caller. The case of the host is ignored.
 func FingerprintOf(host, target, organisation string, body []byte) (f Fingerprint) {
 	var room [512]byte
 	head := room[:0]
 	for _, part := range [...]string{strings.ToLower(host), target, organisation} {
-		// The lengths keep what ends one part from counting as the start of the next.
+		// The length prefix makes the boundaries between the parts unambiguous.
 		head = binary.BigEndian.AppendUint64(head, uint64(len(part)))
 		head = append(head, part...)
 	}
@@ -36,7 +36,7 @@
 // String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// ParseFingerprint reads what String returns. It fails with fault.Invalid.
+// ParseFingerprint parses the output of String. It fails with fault.Invalid.
 func ParseFingerprint(text string) (f Fingerprint, err error) {
 	b, err := hex.DecodeString(text)
 	if err != nil || len(b) != len(f) {
--- a/core/quarantine/judge.go
+++ b/core/quarantine/judge.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// explained reports whether a quarantined request was under way at a crash.
+// explained reports whether a quarantined request was in flight at a crash, which is then
+// attributed to that request.
 func (l *Ledger) explained(c *crash) bool {
 	for f := range c.underWay {
-		if l.guilty[f] {
+		if l.quarantined[f] {
 			return true
 		}
 	}
 	return false
 }
 
-// counts returns at how many crashes each request was under way that nothing else explains,
-// up to a moment. Two crashes count as two if they are apart, or if the request was sent to
-// the second upstream after the first one had crashed.
+// counts returns the number of unexplained crashes, up to a time, at which each request was
+// in flight. Two crashes count separately if they are at least MinCrashInterval apart, or if
+// the request was sent to the second upstream after the first had crashed.
 func (l *Ledger) counts(until time.Time) map[Fingerprint]int {
 	counts := map[Fingerprint]int{}
 	last := map[Fingerprint]time.Time{}
@@ -39,7 +40,7 @@
 	return counts
 }
 
-// Suspects returns the requests that are suspected and not quarantined, in order.
+// Suspects returns the requests that are suspected and not quarantined, sorted.
 func (l *Ledger) Suspects(now time.Time) (list []Fingerprint) {
 	for f, n := range l.counts(now) {
 		if n >= l.policy.SuspectThreshold {
@@ -50,38 +51,39 @@
 	return list
 }
 
-// ToQuarantine returns the requests that are to be quarantined, the one with the most crashes first.
-// Each one explains its crashes, so that those beside it are judged by the others. Where
-// several were under way at the same crashes, none is judged before one crash more.
+// ToQuarantine returns the requests to quarantine, those with the most crashes first. The
+// crashes of a request in the result count as explained, so that other requests are evaluated
+// by the remaining crashes. Requests that were in flight at the same crashes cannot be told
+// apart; a decision on them needs one crash more.
 func (l *Ledger) ToQuarantine(now time.Time) (verdict []Fingerprint) {
 	until := now.Add(-l.policy.SettleDelay)
-	held := map[Fingerprint]bool{}
+	deferred := map[Fingerprint]bool{}
 	for {
 		counts := l.counts(until)
-		f, n := leader(counts, held)
+		f, n := mostCrashes(counts, deferred)
 		if n < l.policy.QuarantineThreshold {
 			break
 		}
-		same := l.alike(f, counts, until)
+		same := l.indistinguishable(f, counts, until)
 		if len(same) > 1 && n == l.policy.QuarantineThreshold {
 			for _, g := range same {
-				held[g] = true
+				deferred[g] = true
 			}
 			continue
 		}
 		verdict = append(verdict, same...)
 		for _, g := range same {
-			l.guilty[g] = true
+			l.quarantined[g] = true
 		}
 	}
 	for _, f := range verdict {
-		delete(l.guilty, f)
+		delete(l.quarantined, f)
 	}
 	return verdict
 }
 
-// leader returns the request with the most crashes among those that are not held.
-func leader(counts map[Fingerprint]int, held map[Fingerprint]bool) (best Fingerprint, most int) {
+// mostCrashes returns the request with the most crashes among those that are not deferred.
+func mostCrashes(counts map[Fingerprint]int, held map[Fingerprint]bool) (best Fingerprint, most int) {
 	for f, n := range counts {
 		if !held[f] && (n > most || n == most && compare(f, best) < 0) {
 			best, most = f, n
@@ -90,9 +92,9 @@
 	return best, most
 }
 
-// alike returns the requests with as many crashes as one that were under way at each of its
-// crashes, itself among them, in order.
-func (l *Ledger) alike(f Fingerprint, counts map[Fingerprint]int, until time.Time) (list []Fingerprint) {
+// indistinguishable returns the requests that have as many counted crashes as f and were in
+// flight at each of its crashes, including f, sorted.
+func (l *Ledger) indistinguishable(f Fingerprint, counts map[Fingerprint]int, until time.Time) (list []Fingerprint) {
 	for g, n := range counts {
 		if n == counts[f] && l.covers(g, f, until) {
 			list = append(list, g)
@@ -102,7 +104,7 @@
 	return list
 }
 
-// covers reports whether g was under way wherever f was, of the crashes that count.
+// covers reports whether g was in flight at each unexplained crash up to a time at which f was.
 func (l *Ledger) covers(g, f Fingerprint, until time.Time) bool {
 	for _, c := range l.crashes {
 		_, hasF := c.underWay[f]
@@ -114,9 +116,9 @@
 	return true
 }
 
-// ConfirmsCrash reports whether a crash since a time proves by itself that a request crashes
-// upstreams: one that is isolated, and at which nothing else was under way that is quarantined
-// or suspected.
+// ConfirmsCrash reports whether a single crash since a time shows that a request crashes
+// upstreams. It must be isolated, and no other quarantined or suspected request may have been
+// in flight at it.
 func (l *Ledger) ConfirmsCrash(f Fingerprint, since, now time.Time) bool {
 	until := now.Add(-l.policy.IsolationPeriod)
 	counts := l.counts(now)
@@ -126,7 +128,7 @@
 		}
 		alone := true
 		for g := range c.underWay {
-			alone = alone && (g == f || !l.guilty[g] && counts[g] < l.policy.SuspectThreshold)
+			alone = alone && (g == f || !l.quarantined[g] && counts[g] < l.policy.SuspectThreshold)
 		}
 		if alone {
 			return true
@@ -135,7 +137,7 @@
 	return false
 }
 
-// isolated reports whether no other upstream crashed about the time of a crash.
+// isolated reports whether no other upstream crashed within IsolationPeriod of a crash.
 func (l *Ledger) isolated(c *crash) bool {
 	for _, other := range l.crashes {
 		if other != c && other.at.Sub(c.at).Abs() < l.policy.IsolationPeriod {
@@ -145,7 +147,7 @@
 	return true
 }
 
-// Settled reports whether all crashes may be judged at a time.
+// Settled reports whether SettleDelay has passed since every crash.
 func (l *Ledger) Settled(now time.Time) bool {
 	for _, c := range l.crashes {
 		if now.Sub(c.at) <= l.policy.SettleDelay {
--- a/core/quarantine/ledger.go
+++ b/core/quarantine/ledger.go
@@ -6,31 +6,32 @@
 	"time"
 )
 
-// Policy says what counts as proof that a request crashes upstreams.
+// Policy defines the evidence by which a request is taken to crash upstreams.
 type Policy struct {
-	// QuarantineThreshold is at how many crashes a request is quarantined, and SuspectThreshold at how many it is
-	// suspected.
+	// QuarantineThreshold is the number of crashes at which a request is quarantined,
+	// SuspectThreshold the number at which it is suspected.
 	QuarantineThreshold, SuspectThreshold int
-	// MinCrashInterval is the least time between two crashes that count as two for a request that was
-	// sent before either. What ends several upstreams at the same moment is no request.
+	// MinCrashInterval is the minimum time between two crashes that count separately for a request
+	// that was sent before both. Whatever ends several upstreams at the same moment is not a
+	// request.
 	MinCrashInterval time.Duration
-	// SettleDelay is for how long a crash is not judged, so that all instances can tell what they
-	// had under way at it.
+	// SettleDelay is how long a crash is not evaluated, so that all instances can report the
+	// requests that they had in flight at it.
 	SettleDelay time.Duration
-	// ExonerationPeriod is for how long after a success no crash counts against a request: one that
-	// crashes what runs it has none. Between the crashes of others a request that comes often
-	// may find no upstream to succeed at.
+	// ExonerationPeriod is how long after a success crashes do not count against a request. A
+	// request that crashes every upstream never succeeds. A harmless request that is sent
+	// often may find no upstream to succeed at between crashes caused by others.
 	ExonerationPeriod time.Duration
-	// IsolationPeriod is how far from all others a crash must be to prove by itself that the request
-	// under way at it caused it.
+	// IsolationPeriod is the minimum time between a crash and all others for it to show by
+	// itself that the request in flight caused it.
 	IsolationPeriod time.Duration
-	// CrashRetention is for how long a crash is remembered. MaxCrashes and MaxAttempts bound how many
-	// are, and how many requests under way at them; the oldest go first.
-	CrashRetention                  time.Duration
+	// CrashRetention is how long a crash is kept. MaxCrashes bounds the number of crashes and
+	// MaxAttempts that of the attempts at them. The oldest crashes are dropped first.
+	CrashRetention          time.Duration
 	MaxCrashes, MaxAttempts int
 }
 
-// DefaultPolicy is the policy of instances.
+// DefaultPolicy is the policy that instances use.
 var DefaultPolicy = Policy{
 	QuarantineThreshold: 3, SuspectThreshold: 2, MinCrashInterval: 100 * time.Millisecond, SettleDelay: 100 * time.Millisecond,
 	ExonerationPeriod: 10 * time.Second, IsolationPeriod: time.Second, CrashRetention: 10 * time.Minute, MaxCrashes: 1024, MaxAttempts: 16384,
@@ -43,31 +44,32 @@
 	underWay map[Fingerprint]attempt
 }
 
-// attempt is a request that was under way, sent there last at a time.
+// attempt is a request that was in flight at a crash, and when it was last sent to the upstream.
 type attempt struct {
 	sent                 time.Time
 	organisation, target string
 }
 
-// Ledger holds which requests were under way at which crash. What it holds of crashes does
-// not depend on the order in which instances tell of them. It is not safe for concurrent use.
+// Ledger records which requests were in flight at which crash. The recorded crashes do not
+// depend on the order in which instances report them. It is not safe for concurrent use.
 type Ledger struct {
 	policy  Policy
 	crashes map[uint64]*crash
-	// succeeded is when requests succeeded last, as long as that counts.
+	// succeeded holds the time of each request's last success for ExonerationPeriod.
 	succeeded map[Fingerprint]time.Time
-	// guilty are the quarantined requests: they explain the crashes at which they were under
-	// way.
-	guilty map[Fingerprint]bool
+	// quarantined holds the quarantined requests. The crashes at which they were in flight count
+	// as explained.
+	quarantined map[Fingerprint]bool
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger(p Policy) *Ledger {
-	return &Ledger{policy: p, crashes: map[uint64]*crash{}, succeeded: map[Fingerprint]time.Time{}, guilty: map[Fingerprint]bool{}}
+	return &Ledger{policy: p, crashes: map[uint64]*crash{}, succeeded: map[Fingerprint]time.Time{}, quarantined: map[Fingerprint]bool{}}
 }
 
-// RecordCrash notes requests that were under way when an incarnation of an upstream crashed. All
-// instances name an incarnation by the same number, so one crash counts once whoever tells.
+// RecordCrash records requests that were in flight when an incarnation of an upstream crashed.
+// All instances identify an incarnation by the same number, so a crash counts once however many
+// of them report it.
 func (l *Ledger) RecordCrash(upstream uint64, at time.Time, underWay []Attempt) {
 	c := l.crashes[upstream]
 	if c == nil {
@@ -95,13 +97,13 @@
 	return ok && !at.After(last.Add(l.policy.ExonerationPeriod))
 }
 
-// RecordSuccess notes that an upstream ran a request to its end at a time: it does not crash what
-// runs it.
+// RecordSuccess records that an upstream completed a request at a time, which shows that the request
+// does not crash upstreams.
 func (l *Ledger) RecordSuccess(f Fingerprint, at time.Time) {
 	if at.After(l.succeeded[f]) {
 		l.succeeded[f] = at
 	}
-	delete(l.guilty, f)
+	delete(l.quarantined, f)
 	for _, c := range l.crashes {
 		if l.exonerated(f, c.at) {
 			delete(c.underWay, f)
@@ -109,22 +111,21 @@
 	}
 }
 
-// RetractCrash notes that an incarnation that was believed to have crashed has answered.
+// RetractCrash removes the crash of an incarnation that has answered since.
 func (l *Ledger) RetractCrash(upstream uint64) { delete(l.crashes, upstream) }
 
-// MarkQuarantined notes that a request is quarantined.
-func (l *Ledger) MarkQuarantined(f Fingerprint) { l.guilty[f] = true }
+// MarkQuarantined records that a request is quarantined.
+func (l *Ledger) MarkQuarantined(f Fingerprint) { l.quarantined[f] = true }
 
-// Release notes that a request is no longer quarantined; what was known against it is
-// forgotten.
+// Release records that a request is no longer quarantined and discards the evidence against it.
 func (l *Ledger) Release(f Fingerprint) {
-	delete(l.guilty, f)
+	delete(l.quarantined, f)
 	for _, c := range l.crashes {
 		delete(c.underWay, f)
 	}
 }
 
-// Forget drops the crashes that are too old, or too many, and successes that count no more.
+// Forget drops crashes that are too old or too many, and successes older than ExonerationPeriod.
 func (l *Ledger) Forget(now time.Time) {
 	for f, at := range l.succeeded {
 		if now.Sub(at) > l.policy.ExonerationPeriod {
@@ -151,7 +152,7 @@
 	}
 }
 
-// Empty reports whether no crash is remembered.
+// Empty reports whether no crash is recorded.
 func (l *Ledger) Empty() bool { return len(l.crashes) == 0 }
 
 // sorted returns the crashes, the oldest first.
@@ -164,8 +165,8 @@
 	return list
 }
 
-// Describe returns whose request it is that was under way at crashes, where it went, and at
-// how many it was.
+// Describe returns the organisation and target of a request, and the number of recorded crashes
+// at which it was in flight.
 func (l *Ledger) Describe(f Fingerprint) (organisation, target string, crashes int) {
 	for _, c := range l.sorted() {
 		if a, ok := c.underWay[f]; ok {
--- a/core/quarantine/report.go
+++ b/core/quarantine/report.go
@@ -6,20 +6,20 @@
 	"github.com/comfreyladder/comfreyladder/core/wire"
 )
 
-// Report is what an instance tells of crashes. Times are told as ages, since the clocks of
+// Report is an instance's report on crashes. Times are given as ages, since the clocks of
 // instances differ.
 type Report struct {
 	Crashes []Crash `codec:"c,omitempty"`
-	// Succeeded are suspected or quarantined requests that an upstream ran to their end.
+	// Succeeded lists suspected or quarantined requests that an upstream has completed.
 	Succeeded []Success `codec:"s,omitempty"`
-	// Alive are upstreams that were told to have crashed and have answered since.
+	// Alive lists upstreams that were reported as crashed and have answered since.
 	Alive []uint64 `codec:"a,omitempty"`
 }
 
-// Empty reports whether the report says nothing.
+// Empty reports whether the report has no content.
 func (r *Report) Empty() bool { return len(r.Crashes)+len(r.Succeeded)+len(r.Alive) == 0 }
 
-// Success is a request that an upstream ran to its end.
+// Success is a request that an upstream has completed.
 type Success struct {
 	wire.Array
 	Fingerprint Fingerprint
@@ -30,34 +30,34 @@
 // Crash is the end of one incarnation of an upstream without a leave.
 type Crash struct {
 	wire.Array
-	// Upstream is the log index at which the incarnation was first heard of: all instances
-	// name it by that.
+	// Upstream is the log index at which the incarnation was first recorded, by which all
+	// instances identify it.
 	Upstream uint64
 	// AgeMS is how long ago it crashed, in milliseconds.
 	AgeMS    int64
 	UnderWay []Attempt
 }
 
-// Attempt is a request that was under way at an upstream when it crashed.
+// Attempt is a request that was in flight at an upstream when it crashed.
 type Attempt struct {
 	wire.Array
 	Fingerprint Fingerprint
-	// RanMS is for how long before the crash it had been there, in milliseconds.
+	// RanMS is the time between sending the request and the crash, in milliseconds.
 	RanMS int64
-	// Organisation is whose request it is, empty for an anonymous caller, and Target where it
-	// went, cut to maxTarget.
+	// Organisation is the caller's, empty for an anonymous caller, and Target the target of the
+	// request, truncated to maxTarget.
 	Organisation, Target string
 }
 
-// maxTarget bounds the targets that are told and remembered, in bytes.
+// maxTarget bounds reported targets, in bytes.
 const maxTarget = 96
 
-// NewAttempt returns an attempt that had been at its upstream for a while.
+// NewAttempt returns an Attempt of a request that was sent a duration ran before the crash.
 func NewAttempt(f Fingerprint, ran time.Duration, organisation, target string) Attempt {
 	return Attempt{Fingerprint: f, RanMS: ran.Milliseconds(), Organisation: organisation, Target: target[:min(len(target), maxTarget)]}
 }
 
-// ApplyReport takes in a report that came at a time.
+// ApplyReport applies a report that was received at a time.
 func (l *Ledger) ApplyReport(now time.Time, r *Report) {
 	for _, upstream := range r.Alive {
 		l.RetractCrash(upstream)
--- a/core/quarantine/state.go
+++ b/core/quarantine/state.go
@@ -16,7 +16,7 @@
 	UnderWay []AttemptState
 }
 
-// AttemptState is a request that was under way, in a snapshot.
+// AttemptState is a request that was in flight at a crash, in a snapshot.
 type AttemptState struct {
 	wire.Array
 	Fingerprint Fingerprint
@@ -33,7 +33,7 @@
 	At int64
 }
 
-// Successes returns the successes that count, in order.
+// Successes returns the recorded successes, sorted.
 func (l *Ledger) Successes() []SuccessState {
 	list := make([]SuccessState, 0, len(l.succeeded))
 	for f, at := range l.succeeded {
@@ -43,7 +43,7 @@
 	return list
 }
 
-// State returns the crashes; equal ledgers give equal states.
+// State returns the recorded crashes. Equal ledgers give equal states.
 func (l *Ledger) State() []CrashState {
 	list := make([]CrashState, 0, len(l.crashes))
 	for _, c := range l.sorted() {
@@ -57,13 +57,13 @@
 	return list
 }
 
-// Restore replaces the crashes and successes, and forgets what is quarantined.
+// Restore replaces the crashes and successes and clears the quarantined requests.
 func (l *Ledger) Restore(list []CrashState, successes []SuccessState) {
 	l.succeeded = make(map[Fingerprint]time.Time, len(successes))
 	for _, s := range successes {
 		l.succeeded[s.Fingerprint] = time.Unix(0, s.At).UTC()
 	}
-	l.crashes, l.guilty = make(map[uint64]*crash, len(list)), map[Fingerprint]bool{}
+	l.crashes, l.quarantined = make(map[uint64]*crash, len(list)), map[Fingerprint]bool{}
 	for i := range list {
 		s := &list[i]
 		c := &crash{upstream: s.Upstream, at: time.Unix(0, s.At).UTC(), underWay: make(map[Fingerprint]attempt, len(s.UnderWay))}
