--- a/core/quarantine/compare_test.go
+++ b/core/quarantine/compare_test.go
@@ -14,8 +14,8 @@
 	"github.com/comfreyladder/comfreyladder/core/quarantine"
 )
 
-// judge is a way to find requests that crash upstreams.
-type judge interface {
+// detector finds requests that crash upstreams.
+type detector interface {
 	RecordCrash(upstream uint64, at time.Time, underWay []quarantine.Attempt)
 	RecordSuccess(f quarantine.Fingerprint, at time.Time)
 	Suspects(now time.Time) []quarantine.Fingerprint
@@ -23,22 +23,22 @@
 	MarkQuarantined(f quarantine.Fingerprint)
 }
 
-// never quarantines nothing.
-type never struct{}
+// noDetector quarantines nothing.
+type noDetector struct{}
 
-func (never) RecordCrash(uint64, time.Time, []quarantine.Attempt) {}
-func (never) RecordSuccess(quarantine.Fingerprint, time.Time)     {}
-func (never) Suspects(time.Time) []quarantine.Fingerprint         { return nil }
-func (never) ToQuarantine(time.Time) []quarantine.Fingerprint     { return nil }
-func (never) MarkQuarantined(quarantine.Fingerprint)              {}
+func (noDetector) RecordCrash(uint64, time.Time, []quarantine.Attempt) {}
+func (noDetector) RecordSuccess(quarantine.Fingerprint, time.Time)     {}
+func (noDetector) Suspects(time.Time) []quarantine.Fingerprint         { return nil }
+func (noDetector) ToQuarantine(time.Time) []quarantine.Fingerprint     { return nil }
+func (noDetector) MarkQuarantined(quarantine.Fingerprint)              {}
 
-// counter quarantines whatever was under way at three crashes without a success.
+// counter quarantines each request that was in flight at three crashes without a success.
 type counter struct {
-	never
+	noDetector
 	seen map[quarantine.Fingerprint]map[uint64]bool
 }
 
-func newCounter() judge { return &counter{seen: map[quarantine.Fingerprint]map[uint64]bool{}} }
+func newCounter() detector { return &counter{seen: map[quarantine.Fingerprint]map[uint64]bool{}} }
 
 func (c *counter) RecordCrash(upstream uint64, _ time.Time, underWay []quarantine.Attempt) {
 	for _, a := range underWay {
@@ -60,30 +60,30 @@
 	return list
 }
 
-func ledgerOf(crashes int, at time.Duration) func() judge {
-	return func() judge {
+func ledgerOf(crashes int, at time.Duration) func() detector {
+	return func() detector {
 		p := quarantine.DefaultPolicy
 		p.QuarantineThreshold, p.SuspectThreshold, p.SettleDelay = crashes, crashes-1, at
 		return quarantine.NewLedger(p)
 	}
 }
 
-// way is a judge and how it is told and tells.
-type way struct {
+// strategy is a detector together with the propagation of reports and verdicts.
+type strategy struct {
 	name string
-	new  func() judge
-	// alone has each instance judge for itself.
-	alone bool
-	// up bounds how long a report takes, down how long a verdict does.
+	new  func() detector
+	// perInstance gives each instance a detector of its own.
+	perInstance bool
+	// up is the maximum delay of a report, down that of a verdict.
 	up, down time.Duration
-	// spare has suspects not repeated by instances, trials is how many runs a quarantined request
-	// has to prove itself.
+	// spare keeps instances from retrying suspected requests. trials is the number of trial runs
+	// of a quarantined request.
 	spare  bool
 	trials int
 }
 
-// scene is what happens to the upstreams.
-type scene struct {
+// scenario defines the load and the crashes of upstreams.
+type scenario struct {
 	name                           string
 	upstreams, edges               int
 	poisonEvery                    time.Duration
@@ -91,27 +91,28 @@
 	work, longWork, hold, downtime time.Duration
 }
 
-// outcome is what came of it.
+// outcome counts the events of a simulation.
 type outcome struct {
 	crashes, late, innocent, refused, sent, served int
 }
 
-// world plays a scene in virtual time.
-type world struct {
+// simulation runs a scenario in virtual time.
+type simulation struct {
 	rng   *rand.Rand
-	w     way
-	s     scene
+	w     strategy
+	s     scenario
 	now   time.Time
 	queue events
 	up    []*simUpstream
-	// judges are those of the instances, or one.
-	judges []judge
-	// known is what each instance holds for quarantined, suspects for suspected.
+	// detectors holds one detector per instance, or a single one for all.
+	detectors []detector
+	// known holds the requests that each instance believes to be quarantined, suspects those that
+	// it believes to be suspected.
 	known, suspects []map[quarantine.Fingerprint]bool
 	lives           uint64
 	crashed         []time.Time
 	poisoned, wrong map[quarantine.Fingerprint]bool
-	// trials is when a quarantined request may have its trial; zero once it had.
+	// trials holds when a quarantined request may have its next trial.
 	trials    map[quarantine.Fingerprint]time.Time
 	tried     map[quarantine.Fingerprint]int
 	lastTrial time.Time
@@ -153,15 +154,15 @@
 
 const (
 	playFor = 20 * time.Second
-	// callerPause is a caller's pause before it comes again, callerTries how often it comes.
+	// callerPause is a caller's pause before a retry, callerTries its number of attempts.
 	callerPause, callerTries = 100 * time.Millisecond, 2
 	edgeTries                = 2
 	inContact                = 3 * time.Second
 	trialAfter               = time.Second
 )
 
-func newWorld(seed uint64, w way, s scene) *world {
-	x := &world{rng: rand.New(rand.NewPCG(seed, 35)), w: w, s: s, now: epoch, poisoned: map[quarantine.Fingerprint]bool{}, wrong: map[quarantine.Fingerprint]bool{}, trials: map[quarantine.Fingerprint]time.Time{}, tried: map[quarantine.Fingerprint]int{}}
+func newWorld(seed uint64, w strategy, s scenario) *simulation {
+	x := &simulation{rng: rand.New(rand.NewPCG(seed, 35)), w: w, s: s, now: epoch, poisoned: map[quarantine.Fingerprint]bool{}, wrong: map[quarantine.Fingerprint]bool{}, trials: map[quarantine.Fingerprint]time.Time{}, tried: map[quarantine.Fingerprint]int{}}
 	for range s.upstreams {
 		x.lives++
 		x.up = append(x.up, &simUpstream{life: x.lives})
@@ -169,28 +170,28 @@
 	for range s.edges {
 		x.known = append(x.known, map[quarantine.Fingerprint]bool{})
 		x.suspects = append(x.suspects, map[quarantine.Fingerprint]bool{})
-		if w.alone || len(x.judges) == 0 {
-			x.judges = append(x.judges, w.new())
+		if w.perInstance || len(x.detectors) == 0 {
+			x.detectors = append(x.detectors, w.new())
 		}
 	}
 	return x
 }
 
-func (x *world) after(d time.Duration, do func()) { heap.Push(&x.queue, event{x.now.Add(d), do}) }
+func (x *simulation) after(d time.Duration, do func()) { heap.Push(&x.queue, event{x.now.Add(d), do}) }
 
-// upTo draws a time between a tenth of a bound and the bound.
-func (x *world) upTo(d time.Duration) time.Duration {
+// upTo returns a random duration between a tenth of a bound and the bound.
+func (x *simulation) upTo(d time.Duration) time.Duration {
 	return d/10 + time.Duration(x.rng.Int64N(int64(d)*9/10+1))
 }
 
-func (x *world) every(mean time.Duration, do func()) {
+func (x *simulation) every(mean time.Duration, do func()) {
 	x.after(time.Duration(x.rng.ExpFloat64()*float64(mean)), func() {
 		do()
 		x.every(mean, do)
 	})
 }
 
-func (x *world) play() outcome {
+func (x *simulation) play() outcome {
 	n := 0
 	x.every(20*time.Millisecond, func() {
 		n++
@@ -198,12 +199,12 @@
 		if n%4 == 0 {
 			work = x.upTo(x.s.longWork)
 		}
-		x.arrive(&simRequest{f: named(fmt.Sprint("unique ", n)), work: work})
+		x.arrive(&simRequest{f: fingerprintOf(fmt.Sprint("unique ", n)), work: work})
 	})
-	x.every(25*time.Millisecond, func() { x.arrive(&simRequest{f: named(fmt.Sprint("status ", n%4)), work: x.s.work}) })
+	x.every(25*time.Millisecond, func() { x.arrive(&simRequest{f: fingerprintOf(fmt.Sprint("status ", n%4)), work: x.s.work}) })
 	if x.s.poisonEvery > 0 {
-		x.poisoned[named("poison")] = true
-		x.every(x.s.poisonEvery, func() { x.arrive(&simRequest{f: named("poison"), poison: true, work: x.upTo(x.s.hold)}) })
+		x.poisoned[fingerprintOf("poison")] = true
+		x.every(x.s.poisonEvery, func() { x.arrive(&simRequest{f: fingerprintOf("poison"), poison: true, work: x.upTo(x.s.hold)}) })
 	}
 	if x.s.herd {
 		x.every(4*time.Second, func() {
@@ -226,8 +227,8 @@
 	return x.out
 }
 
-// arrive takes a request of a caller.
-func (x *world) arrive(r *simRequest) {
+// arrive handles a request from a caller.
+func (x *simulation) arrive(r *simRequest) {
 	if !r.poison && r.callers == 0 {
 		x.out.sent++
 	}
@@ -236,21 +237,21 @@
 	x.send(r)
 }
 
-func (x *world) send(r *simRequest) {
+func (x *simulation) send(r *simRequest) {
 	var up []*simUpstream
 	for _, u := range x.up {
 		if !u.down {
 			up = append(up, u)
 		}
 	}
-	if x.known[r.edge][r.f] && (len(up) == 0 || !x.tries(r.f)) {
+	if x.known[r.edge][r.f] && (len(up) == 0 || !x.startTrial(r.f)) {
 		if !r.poison {
 			x.out.refused++
 		}
 		return
 	}
 	if len(up) == 0 {
-		x.again(r)
+		x.retryLater(r)
 		return
 	}
 	u := up[x.rng.IntN(len(up))]
@@ -274,7 +275,7 @@
 		ended := x.now
 		u.running = slices.DeleteFunc(u.running, func(other *simRequest) bool { return other == r })
 		x.out.served++
-		x.tell(r.edge, func(j judge) { j.RecordSuccess(r.f, ended) })
+		x.report(r.edge, func(j detector) { j.RecordSuccess(r.f, ended) })
 		if x.known[r.edge][r.f] {
 			x.after(x.upTo(x.w.up)+x.upTo(x.w.down), func() {
 				for e := range x.known {
@@ -285,8 +286,8 @@
 	})
 }
 
-// tries reports whether a quarantined request has its trial now.
-func (x *world) tries(f quarantine.Fingerprint) bool {
+// startTrial starts a trial of a quarantined request if one is due, and reports whether it did.
+func (x *simulation) startTrial(f quarantine.Fingerprint) bool {
 	at := x.trials[f]
 	if x.tried[f] >= x.w.trials || at.IsZero() || x.now.Before(at) || x.now.Sub(x.lastTrial) < trialAfter {
 		return false
@@ -296,15 +297,15 @@
 	return true
 }
 
-// again has the caller of a request that failed come again.
-func (x *world) again(r *simRequest) {
+// retryLater schedules the retry by the caller of a failed request, if it has one left.
+func (x *simulation) retryLater(r *simRequest) {
 	if r.poison || r.callers >= callerTries {
 		return
 	}
 	x.after(callerPause, func() { x.arrive(r) })
 }
 
-func (x *world) crash(u *simUpstream) {
+func (x *simulation) crash(u *simUpstream) {
 	if u.down {
 		return
 	}
@@ -317,7 +318,7 @@
 	for _, r := range lost {
 		r.at = nil
 		a, edge := quarantine.NewAttempt(r.f, x.now.Sub(r.sentAt), "", ""), r.edge
-		x.tell(edge, func(j judge) { j.RecordCrash(life, at, []quarantine.Attempt{a}) })
+		x.report(edge, func(j detector) { j.RecordCrash(life, at, []quarantine.Attempt{a}) })
 	}
 	for _, r := range lost {
 		spared := x.w.spare && x.suspects[r.edge][r.f]
@@ -325,26 +326,26 @@
 			x.after(time.Millisecond, func() { x.send(r) })
 			continue
 		}
-		x.again(r)
+		x.retryLater(r)
 	}
 }
 
-// tell reports to the judge that is responsible for an instance, which looks at it a while
-// after, and once more when all is settled.
-func (x *world) tell(edge int, report func(judge)) {
+// report reports to the detector that is responsible for an instance. The detector evaluates the
+// report when it arrives, and once more after SettleDelay.
+func (x *simulation) report(edge int, report func(detector)) {
 	at := 0
-	if x.w.alone {
+	if x.w.perInstance {
 		at = edge
 	}
 	x.after(x.upTo(x.w.up), func() {
-		report(x.judges[at])
-		x.look(at)
-		x.after(quarantine.DefaultPolicy.SettleDelay+time.Millisecond, func() { x.look(at) })
+		report(x.detectors[at])
+		x.evaluate(at)
+		x.after(quarantine.DefaultPolicy.SettleDelay+time.Millisecond, func() { x.evaluate(at) })
 	})
 }
 
-func (x *world) look(at int) {
-	j := x.judges[at]
+func (x *simulation) evaluate(at int) {
+	j := x.detectors[at]
 	verdict, suspects := j.ToQuarantine(x.now), j.Suspects(x.now)
 	for _, f := range verdict {
 		j.MarkQuarantined(f)
@@ -357,7 +358,7 @@
 		return
 	}
 	for e := range x.known {
-		if x.w.alone && e != at {
+		if x.w.perInstance && e != at {
 			continue
 		}
 		x.after(x.upTo(x.w.down), func() {
@@ -376,9 +377,9 @@
 	asked  = 500 * time.Millisecond
 )
 
-var ways = []way{
-	{name: "no memory (as it was)", new: func() judge { return never{} }, up: atOnce, down: atOnce},
-	{name: "each instance alone, 3 crashes", new: ledgerOf(3, 0), alone: true, up: time.Millisecond, down: time.Millisecond},
+var strategies = []strategy{
+	{name: "no memory (as it was)", new: func() detector { return noDetector{} }, up: atOnce, down: atOnce},
+	{name: "each instance alone, 3 crashes", new: ledgerOf(3, 0), perInstance: true, up: time.Millisecond, down: time.Millisecond},
 	{name: "all, with questions, counted to 3", new: newCounter, up: asked, down: asked},
 	{name: "all, at once, counted to 3", new: newCounter, up: atOnce, down: atOnce},
 	{name: "all, at once, explained, 3", new: ledgerOf(3, 100*time.Millisecond), up: atOnce, down: atOnce},
@@ -389,7 +390,7 @@
 	{name: "the same with questions, 3", new: ledgerOf(3, 100*time.Millisecond), up: asked, down: asked, spare: true},
 }
 
-var scenes = []scene{
+var scenarios = []scenario{
 	{name: "poison, 6 upstreams", upstreams: 6, edges: 4, poisonEvery: 400 * time.Millisecond, work: 100 * time.Millisecond, longWork: time.Second, hold: 60 * time.Millisecond, downtime: 1500 * time.Millisecond},
 	{name: "poison, 18 busy upstreams", upstreams: 18, edges: 9, poisonEvery: 200 * time.Millisecond, work: 300 * time.Millisecond, longWork: 3 * time.Second, hold: 800 * time.Millisecond, downtime: 3200 * time.Millisecond},
 	{name: "poison, 3 upstreams", upstreams: 3, edges: 9, poisonEvery: 400 * time.Millisecond, work: 100 * time.Millisecond, longWork: time.Second, hold: 100 * time.Millisecond, downtime: 1500 * time.Millisecond},
@@ -399,13 +400,13 @@
 	{name: "poison among flapping upstreams", upstreams: 12, edges: 9, flap: true, poisonEvery: 400 * time.Millisecond, work: 300 * time.Millisecond, longWork: 2 * time.Second, hold: 200 * time.Millisecond, downtime: time.Second},
 }
 
-// compareAll has all ways played, for docs/design/quarantine.md.
-var compareAll = flag.Bool("quarantine.all", false, "play all ways, not only the one that instances go")
+// compareAll runs all strategies, for docs/design/quarantine.md.
+var compareAll = flag.Bool("quarantine.all", false, "run all strategies, not only the one that instances use")
 
-// chosen is the way that instances go.
+// chosen is the index of the strategy that instances use.
 const chosen = 6
 
-func compareWay(w way, s scene, seeds int) (sum outcome) {
+func compareWay(w strategy, s scenario, seeds int) (sum outcome) {
 	for seed := range uint64(seeds) {
 		o := newWorld(seed, w, s).play()
 		sum.crashes += o.crashes
@@ -418,14 +419,14 @@
 	return sum
 }
 
-// Guards against repeats beyond what is allowed, and against harm to requests that crash
-// nothing: at most one in 500 may be refused.
+// Guards against too many repeats of a crashing request, and against harm to requests that crash
+// nothing: at most one in 500 of them may be refused.
 func TestWaysCompared(t *testing.T) {
 	g := NewWithT(t)
 	const seeds = 20
-	for _, s := range scenes {
+	for _, s := range scenarios {
 		t.Log(s.name)
-		for i, w := range ways {
+		for i, w := range strategies {
 			if i != chosen && !*compareAll {
 				continue
 			}
--- a/core/quarantine/fingerprint_test.go
+++ b/core/quarantine/fingerprint_test.go
@@ -10,7 +10,7 @@
 	"github.com/comfreyladder/comfreyladder/core/quarantine"
 )
 
-// Guards against two different requests that are taken for one, and one that is taken for two.
+// Guards against equal fingerprints of different requests, and different ones of equal requests.
 func TestFingerprintTellsContentsApart(t *testing.T) {
 	g := NewWithT(t)
 	f := quarantine.FingerprintOf("h.example", "/a/x", "o", []byte("body"))
--- a/core/quarantine/ledger_test.go
+++ b/core/quarantine/ledger_test.go
@@ -15,45 +15,47 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-func named(name string) quarantine.Fingerprint {
+func fingerprintOf(name string) quarantine.Fingerprint {
 	return quarantine.FingerprintOf("h", "/", "o", []byte(name))
 }
 
 func fingerprints(names ...string) (list []quarantine.Fingerprint) {
 	for _, n := range names {
-		list = append(list, named(n))
+		list = append(list, fingerprintOf(n))
 	}
 	return list
 }
 
-// ran returns attempts that had run for a while.
-func ran(d time.Duration, names ...string) (list []quarantine.Attempt) {
+// attemptsAfter returns attempts that had run for a duration.
+func attemptsAfter(d time.Duration, names ...string) (list []quarantine.Attempt) {
 	for _, f := range fingerprints(names...) {
 		list = append(list, quarantine.NewAttempt(f, d, "o", "/"))
 	}
 	return list
 }
 
-// book is a ledger with crashes a second apart.
-type book struct {
+// testLedger is a ledger whose crashes are a second apart.
+type testLedger struct {
 	*quarantine.Ledger
 	now     time.Time
 	crashes uint64
 }
 
-func newBook() *book {
-	return &book{Ledger: quarantine.NewLedger(quarantine.DefaultPolicy), now: epoch}
+func newBook() *testLedger {
+	return &testLedger{Ledger: quarantine.NewLedger(quarantine.DefaultPolicy), now: epoch}
 }
 
-func (b *book) crash(names ...string) {
+func (b *testLedger) crash(names ...string) {
 	b.crashes++
 	b.now = b.now.Add(time.Second)
-	b.RecordCrash(b.crashes, b.now, ran(0, names...))
+	b.RecordCrash(b.crashes, b.now, attemptsAfter(0, names...))
 }
 
-func (b *book) verdict() []quarantine.Fingerprint { return b.ToQuarantine(b.now.Add(time.Second)) }
+func (b *testLedger) verdict() []quarantine.Fingerprint {
+	return b.ToQuarantine(b.now.Add(time.Second))
+}
 
-// Guards against a request that ends upstreams and is never found.
+// Guards against a request that crashes upstreams and is never found.
 func TestRequestUnderWayAtEachCrashIsFound(t *testing.T) {
 	g := NewWithT(t)
 	b := newBook()
@@ -65,8 +67,8 @@
 	g.Expect(b.verdict()).To(Equal(fingerprints("culprit")))
 }
 
-// Guards against bystanders that are quarantined for the crashes of another request.
-func TestCrashesThatAnotherRequestExplainsCountForNobodyElse(t *testing.T) {
+// Guards against quarantining harmless requests for the crashes caused by another one.
+func TestExplainedCrashesDoNotCountForOtherRequests(t *testing.T) {
 	g := NewWithT(t)
 	b := newBook()
 	for range 5 {
@@ -74,14 +76,14 @@
 	}
 	b.crash("culprit")
 	g.Expect(b.verdict()).To(Equal(fingerprints("culprit")))
-	b.MarkQuarantined(named("culprit"))
+	b.MarkQuarantined(fingerprintOf("culprit"))
 	g.Expect(b.Suspects(b.now)).To(BeEmpty())
 	g.Expect(b.verdict()).To(BeEmpty())
 }
 
-// Guards against a choice by lot between two requests that were under way at the same
-// crashes: the next crash tells which it was, or that it can't be told.
-func TestRequestsThatCannotBeToldApartWaitForOneMoreCrash(t *testing.T) {
+// Guards against an arbitrary choice between two requests that were in flight at the same
+// crashes. The next crash shows which one caused them, or that they cannot be told apart.
+func TestIndistinguishableRequestsNeedOneMoreCrash(t *testing.T) {
 	g := NewWithT(t)
 	b := newBook()
 	for range 3 {
@@ -98,7 +100,7 @@
 	g.Expect(b.verdict()).To(ConsistOf(fingerprints("culprit", "beside")))
 }
 
-// Guards against a second request of the kind that hides behind the first one.
+// Guards against a second crashing request that is masked by the first one.
 func TestTwoRequestsThatCrashUpstreamsAreBothFound(t *testing.T) {
 	g := NewWithT(t)
 	b := newBook()
@@ -109,24 +111,25 @@
 	g.Expect(b.verdict()).To(ConsistOf(fingerprints("one", "two")))
 }
 
-// Guards against a request that is blamed though upstreams run its like to the end.
+// Guards against quarantining a request although upstreams complete requests with the same
+// fingerprint.
 func TestSuccessClearsARequest(t *testing.T) {
 	g := NewWithT(t)
 	b := newBook()
 	b.crash("status")
 	b.crash("status")
-	b.RecordSuccess(named("status"), b.now)
+	b.RecordSuccess(fingerprintOf("status"), b.now)
 	b.crash("status")
 	g.Expect(b.verdict()).To(BeEmpty())
 	g.Expect(b.Suspects(b.now)).To(BeEmpty())
 }
 
-// Guards against a request that comes often and is blamed for crashes of others in which it
-// finds no upstream to succeed at; and against one that is never blamed again.
+// Guards against quarantining a frequent request for crashes that others cause, during which it
+// finds no upstream to succeed at. Also guards against a success that counts forever.
 func TestSuccessCountsForAWhile(t *testing.T) {
 	g := NewWithT(t)
 	b := newBook()
-	b.RecordSuccess(named("status"), b.now)
+	b.RecordSuccess(fingerprintOf("status"), b.now)
 	for range 4 {
 		b.crash("status")
 	}
@@ -138,44 +141,44 @@
 	g.Expect(b.verdict()).To(Equal(fingerprints("status")))
 }
 
-// Guards against the loss of many upstreams at the same moment, as with a rack, that is laid
-// on the requests that were under way at all of them.
+// Guards against attributing the loss of many upstreams at the same moment, such as that of a
+// rack, to the requests that were in flight at all of them.
 func TestCrashesAtTheSameMomentCountAsOne(t *testing.T) {
 	g := NewWithT(t)
 	b := newBook()
 	for i := range 10 {
-		b.RecordCrash(uint64(i+1), epoch.Add(time.Duration(i)*time.Millisecond), ran(time.Second, "status"))
+		b.RecordCrash(uint64(i+1), epoch.Add(time.Duration(i)*time.Millisecond), attemptsAfter(time.Second, "status"))
 	}
 	b.now = epoch.Add(time.Second)
 	g.Expect(b.verdict()).To(BeEmpty())
 	g.Expect(b.Suspects(b.now)).To(BeEmpty())
 }
 
-// Guards against a request that ends upstreams so fast that its crashes look like one.
-func TestCrashOfWhatWasSentAfterTheLastOneCounts(t *testing.T) {
+// Guards against a request that crashes upstreams so fast that its crashes count as one.
+func TestCrashOfRequestSentAfterTheLastCrashCounts(t *testing.T) {
 	g := NewWithT(t)
 	b := newBook()
 	for i := range 3 {
 		at := epoch.Add(time.Duration(i) * 30 * time.Millisecond)
-		b.RecordCrash(uint64(i+1), at, ran(20*time.Millisecond, "culprit"))
+		b.RecordCrash(uint64(i+1), at, attemptsAfter(20*time.Millisecond, "culprit"))
 	}
 	b.now = epoch.Add(time.Second)
 	g.Expect(b.verdict()).To(Equal(fingerprints("culprit")))
 }
 
-// Guards against one crash that counts as several since several instances tell of it.
-func TestOneCrashToldByManyCountsOnce(t *testing.T) {
+// Guards against counting a crash several times because several instances report it.
+func TestCrashReportedByManyCountsOnce(t *testing.T) {
 	g := NewWithT(t)
 	b := newBook()
 	for i := range 9 {
-		b.RecordCrash(7, epoch.Add(time.Duration(i)*time.Second), ran(0, "a", fmt.Sprint(i)))
+		b.RecordCrash(7, epoch.Add(time.Duration(i)*time.Second), attemptsAfter(0, "a", fmt.Sprint(i)))
 	}
 	b.now = epoch.Add(10 * time.Second)
 	g.Expect(b.verdict()).To(BeEmpty())
 }
 
-// Guards against a crash that was none: a host that refuses connections for a moment.
-func TestCrashOfAnUpstreamThatAnswersIsTakenBack(t *testing.T) {
+// Guards against counting a false crash: a host that refuses connections for a moment.
+func TestCrashOfAnsweringUpstreamIsRetracted(t *testing.T) {
 	g := NewWithT(t)
 	b := newBook()
 	b.crash("a")
@@ -185,7 +188,7 @@
 	g.Expect(b.verdict()).To(BeEmpty())
 }
 
-// Guards against a verdict before all instances could tell what they had under way.
+// Guards against a verdict before all instances could report their requests in flight.
 func TestCrashIsNotJudgedBeforeItIsSettled(t *testing.T) {
 	g := NewWithT(t)
 	b := newBook()
@@ -194,31 +197,31 @@
 	b.crash("beside")
 	g.Expect(b.ToQuarantine(b.now)).To(BeEmpty())
 	g.Expect(b.Settled(b.now)).To(BeFalse())
-	b.RecordCrash(1, epoch.Add(time.Second), ran(0, "culprit"))
-	b.RecordCrash(2, epoch.Add(2*time.Second), ran(0, "culprit"))
-	b.RecordCrash(3, epoch.Add(3*time.Second), ran(0, "culprit"))
+	b.RecordCrash(1, epoch.Add(time.Second), attemptsAfter(0, "culprit"))
+	b.RecordCrash(2, epoch.Add(2*time.Second), attemptsAfter(0, "culprit"))
+	b.RecordCrash(3, epoch.Add(3*time.Second), attemptsAfter(0, "culprit"))
 	b.crash("culprit")
 	g.Expect(b.verdict()).To(Equal(fingerprints("culprit")))
 }
 
-// Guards against a single crash that is taken for proof though it came among others.
+// Guards against taking a single crash as proof although others happened around it.
 func TestOnlyAnIsolatedCrashProvesByItself(t *testing.T) {
 	g := NewWithT(t)
 	b := newBook()
 	b.now = epoch.Add(time.Minute)
 	b.crash("x", "beside")
 	at := b.now
-	proves := func() bool { return b.ConfirmsCrash(named("x"), at, at.Add(2*time.Second)) }
-	g.Expect(b.ConfirmsCrash(named("x"), at, at.Add(time.Second/2))).To(BeFalse(), "another one may follow")
+	proves := func() bool { return b.ConfirmsCrash(fingerprintOf("x"), at, at.Add(2*time.Second)) }
+	g.Expect(b.ConfirmsCrash(fingerprintOf("x"), at, at.Add(time.Second/2))).To(BeFalse(), "another crash may follow")
 	g.Expect(proves()).To(BeTrue())
-	b.RecordCrash(99, at.Add(300*time.Millisecond), ran(0, "y"))
+	b.RecordCrash(99, at.Add(300*time.Millisecond), attemptsAfter(0, "y"))
 	g.Expect(proves()).To(BeFalse())
 	b.RetractCrash(99)
 	b.crash("beside")
-	g.Expect(proves()).To(BeFalse(), "the other one is suspected")
+	g.Expect(proves()).To(BeFalse(), "the other request is suspected")
 }
 
-// Guards against memory that grows with each crash, and against crashes that count for good.
+// Guards against memory that grows with each crash, and against crashes that count forever.
 func TestCrashesAreForgotten(t *testing.T) {
 	g := NewWithT(t)
 	b := newBook()
@@ -235,8 +238,8 @@
 	g.Expect(b.verdict()).To(Equal(fingerprints("a")))
 }
 
-// Guards against members that come to different verdicts since instances told them of the
-// same crashes in another order.
+// Guards against members that reach different verdicts because instances reported the same
+// crashes to them in a different order.
 func TestVerdictDoesNotDependOnTheOrderOfReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type report struct {
@@ -250,7 +253,7 @@
 			for range rapid.IntRange(1, 3).Draw(t, "instances") {
 				names := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 1, 3).Draw(t, "under way")
 				before := time.Duration(rapid.IntRange(0, 500).Draw(t, "sent before")) * time.Millisecond
-				all = append(all, report{upstream, at, ran(before, names...)})
+				all = append(all, report{upstream, at, attemptsAfter(before, names...)})
 			}
 		}
 		judge := func(list []report) []quarantine.Fingerprint {
