--- a/core/control/usage/bytes_bench_test.go
+++ b/core/control/usage/bytes_bench_test.go
@@ -43,7 +43,7 @@
 			b, _ := control.Marshal(&report)
 			instance += float64(len(b))
 			collectors[i%members].Take(&report)
-			c.Told(&report, revision, "m")
+			c.Acknowledge(&report, revision, "m")
 		}
 		if tick%2 == 0 {
 			continue
--- a/core/control/usage/machine_test.go
+++ b/core/control/usage/machine_test.go
@@ -158,7 +158,7 @@
 func (w *simulation) report(s *source, member int) {
 	r, revision := s.counter.Report(w.now, fmt.Sprint(member))
 	w.members[member].Take(&r)
-	s.counter.Told(&r, revision, fmt.Sprint(member))
+	s.counter.Acknowledge(&r, revision, fmt.Sprint(member))
 	s.last = append(s.last, r)
 }
 
--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -122,8 +122,8 @@
 	return r, c.revision
 }
 
-// Told notes that a member has taken in a report.
-func (c *Counter) Told(r *Report, revision uint64, member string) {
+// Acknowledge notes that a member has taken in a report.
+func (c *Counter) Acknowledge(r *Report, revision uint64, member string) {
 	if r.Empty() {
 		return
 	}
--- a/instance/meter/meter.go
+++ b/instance/meter/meter.go
@@ -50,7 +50,7 @@
 func (m *Meter) Told(r *usage.Report, revision uint64, member string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.counter.Told(r, revision, member)
+	m.counter.Acknowledge(r, revision, member)
 }
 
 // Observe takes in the agreed time of an answer; see timebase.Follower.
