--- a/core/control/usage/bytes_bench_test.go
+++ b/core/control/usage/bytes_bench_test.go
@@ -42,7 +42,7 @@
 			report, revision := c.Report(now, "m")
 			b, _ := control.Marshal(&report)
 			instance += float64(len(b))
-			collectors[i%members].Take(&report)
+			collectors[i%members].Add(&report)
 			c.Acknowledge(&report, revision, "m")
 		}
 		if tick%2 == 0 {
--- a/core/control/usage/machine_test.go
+++ b/core/control/usage/machine_test.go
@@ -157,7 +157,7 @@
 
 func (w *simulation) report(s *source, member int) {
 	r, revision := s.counter.Report(w.now, fmt.Sprint(member))
-	w.members[member].Take(&r)
+	w.members[member].Add(&r)
 	s.counter.Acknowledge(&r, revision, fmt.Sprint(member))
 	s.last = append(s.last, r)
 }
@@ -214,7 +214,7 @@
 	case 3:
 		if len(s.last) > 0 {
 			r := rapid.SampledFrom(s.last).Draw(w.T, "doubled")
-			w.members[member].Take(&r)
+			w.members[member].Add(&r)
 		}
 	case 4:
 		w.commit(member)
--- a/core/usage/collector.go
+++ b/core/usage/collector.go
@@ -21,8 +21,8 @@
 // NewCollector returns an empty collector.
 func NewCollector() *Collector { return &Collector{instances: map[uint64]*collected{}} }
 
-// Take takes in a report.
-func (c *Collector) Take(r *Report) {
+// Add takes in a report.
+func (c *Collector) Add(r *Report) {
 	if r.Empty() {
 		return
 	}
--- a/instance/serving/metering.go
+++ b/instance/serving/metering.go
@@ -41,7 +41,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if q.Usage != nil {
-		m.collector.Take(q.Usage)
+		m.collector.Add(q.Usage)
 	}
 	if q.Wall != 0 {
 		m.clock.Observe(arrived, from, timebase.Reading{Wall: time.Unix(0, q.Wall)})
