--- a/core/usage/collector.go
+++ b/core/usage/collector.go
@@ -2,33 +2,33 @@
 
 import "slices"
 
-// Collector gathers at a member what instances told it, until it is committed. It is not
-// safe for concurrent use.
+// Collector collects the reports that a member receives from instances until they are
+// committed. It is not safe for concurrent use.
 type Collector struct {
-	instances map[uint64]*collected
+	instances map[uint64]*instanceTotals
 	revision  uint64
 	committed uint64
 }
 
-// collected is what one start of an instance told.
-type collected struct {
+// instanceTotals holds the reported totals of one run of an instance.
+type instanceTotals struct {
 	current int64
-	// revision is that of the latest change of current.
+	// revision is the revision of the last change of current.
 	revision uint64
 	totals   map[key]*total
 }
 
-// NewCollector returns an empty collector.
-func NewCollector() *Collector { return &Collector{instances: map[uint64]*collected{}} }
+// NewCollector returns an empty Collector.
+func NewCollector() *Collector { return &Collector{instances: map[uint64]*instanceTotals{}} }
 
-// Add takes in a report.
+// Add adds a report.
 func (c *Collector) Add(r *Report) {
 	if r.Empty() {
 		return
 	}
 	i := c.instances[r.Instance]
 	if i == nil {
-		i = &collected{totals: map[key]*total{}}
+		i = &instanceTotals{totals: map[key]*total{}}
 		c.instances[r.Instance] = i
 	}
 	c.revision++
@@ -48,8 +48,8 @@
 	}
 }
 
-// Uncommitted returns what is not committed yet, by instance, and the revision to call
-// Committed with once it is.
+// Uncommitted returns the counts that are not committed yet, per instance, and the revision to
+// pass to Committed once they are.
 func (c *Collector) Uncommitted() (list []Report, revision uint64) {
 	for id, i := range c.instances {
 		r := Report{Instance: id, Current: i.current}
@@ -72,11 +72,11 @@
 	return list, c.revision
 }
 
-// Committed notes that everything up to a revision is committed.
+// Committed records that everything up to a revision is committed.
 func (c *Collector) Committed(revision uint64) { c.committed = max(c.committed, revision) }
 
-// Forget drops what is known of windows before the given one, and instances that have told
-// nothing since.
+// Forget drops the counts of windows before the given one, and instances that have not reported
+// since.
 func (c *Collector) Forget(before int64) {
 	for id, i := range c.instances {
 		for k := range i.totals {
--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -1,10 +1,10 @@
-// Package usage counts the requests of each organisation that upstreams began to run, by
-// windows of the agreed time, and carries the counts from instances to the replicated
+// Package usage counts the requests of each organisation that upstreams have started to run,
+// per window of the agreed time, and carries the counts from instances to the replicated
 // state (core/control/usage). It does no I/O.
 //
-// Instances tell totals, not differences. The totals of one start of one instance only
-// grow, so a report may be told twice, late, in another order or by way of another member:
-// of two totals the greater one is right.
+// Instances report totals, not differences. The totals of one run of an instance only
+// grow, so reports may be duplicated, late, reordered or sent by way of another member: of
+// two totals the greater one is correct.
 package usage
 
 import (
@@ -15,8 +15,8 @@
 	"github.com/comfreyladder/comfreyladder/core/wire"
 )
 
-// WindowAt returns the number of the window of a time: window n begins n spans after the
-// start of 1970.
+// WindowAt returns the number of the window that contains a time. Window n begins n spans
+// after the Unix epoch.
 func WindowAt(t time.Time, span time.Duration) int64 {
 	n := t.UnixNano() / int64(span)
 	if t.UnixNano()%int64(span) < 0 {
@@ -30,7 +30,7 @@
 	return time.Unix(0, (window+1)*int64(span)).UTC()
 }
 
-// Count is the total of one organisation in one window, as one instance saw it.
+// Count is the total of one organisation in one window at one instance.
 type Count struct {
 	wire.Array
 	Window       int64
@@ -38,18 +38,18 @@
 	Requests     uint64
 }
 
-// Report is what one start of an instance tells. The zero Report says nothing.
+// Report is a report of one run of an instance. The zero Report is empty.
 type Report struct {
 	wire.Array
-	// Instance names one start of the instance: another one counts from zero.
+	// Instance identifies one run of the instance. A restarted instance counts from zero.
 	Instance uint64
-	// Current is the window that goes on at the instance: all earlier ones are whole with
-	// what it has told so far and tells here.
+	// Current is the window in progress at the instance. Earlier windows are complete with
+	// this report and those before it.
 	Current int64
 	Counts  []Count
 }
 
-// Empty reports whether the report says nothing.
+// Empty reports whether the report has no content.
 func (r *Report) Empty() bool { return r.Instance == 0 }
 
 type key struct {
@@ -57,37 +57,37 @@
 	organisation string
 }
 
-// total is one total with the revision in which it changed last.
+// total is a total with the revision of its last change.
 type total struct {
 	requests, revision uint64
 }
 
-// maxWindows is for how many windows an instance keeps its counts: one that is cut off
-// tells them all when it is back.
-const maxWindows = 120
+// maxRetention is for how many windows an instance keeps its counts. An instance that is cut off
+// reports all of them once it is connected again.
+const maxRetention = 120
 
-// keptWindows is for how many windows counts are kept that were told: the member that
-// heard them may be lost before it passed them on, and another one is told all.
-const keptWindows = 6
+// ackedRetention is for how many windows acknowledged counts are kept. The member that
+// acknowledged them may be lost before they are committed; another member then gets all.
+const ackedRetention = 6
 
-// Counter counts at one instance. It is not safe for concurrent use.
+// Counter counts the requests at one instance. It is not safe for concurrent use.
 type Counter struct {
 	instance uint64
 	span     time.Duration
 	totals   map[key]*total
 	revision uint64
-	// told is the revision up to which toldTo was told, at a window.
-	told       uint64
-	toldTo     string
-	toldWindow int64
+	// acked is the latest revision that the member ackedBy has acknowledged, in ackedWindow.
+	acked       uint64
+	ackedBy     string
+	ackedWindow int64
 }
 
-// NewCounter returns a counter; instance names this start and is not zero.
+// NewCounter returns a Counter. instance identifies this run of the instance and is not zero.
 func NewCounter(instance uint64, span time.Duration) *Counter {
 	return &Counter{instance: instance, span: span, totals: map[key]*total{}}
 }
 
-// Add counts a request that began to run at an agreed time.
+// Add counts a request that started to run at an agreed time.
 func (c *Counter) Add(at time.Time, organisation string) {
 	k := key{WindowAt(at, c.span), organisation}
 	t := c.totals[k]
@@ -100,16 +100,16 @@
 	t.revision = c.revision
 }
 
-// Report returns what a member has not been told yet, as of an agreed time, and the
-// revision to call Told with once it has taken that in.
+// Report returns what a member has not acknowledged yet, as of an agreed time, and the
+// revision to pass to Acknowledge once the member has received it.
 func (c *Counter) Report(now time.Time, member string) (r Report, revision uint64) {
 	current := WindowAt(now, c.span)
 	c.forget(current)
-	since := c.told
-	if member != c.toldTo {
+	since := c.acked
+	if member != c.ackedBy {
 		since = 0
 	}
-	if since == c.revision && c.toldWindow == current && member == c.toldTo {
+	if since == c.revision && c.ackedWindow == current && member == c.ackedBy {
 		return Report{}, c.revision
 	}
 	r = Report{Instance: c.instance, Current: current}
@@ -122,17 +122,17 @@
 	return r, c.revision
 }
 
-// Acknowledge notes that a member has taken in a report.
+// Acknowledge records that a member has received a report.
 func (c *Counter) Acknowledge(r *Report, revision uint64, member string) {
 	if r.Empty() {
 		return
 	}
-	c.told, c.toldTo, c.toldWindow = revision, member, r.Current
+	c.acked, c.ackedBy, c.ackedWindow = revision, member, r.Current
 }
 
 func (c *Counter) forget(current int64) {
 	for k, t := range c.totals {
-		if k.window < current-maxWindows || k.window < current-keptWindows && t.revision <= c.told {
+		if k.window < current-maxRetention || k.window < current-ackedRetention && t.revision <= c.acked {
 			delete(c.totals, k)
 		}
 	}
--- a/core/usage/usage_test.go
+++ b/core/usage/usage_test.go
@@ -35,10 +35,9 @@
 	return out
 }
 
-// An instance tells one member what has changed, and the member is lost before it passed
-// it on. Whoever is asked next has to hear all of it, or the organisation is billed too
-// little.
-func TestAnotherMemberIsToldAll(t *testing.T) {
+// An instance reports changes to a member that is lost before it commits them. The next member
+// must get all counts again; otherwise the organisation is billed for too little.
+func TestNewMemberGetsAllCounts(t *testing.T) {
 	g := NewWithT(t)
 	c := usage.NewCounter(7, span)
 	c.Add(at(10, time.Second), "o")
@@ -48,22 +47,22 @@
 	g.Expect(r.Current).To(Equal(int64(10)))
 	g.Expect(counts(&r)).To(Equal(map[int64]map[string]uint64{10: {"o": 1, "p": 1}}))
 	again, _ := c.Report(at(10, 2*time.Second), "a")
-	g.Expect(again).To(Equal(r), "nobody has taken it in yet")
+	g.Expect(again).To(Equal(r), "not acknowledged yet")
 	c.Acknowledge(&r, rev, "a")
 	r, _ = c.Report(at(10, 3*time.Second), "a")
-	g.Expect(r.Empty()).To(BeTrue(), "nothing new")
+	g.Expect(r.Empty()).To(BeTrue(), "everything has been acknowledged")
 	c.Add(at(10, 3*time.Second), "o")
 	r, rev = c.Report(at(10, 4*time.Second), "a")
 	g.Expect(counts(&r)).To(Equal(map[int64]map[string]uint64{10: {"o": 2}}))
 	c.Acknowledge(&r, rev, "a")
 	r, _ = c.Report(at(11, 0), "a")
-	g.Expect(r.Current).To(Equal(int64(11)), "the window is over: that is news")
+	g.Expect(r.Current).To(Equal(int64(11)), "the end of a window has to be reported")
 	g.Expect(r.Counts).To(BeEmpty())
 	r, _ = c.Report(at(11, 0), "b")
 	g.Expect(counts(&r)).To(Equal(map[int64]map[string]uint64{10: {"o": 2, "p": 1}}))
 }
 
-// What was told is forgotten after some windows, what was not is kept for ten minutes.
+// Acknowledged counts are dropped after some windows, others are kept for ten minutes.
 func TestCountsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	c := usage.NewCounter(7, span)
@@ -77,8 +76,8 @@
 	g.Expect(r.Counts).To(BeEmpty())
 }
 
-// A member could not commit what it gathered. It has to bring all of it again, and only
-// that once it could.
+// A member failed to commit the counts that it has collected. It must return all of them again,
+// and after a commit only newer ones.
 func TestUncommittedReportsStay(t *testing.T) {
 	g := NewWithT(t)
 	c := usage.NewCollector()
@@ -97,7 +96,7 @@
 	c.Committed(rev)
 	c.Add(&usage.Report{Instance: 1, Current: 9, Counts: []usage.Count{{Window: 10, Organisation: "o", Requests: 4}}})
 	list, _ = c.Uncommitted()
-	g.Expect(list).To(BeEmpty(), "a late report takes nothing back")
+	g.Expect(list).To(BeEmpty(), "a late report does not lower a total")
 	c.Forget(12)
 	c.Add(&usage.Report{Instance: 1, Current: 12})
 	list, _ = c.Uncommitted()
