--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -16,7 +16,7 @@
 )
 
 // WindowAt returns the number of the window that contains a time. Window n begins n spans
-// after the Unix epoch.
+// after the Unix epoch (start of 1970).
 func WindowAt(t time.Time, span time.Duration) int64 {
 	n := t.UnixNano() / int64(span)
 	if t.UnixNano()%int64(span) < 0 {
