--- a/core/fault/fault.go
+++ b/core/fault/fault.go
@@ -77,8 +77,8 @@
 	return &Error{Code: code, Detail: fmt.Sprintf(format, args...), Cause: errors.WithStack(cause)}
 }
 
-// After returns a copy of e with the given retry hint.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e with the given retry hint.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
--- a/core/raft/members.go
+++ b/core/raft/members.go
@@ -118,7 +118,7 @@
 	}
 	p := n.progress[id]
 	if p.match < n.commit || now.Sub(p.lastAck) > n.cfg.ElectionTimeout {
-		return 0, fault.New(fault.NotRun, "learner %x has synced up to %d of %d", id, p.match, n.commit).After(n.cfg.ElectionTimeout)
+		return 0, fault.New(fault.NotRun, "learner %x has synced up to %d of %d", id, p.match, n.commit).WithRetryAfter(n.cfg.ElectionTimeout)
 	}
 	m.Voter = true
 	return n.change(now, n.members().with(m))
@@ -148,10 +148,10 @@
 		return n.notLeader()
 	}
 	if n.log.term(n.commit) != n.term {
-		return fault.New(fault.NotRun, "the new leader has not committed yet").After(n.cfg.Heartbeat)
+		return fault.New(fault.NotRun, "the new leader has not committed yet").WithRetryAfter(n.cfg.Heartbeat)
 	}
 	if n.changes[len(n.changes)-1].index > n.commit {
-		return fault.New(fault.NotRun, "another change of members is pending").After(n.cfg.Heartbeat)
+		return fault.New(fault.NotRun, "another change of members is pending").WithRetryAfter(n.cfg.Heartbeat)
 	}
 	return nil
 }
--- a/core/raft/node.go
+++ b/core/raft/node.go
@@ -259,9 +259,9 @@
 
 func (n *Node) notLeader() error {
 	if n.transferee != 0 {
-		return fault.New(fault.NotRun, "leadership is being transferred").After(n.cfg.Heartbeat)
+		return fault.New(fault.NotRun, "leadership is being transferred").WithRetryAfter(n.cfg.Heartbeat)
 	}
-	return fault.New(fault.NotRun, "this member does not lead").After(n.cfg.Heartbeat)
+	return fault.New(fault.NotRun, "this member does not lead").WithRetryAfter(n.cfg.Heartbeat)
 }
 
 // Status is what a member knows about itself and its group.
--- a/core/raft/read.go
+++ b/core/raft/read.go
@@ -25,7 +25,7 @@
 		return nil
 	}
 	if n.leader == 0 {
-		return fault.New(fault.NotRun, "no leader is known").After(n.cfg.Heartbeat)
+		return fault.New(fault.NotRun, "no leader is known").WithRetryAfter(n.cfg.Heartbeat)
 	}
 	n.send(Message{Kind: MsgReadIndex, To: n.leader, Context: context})
 	return nil
--- a/core/raft/replicate.go
+++ b/core/raft/replicate.go
@@ -34,7 +34,7 @@
 		return 0, 0, n.notLeader()
 	}
 	if n.log.last()-n.commit >= n.cfg.MaxUncommitted || n.uncommitted+len(data) > n.cfg.MaxUncommittedBytes && n.uncommitted > 0 {
-		return 0, 0, fault.New(fault.Overloaded, "%d entries of %d bytes are uncommitted", n.log.last()-n.commit, n.uncommitted).After(n.cfg.Heartbeat)
+		return 0, 0, fault.New(fault.Overloaded, "%d entries of %d bytes are uncommitted", n.log.last()-n.commit, n.uncommitted).WithRetryAfter(n.cfg.Heartbeat)
 	}
 	n.uncommitted += len(data)
 	index = n.appendEntry(now, Entry{Kind: EntryCommand, Data: data})
--- a/instance/config/config.go
+++ b/instance/config/config.go
@@ -116,7 +116,7 @@
 	if v := s.current.Load(); v != nil {
 		return v, nil
 	}
-	return nil, fault.New(fault.Unavailable, "this instance has not learned a configuration yet").After(time.Second)
+	return nil, fault.New(fault.Unavailable, "this instance has not learned a configuration yet").WithRetryAfter(time.Second)
 }
 
 // Apply puts a revision in force and reports whether it did. An older revision
--- a/instance/consensus/apply.go
+++ b/instance/consensus/apply.go
@@ -84,7 +84,7 @@
 		s.appliedTerm = e.Term
 		for _, c := range s.waiting {
 			if c.appended && c.term < e.Term {
-				s.retry(c, fault.New(fault.NotRun, "the leader was lost before the command was committed").After(s.cfg.Heartbeat))
+				s.retry(c, fault.New(fault.NotRun, "the leader was lost before the command was committed").WithRetryAfter(s.cfg.Heartbeat))
 			}
 		}
 	}
--- a/instance/consensus/calls.go
+++ b/instance/consensus/calls.go
@@ -123,7 +123,7 @@
 		return reply{err: fault.New(fault.NotRun, "the control member has stopped")}
 	case s.calls <- c:
 	case <-ctx.Done():
-		return reply{err: fault.New(fault.NotRun, "the control member is busy").After(s.cfg.Heartbeat)}
+		return reply{err: fault.New(fault.NotRun, "the control member is busy").WithRetryAfter(s.cfg.Heartbeat)}
 	}
 	return s.await(ctx, c)
 }
@@ -221,7 +221,7 @@
 		return
 	}
 	if s.node.Leader() == 0 {
-		c.last = fault.New(fault.NotRun, "no leader is known").After(s.cfg.Heartbeat)
+		c.last = fault.New(fault.NotRun, "no leader is known").WithRetryAfter(s.cfg.Heartbeat)
 		return
 	}
 	number := s.context.Add(1)
@@ -292,13 +292,13 @@
 func (s *Service) expire(c *call) {
 	switch {
 	case c.kind == callRead:
-		s.finish(c, reply{err: fault.New(fault.Unavailable, "no leader has confirmed the read in time").After(s.cfg.Heartbeat)})
+		s.finish(c, reply{err: fault.New(fault.Unavailable, "no leader has confirmed the read in time").WithRetryAfter(s.cfg.Heartbeat)})
 	case c.appended:
 		s.finish(c, reply{err: unknown("the leader has not confirmed the command in time")})
 	case c.last != nil:
 		s.finish(c, reply{err: c.last})
 	default:
-		s.finish(c, reply{err: fault.New(fault.NotRun, "no leader is known").After(s.cfg.Heartbeat)})
+		s.finish(c, reply{err: fault.New(fault.NotRun, "no leader is known").WithRetryAfter(s.cfg.Heartbeat)})
 	}
 }
 
--- a/instance/consensus/forward.go
+++ b/instance/consensus/forward.go
@@ -92,8 +92,8 @@
 	}
 	switch {
 	case m.Reject && m.Hint > 0:
-		s.finish(c, reply{err: fault.New(fault.Overloaded, "the leader has too much uncommitted").After(time.Duration(m.Hint))})
+		s.finish(c, reply{err: fault.New(fault.Overloaded, "the leader has too much uncommitted").WithRetryAfter(time.Duration(m.Hint))})
 	case m.Reject:
-		s.retry(c, fault.New(fault.NotRun, "the instance that was asked does not lead").After(s.cfg.Heartbeat))
+		s.retry(c, fault.New(fault.NotRun, "the instance that was asked does not lead").WithRetryAfter(s.cfg.Heartbeat))
 	}
 }
--- a/instance/control/calls.go
+++ b/instance/control/calls.go
@@ -41,7 +41,7 @@
 
 // ask calls members in turn until one answers.
 func (s *Service) ask(ctx context.Context, channel string, req, resp any) error {
-	var last error = fault.New(fault.NotRun, "no member of the control group is known").After(joinEvery)
+	var last error = fault.New(fault.NotRun, "no member of the control group is known").WithRetryAfter(joinEvery)
 	for _, name := range s.candidates() {
 		err := s.cfg.Links.Call(ctx, name, channel, req, resp)
 		if err == nil {
@@ -88,7 +88,7 @@
 		return 0, nil, err
 	}
 	if a.Revision == 0 {
-		return 0, nil, fault.New(fault.Unavailable, "the control group has no configuration yet").After(joinEvery)
+		return 0, nil, fault.New(fault.Unavailable, "the control group has no configuration yet").WithRetryAfter(joinEvery)
 	}
 	doc, err := Decode(a.Document)
 	return a.Revision, doc, err
--- a/instance/control/operate.go
+++ b/instance/control/operate.go
@@ -108,7 +108,7 @@
 	case st.Leader == st.ID:
 		return s.answerGroup(ctx, g, q)
 	case st.Leader == 0 || q.Relayed:
-		return nil, fault.New(fault.NotRun, "no leader is known").After(joinEvery)
+		return nil, fault.New(fault.NotRun, "no leader is known").WithRetryAfter(joinEvery)
 	}
 	q.Relayed = true
 	err = s.cfg.Links.Call(ctx, s.Leader(), channelGroup, q, &list)
--- a/instance/daemon/http.go
+++ b/instance/daemon/http.go
@@ -97,7 +97,7 @@
 		}
 	}
 	if len(open) == 0 {
-		return upstream.Target{}, fault.New(fault.NotRun, "no upstream of service %q is there", service).After(noTargetRetry)
+		return upstream.Target{}, fault.New(fault.NotRun, "no upstream of service %q is there", service).WithRetryAfter(noTargetRetry)
 	}
 	return open[rand.IntN(len(open))], nil
 }
--- a/instance/dispatch/run.go
+++ b/instance/dispatch/run.go
@@ -118,7 +118,7 @@
 	if r.mayHaveRun == nil || r.ctx.Err() != nil {
 		return err
 	}
-	return fault.Wrap(r.mayHaveRun, fault.OutcomeUnknown, "an attempt failed, may have run, and could not be repeated").After(fault.From(err).RetryAfter)
+	return fault.Wrap(r.mayHaveRun, fault.OutcomeUnknown, "an attempt failed, may have run, and could not be repeated").WithRetryAfter(fault.From(err).RetryAfter)
 }
 
 // fail decides what follows a failed attempt: nil means that a new one may
--- a/instance/dispatch/suite_test.go
+++ b/instance/dispatch/suite_test.go
@@ -149,7 +149,7 @@
 		q.open++
 		return &lease{q: q, g: sched.Grant{ID: t.ID, Upstream: e.name, Address: e.ln.Addr().String()}}, nil
 	}
-	return nil, fault.New(fault.Overloaded, "refused before it ran").After(time.Second)
+	return nil, fault.New(fault.Overloaded, "refused before it ran").WithRetryAfter(time.Second)
 }
 
 func (q *queue) leases() int {
--- a/instance/gateway/gateway.go
+++ b/instance/gateway/gateway.go
@@ -149,7 +149,7 @@
 		return nil, err
 	}
 	if g.cfg.CutOff != nil && g.cfg.CutOff() && !org.ServeWhenCutOff {
-		return nil, fault.New(fault.NotRun, "this failure domain is cut off and does not serve organisation %q meanwhile", org.Name).After(cutOffRetry)
+		return nil, fault.New(fault.NotRun, "this failure domain is cut off and does not serve organisation %q meanwhile", org.Name).WithRetryAfter(cutOffRetry)
 	}
 	return org, nil
 }
--- a/instance/link/envelope.go
+++ b/instance/link/envelope.go
@@ -43,7 +43,7 @@
 
 // fault rebuilds the peer's failure.
 func (e *envelope) fault() error {
-	return fault.New(e.Code, "answered by the peer: %s", e.Detail).After(e.RetryAfter)
+	return fault.New(e.Code, "answered by the peer: %s", e.Detail).WithRetryAfter(e.RetryAfter)
 }
 
 // maxNesting bounds how deep a received message may nest, against stack growth.
--- a/instance/link/link_test.go
+++ b/instance/link/link_test.go
@@ -63,7 +63,7 @@
 		return note{Text: from + ":" + n.Text}, nil
 	})
 	s.Handle("refuse", func(context.Context, string, link.Message) (any, error) {
-		return nil, fault.New(fault.Conflict, "no").After(3 * time.Second)
+		return nil, fault.New(fault.Conflict, "no").WithRetryAfter(3 * time.Second)
 	})
 	s.Handle("hang", func(ctx context.Context, _ string, _ link.Message) (any, error) {
 		<-ctx.Done()
--- a/instance/plain/claimed.go
+++ b/instance/plain/claimed.go
@@ -40,7 +40,7 @@
 func (h *Handler) inProgress(cause error, detail string) error {
 	f := fault.New(fault.InProgress, "%s; send it again with the same key to learn its outcome", detail)
 	f.Cause = cause
-	return f.After(h.cfg.RetryAfter)
+	return f.WithRetryAfter(h.cfg.RetryAfter)
 }
 
 func (h *Handler) run(ctx context.Context, r *CallRequest) (CallAnswer, error) {
@@ -53,7 +53,7 @@
 		// attempt will never be sent.
 		h.writeLater(&claim.Command{Op: claim.OpRelease, Key: cmd.Key, Attempt: id})
 		f := fault.Wrap(err, fault.NotRun, "the call can't be claimed now and was not run; what became of an earlier one with its key isn't known here")
-		return CallAnswer{RequestID: id}, f.After(h.cfg.RetryAfter)
+		return CallAnswer{RequestID: id}, f.WithRetryAfter(h.cfg.RetryAfter)
 	}
 	if res.Verdict == claim.Granted && res.View != nil && res.View.Attempt == id {
 		// A process that was frozen since then finds its time limit passed and
@@ -110,7 +110,7 @@
 	case claim.KeyReused:
 		return CallAnswer{}, fault.New(fault.Conflict, "this %s was used for a call with other content", headerKey)
 	case claim.Full:
-		return CallAnswer{}, fault.New(fault.Overloaded, "there is no room for another claim; the call was not run").After(h.cfg.RetryAfter)
+		return CallAnswer{}, fault.New(fault.Overloaded, "there is no room for another claim; the call was not run").WithRetryAfter(h.cfg.RetryAfter)
 	case claim.Expired:
 		return CallAnswer{}, fault.New(fault.OutcomeUnknown, "this %s was used, or made, longer ago than receipts are kept", headerKey)
 	case claim.OutcomeUnknown:
--- a/instance/plain/handler.go
+++ b/instance/plain/handler.go
@@ -201,7 +201,7 @@
 // a time limit that ran out says nothing about whether the call ran.
 func (h *Handler) failure(err error) *fault.Error {
 	if upstream.EvidenceOf(err) != upstream.Unknown {
-		return fault.Wrap(err, fault.NotRun, "the call was not run").After(h.cfg.RetryAfter)
+		return fault.Wrap(err, fault.NotRun, "the call was not run").WithRetryAfter(h.cfg.RetryAfter)
 	}
 	return fault.Wrap(err, fault.OutcomeUnknown, "the call may have run")
 }
--- a/instance/quarantine/service.go
+++ b/instance/quarantine/service.go
@@ -19,7 +19,7 @@
 	"github.com/comfreyladder/comfreyladder/instance/link"
 )
 
-var errNoMember = fault.New(fault.Unavailable, "no member of the control group is known").After(time.Second)
+var errNoMember = fault.New(fault.Unavailable, "no member of the control group is known").WithRetryAfter(time.Second)
 
 // Links is what a Service needs of instance/link.
 type Links interface {
--- a/instance/ratelimit/service.go
+++ b/instance/ratelimit/service.go
@@ -14,7 +14,7 @@
 	"github.com/comfreyladder/comfreyladder/instance/link"
 )
 
-var errNoMember error = fault.New(fault.Unavailable, "no member of the control group is known").After(time.Second)
+var errNoMember error = fault.New(fault.Unavailable, "no member of the control group is known").WithRetryAfter(time.Second)
 
 // Links is what a Service needs of instance/link.
 type Links interface {
@@ -91,7 +91,7 @@
 	return &a, s.cfg.Links.Call(ctx, st.Members[leader].Name, ChannelRights, &q, &a)
 }
 
-var errNoLeader = fault.New(fault.Unavailable, "the control group has no leader that is known here").After(time.Second)
+var errNoLeader = fault.New(fault.Unavailable, "the control group has no leader that is known here").WithRetryAfter(time.Second)
 
 // serve holds a question until it gets a first right, or for holdFor.
 func (s *Service) serve(ctx context.Context, st *consensus.Status, q *Question) *Answer {
--- a/instance/relay/attempt.go
+++ b/instance/relay/attempt.go
@@ -107,7 +107,7 @@
 // errQuarantinedNow says that a request was quarantined after it had been admitted.
 var errQuarantinedNow = fault.New(fault.Forbidden, "the request is quarantined")
 
-var errLease = fault.New(fault.Unavailable, "this instance has lost the control group and can't tell which keys are valid").After(time.Second)
+var errLease = fault.New(fault.Unavailable, "this instance has lost the control group and can't tell which keys are valid").WithRetryAfter(time.Second)
 
 // connect takes an idle connection or makes one.
 func (a *attempt) connect() outcome {
--- a/instance/relay/bodies.go
+++ b/instance/relay/bodies.go
@@ -44,7 +44,7 @@
 // bodies are mostly passed on within it.
 const retryBodies = 300 * time.Millisecond
 
-var errNoRoom = fault.New(fault.Overloaded, "not run: too many large bodies are under way").After(retryBodies)
+var errNoRoom = fault.New(fault.Overloaded, "not run: too many large bodies are under way").WithRetryAfter(retryBodies)
 
 // readBody reads the body of a request, as far as there is room: one of a known length is
 // booked before it is read, another one step by step.
--- a/instance/schedule/state.go
+++ b/instance/schedule/state.go
@@ -261,7 +261,7 @@
 	if e.Reason == sched.ReasonExpired || e.Reason == sched.ReasonTooLate {
 		code = fault.DeadlineExceeded
 	}
-	r.reply <- reply{err: fault.New(code, "refused before it ran: %s", e.Reason).After(e.RetryAfter)}
+	r.reply <- reply{err: fault.New(code, "refused before it ran: %s", e.Reason).WithRetryAfter(e.RetryAfter)}
 }
 
 func (s *state) forget(id string) {
--- a/instance/serving/serving.go
+++ b/instance/serving/serving.go
@@ -134,7 +134,7 @@
 	return nil
 }
 
-var errNoMember = fault.New(fault.Unavailable, "this instance is no member of the control group yet").After(time.Second)
+var errNoMember = fault.New(fault.Unavailable, "this instance is no member of the control group yet").WithRetryAfter(time.Second)
 
 func (s *Service) replica() (*consensus.Service, error) {
 	g := s.cfg.Replica()
@@ -237,7 +237,7 @@
 	}
 	machine(g, func(m *serving.Machine) { version, source = m.Source() })
 	if version == 0 {
-		return 0, nil, fault.New(fault.Unavailable, "there is no table yet").After(time.Second)
+		return 0, nil, fault.New(fault.Unavailable, "there is no table yet").WithRetryAfter(time.Second)
 	}
 	return version, source, nil
 }
