--- a/core/announce/announce.go
+++ b/core/announce/announce.go
@@ -23,10 +23,10 @@
 	MaxSlots = 100_000
 )
 
-// Beat is one announcement. An upstream sends one about every second through
+// Heartbeat is one announcement. An upstream sends one about every second through
 // the platform's balancer, so that beats reach different instances and may be
 // late, repeated or out of order.
-type Beat struct {
+type Heartbeat struct {
 	Name    string              `json:"name" codec:"name"`
 	Domain  string              `json:"domain" codec:"domain"`
 	Kind    intent.UpstreamKind `json:"kind" codec:"kind"`
@@ -73,10 +73,10 @@
 }
 
 // TTL returns how long the beat keeps the upstream alive.
-func (b *Beat) TTL() time.Duration { return time.Duration(b.TTLMillis) * time.Millisecond }
+func (b *Heartbeat) TTL() time.Duration { return time.Duration(b.TTLMillis) * time.Millisecond }
 
 // Newer reports whether b comes after the beat (incarnation, sequence).
-func (b *Beat) Newer(incarnation, sequence uint64) bool {
+func (b *Heartbeat) Newer(incarnation, sequence uint64) bool {
 	if b.Incarnation != incarnation {
 		return b.Incarnation > incarnation
 	}
@@ -85,7 +85,7 @@
 
 // Validate checks the form of a beat; whether its sender is trusted is for the
 // intent to say.
-func (b *Beat) Validate() error {
+func (b *Heartbeat) Validate() error {
 	switch {
 	case b.Name == "" || len(b.Name) > 128:
 		return fault.New(fault.Invalid, "name: 1 to 128 characters are needed")
--- a/core/registry/brief.go
+++ b/core/registry/brief.go
@@ -69,7 +69,7 @@
 
 // refOf hashes what a Brief leaves out: the upstream's name, its start and what
 // it said of itself. Hashes of 64 bits of some thousand upstreams don't collide.
-func refOf(b announce.Beat) uint64 {
+func refOf(b announce.Heartbeat) uint64 {
 	d := xxhash.New()
 	write := func(s string) {
 		_, _ = d.WriteString(s)
@@ -96,7 +96,7 @@
 	if e == nil {
 		return Unknown
 	}
-	beat := e.up.Beat
+	beat := e.up.Heartbeat
 	beat.Sequence, beat.Leave = b.Sequence, false
 	beat.Cache = b.Cache
 	if l := b.Load; l != nil {
@@ -123,7 +123,7 @@
 	if e == nil || e.gone {
 		return Relayed{}, false
 	}
-	m := Relayed{Beat: e.up.Beat, Remaining: e.expires.Sub(now), Age: now.Sub(e.up.HeardAt)}
+	m := Relayed{Beat: e.up.Heartbeat, Remaining: e.expires.Sub(now), Age: now.Sub(e.up.HeardAt)}
 	if e.up.Load != nil {
 		load := *e.up.Load
 		load.AgeMillis = max(e.up.HeardAt.Sub(e.up.LoadAt), 0).Milliseconds()
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -28,7 +28,7 @@
 
 // Relayed is a beat on its way between instances.
 type Relayed struct {
-	Beat announce.Beat `codec:"b"`
+	Beat announce.Heartbeat `codec:"b"`
 	// Remaining is for how long the beat still keeps the upstream alive.
 	Remaining time.Duration `codec:"r"`
 	// Age is how long ago the upstream sent it to the domain.
@@ -38,7 +38,7 @@
 // Upstream is an immutable view of one upstream that may be given work.
 type Upstream struct {
 	// Beat is the latest one, without its cache events.
-	announce.Beat
+	announce.Heartbeat
 	// HeardAt is when the beat reached the failure domain.
 	HeardAt time.Time
 	// Load is the latest load report, or nil; LoadAt is when it was true.
@@ -109,7 +109,7 @@
 )
 
 // Apply takes in a beat that the upstream itself sent to this instance.
-func (r *Registry) Apply(now time.Time, beat announce.Beat) Outcome {
+func (r *Registry) Apply(now time.Time, beat announce.Heartbeat) Outcome {
 	return r.ApplyRelayed(now, Relayed{Beat: beat, Remaining: min(beat.TTL(), MaxSilence)})
 }
 
@@ -161,7 +161,7 @@
 	}
 	e.cache.apply(beat.Cache)
 	beat.Cache, beat.Load = nil, nil
-	e.up.Beat = beat
+	e.up.Heartbeat = beat
 	e.up.HeardAt = heard
 	e.up.Cache = e.cache.view()
 	if e.gone != beat.Leave || e.ref == 0 {
--- a/core/registry/registry_test.go
+++ b/core/registry/registry_test.go
@@ -18,8 +18,8 @@
 	instances = 3
 )
 
-func beat(incarnation, sequence uint64) announce.Beat {
-	return announce.Beat{
+func beat(incarnation, sequence uint64) announce.Heartbeat {
+	return announce.Heartbeat{
 		Name: "e1", Domain: "hall", Kind: intent.KindEngine, Address: "127.0.0.1:1", Slots: 1,
 		Incarnation: incarnation, Sequence: sequence, TTLMillis: ttl.Milliseconds(),
 	}
@@ -90,7 +90,7 @@
 	}
 }
 
-func (d *domain) sawLeave(to int, b announce.Beat) {
+func (d *domain) sawLeave(to int, b announce.Heartbeat) {
 	if b.Leave {
 		d.left[to] = max(d.left[to], b.Incarnation)
 	}
@@ -221,7 +221,7 @@
 	b.Models = []string{"m1"}
 	b.Load = &announce.Load{Running: 2, TokensPerSecond: 99.6, KVUsed: 0.25, AgeMillis: 40}
 	one.Apply(now, b)
-	relayed := func(b announce.Beat) registry.Brief {
+	relayed := func(b announce.Heartbeat) registry.Brief {
 		short, ok := registry.Shorten(registry.Relayed{Beat: b, Remaining: time.Second})
 		g.Expect(ok).To(BeTrue())
 		return short
--- a/instance/gateway/gateway.go
+++ b/instance/gateway/gateway.go
@@ -38,7 +38,7 @@
 
 // Registry takes announcements and knows which upstreams are there.
 type Registry interface {
-	Announce(b announce.Beat) error
+	Announce(b announce.Heartbeat) error
 	View() *registry.View
 }
 
@@ -175,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	beat := &announce.Beat{}
+	beat := &announce.Heartbeat{}
 	if err := httpapi.ReadJSON(ctx, beat); err != nil {
 		return err
 	}
--- a/instance/gateway/suite_test.go
+++ b/instance/gateway/suite_test.go
@@ -126,7 +126,7 @@
 
 type noRegistry struct{}
 
-func (noRegistry) Announce(announce.Beat) error { return nil }
+func (noRegistry) Announce(announce.Heartbeat) error { return nil }
 func (noRegistry) View() *registry.View         { return &registry.View{} }
 
 func document() *intent.Document {
--- a/instance/order/fakes_test.go
+++ b/instance/order/fakes_test.go
@@ -223,7 +223,7 @@
 	r := registry.New("d")
 	for _, e := range p.engines {
 		e.mu.Lock()
-		b := announce.Beat{
+		b := announce.Heartbeat{
 			Name: e.name, Domain: "d", Kind: intent.KindEngine, Address: e.ln.Addr().String(), Slots: 4,
 			Incarnation: e.inc, Sequence: 1, TTLMillis: 3000,
 		}
--- a/instance/registry/bench_test.go
+++ b/instance/registry/bench_test.go
@@ -98,7 +98,7 @@
 }
 
 func announceForever(ctx context.Context, all []*daemon, u int) {
-	beat := announce.Beat{
+	beat := announce.Heartbeat{
 		Name: fmt.Sprintf("engine-neihu-%03d", u), Domain: "neihu-hall", Kind: intent.KindEngine,
 		Address: "127.0.0.1:8000", Models: []string{"reports-70b", "answers-8b", "summary-13b"}, Slots: 64,
 		Incarnation: 1, TTLMillis: 3000, Load: &announce.Load{Running: 33, Waiting: 4, TokensPerSecond: 2310.5, KVUsed: 0.61},
--- a/instance/registry/registry.go
+++ b/instance/registry/registry.go
@@ -134,7 +134,7 @@
 // fault.Invalid for a malformed beat or one of another failure domain and with
 // fault.Overloaded when too many upstreams are known; a late or repeated beat is
 // no failure.
-func (s *Service) Announce(beat announce.Beat) error {
+func (s *Service) Announce(beat announce.Heartbeat) error {
 	if err := beat.Validate(); err != nil {
 		return err
 	}
--- a/instance/registry/registry_test.go
+++ b/instance/registry/registry_test.go
@@ -57,7 +57,7 @@
 	b := &book{}
 	one, three := start(t, "one", b, "two"), start(t, "three", b)
 	start(t, "two", b, "three")
-	beat := announce.Beat{
+	beat := announce.Heartbeat{
 		Name: "e1", Domain: "hall", Kind: intent.KindEngine, Address: "127.0.0.1:1", Slots: 4,
 		Incarnation: 1, TTLMillis: 2000,
 	}
@@ -81,7 +81,7 @@
 	g := NewWithT(t)
 	b := &book{}
 	one, two := start(t, "one", b, "two"), start(t, "two", b, "one", "three")
-	beat := announce.Beat{
+	beat := announce.Heartbeat{
 		Name: "e1", Domain: "hall", Kind: intent.KindEngine, Address: "127.0.0.1:1", Slots: 4,
 		Incarnation: 1, TTLMillis: 2000,
 	}
--- a/instance/registry/relay_test.go
+++ b/instance/registry/relay_test.go
@@ -76,7 +76,7 @@
 	})
 	g.Expect(s.Start(context.Background())).To(Succeed())
 	defer func() { _ = s.Stop(context.Background()) }()
-	beat := announce.Beat{
+	beat := announce.Heartbeat{
 		Name: "e1", Domain: "hall", Kind: intent.KindEngine, Address: "127.0.0.1:1", Slots: 4, Incarnation: 1, TTLMillis: 3000,
 	}
 	announced := func() {
--- a/operator/standin/engine/engine.go
+++ b/operator/standin/engine/engine.go
@@ -168,12 +168,12 @@
 	return len(e.running), len(e.waiting)
 }
 
-func (e *Engine) beat() announce.Beat {
+func (e *Engine) beat() announce.Heartbeat {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
 	load := e.loadAt(now)
-	return announce.Beat{
+	return announce.Heartbeat{
 		Name:   e.config.Name,
 		Domain: e.config.Domain,
 		Kind:   intent.KindEngine,
--- a/operator/standin/engine/engine_test.go
+++ b/operator/standin/engine/engine_test.go
@@ -256,9 +256,9 @@
 	})
 
 	It("announces itself, and its leave when it stops", func() {
-		beats := make(chan announce.Beat, 100)
+		beats := make(chan announce.Heartbeat, 100)
 		sink := host.New(host.Config{}, func(ctx *fasthttp.RequestCtx) {
-			var b announce.Beat
+			var b announce.Heartbeat
 			if json.Unmarshal(ctx.PostBody(), &b) == nil && strings.HasSuffix(string(ctx.Request.Header.Peek("Authorization")), "secret") {
 				beats <- b
 			}
@@ -268,7 +268,7 @@
 		c := engine.Config{Name: "e1", Domain: "hall"}
 		c.Announce, c.Credential = []string{sink.Address()}, "secret"
 		e := start(c)
-		var b announce.Beat
+		var b announce.Heartbeat
 		Eventually(beats, limit).Should(Receive(&b))
 		Expect(b.Validate()).To(Succeed())
 		Expect(b.Address).To(Equal(e.Address()))
@@ -277,9 +277,9 @@
 	})
 
 	It("publishes cache events late, in order, and with gaps in their numbers", func() {
-		beats := make(chan announce.Beat, 1000)
+		beats := make(chan announce.Heartbeat, 1000)
 		sink := host.New(host.Config{}, func(ctx *fasthttp.RequestCtx) {
-			var b announce.Beat
+			var b announce.Heartbeat
 			if json.Unmarshal(ctx.PostBody(), &b) == nil {
 				beats <- b
 			}
--- a/operator/standin/host/beat.go
+++ b/operator/standin/host/beat.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func (h *Host) fill(b announce.Beat) announce.Beat {
+func (h *Host) fill(b announce.Heartbeat) announce.Heartbeat {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.sequence++
@@ -77,7 +77,7 @@
 }
 
 // post sends one beat on a connection of its own, as a balancer would spread them.
-func (h *Host) post(address string, b announce.Beat) error {
+func (h *Host) post(address string, b announce.Heartbeat) error {
 	body, err := json.Marshal(b)
 	if err != nil {
 		return fault.Wrap(err, fault.Internal, "encode beat")
--- a/operator/standin/host/host.go
+++ b/operator/standin/host/host.go
@@ -42,7 +42,7 @@
 type Host struct {
 	config  Config
 	handler fasthttp.RequestHandler
-	beat    func() announce.Beat
+	beat    func() announce.Heartbeat
 
 	mu       sync.Mutex
 	listener net.Listener
@@ -59,7 +59,7 @@
 
 // New returns a host that serves handler and announces what beat returns; host
 // fills in address, incarnation, sequence and lifetime.
-func New(c Config, handler fasthttp.RequestHandler, beat func() announce.Beat) *Host {
+func New(c Config, handler fasthttp.RequestHandler, beat func() announce.Heartbeat) *Host {
 	if c.Listen == "" {
 		c.Listen = DefaultListen
 	}
--- a/operator/standin/service/service.go
+++ b/operator/standin/service/service.go
@@ -151,8 +151,8 @@
 	}
 }
 
-func (s *Service) beat() announce.Beat {
-	return announce.Beat{
+func (s *Service) beat() announce.Heartbeat {
+	return announce.Heartbeat{
 		Name:    s.config.Name,
 		Domain:  s.config.Domain,
 		Kind:    intent.KindService,
--- a/proof/capacity/traffic_test.go
+++ b/proof/capacity/traffic_test.go
@@ -74,7 +74,7 @@
 // through the platform's balancer.
 func (t *traffic) announce(ctx context.Context, domain, u int) {
 	s := t.site
-	beat := announce.Beat{
+	beat := announce.Heartbeat{
 		Name: fmt.Sprintf("e-%02d-%04d", domain, u), Domain: s.daemons[domain*s.perDomain].domain, Kind: intent.KindEngine,
 		Address: "127.0.0.1:9", Models: []string{"reports-70b", "answers-8b", "summary-13b"}, Slots: 64,
 		Incarnation: uint64(time.Now().UnixNano()), TTLMillis: ttlMillis,
--- a/proof/overhead/bench_test.go
+++ b/proof/overhead/bench_test.go
@@ -142,7 +142,7 @@
 	done.Go(func() {
 		for n := uint64(1); ; n++ {
 			for i, e := range engines {
-				beat(callers, key, announce.Beat{Name: fmt.Sprint("e-", i), Domain: "d", Kind: intent.KindEngine, Address: e, Models: []string{"m"}, Slots: 1024, Incarnation: 1, Sequence: n, TTLMillis: 3000})
+				beat(callers, key, announce.Heartbeat{Name: fmt.Sprint("e-", i), Domain: "d", Kind: intent.KindEngine, Address: e, Models: []string{"m"}, Slots: 1024, Incarnation: 1, Sequence: n, TTLMillis: 3000})
 			}
 			select {
 			case <-ended:
@@ -166,7 +166,7 @@
 	return nil, ""
 }
 
-func beat(address, key string, beat announce.Beat) {
+func beat(address, key string, beat announce.Heartbeat) {
 	body, _ := json.Marshal(beat)
 	req, _ := http.NewRequest(http.MethodPost, "http://"+address+"/v1/upstreams/announce", bytes.NewReader(body))
 	req.Header.Set("Authorization", "Bearer "+key)
--- a/proof/system/callers_test.go
+++ b/proof/system/callers_test.go
@@ -173,12 +173,12 @@
 // announcer sends the beats of an upstream that the test itself plays.
 type announcer struct {
 	site *site
-	beat announce.Beat
+	beat announce.Heartbeat
 	key  string
 }
 
 // announce plays an upstream until the spec ends.
-func (s *site) announce(b announce.Beat) {
+func (s *site) announce(b announce.Heartbeat) {
 	a := &announcer{site: s, beat: b, key: s.keys["engine"]}
 	if b.Kind == intent.KindService {
 		a.key = s.keys["service"]
--- a/proof/system/lost_test.go
+++ b/proof/system/lost_test.go
@@ -24,8 +24,8 @@
 		e := s.engine("e-behind", "nowhere", "--speed", "2", "--slots", "64")
 		svc := s.service("s-behind", "nowhere")
 		toEngine, toService := newRelay(e.address), newRelay(svc.address)
-		s.announce(announce.Beat{Name: "e-north", Domain: "north", Kind: intent.KindEngine, Address: toEngine.address(), Models: []string{"m"}, Slots: 64})
-		s.announce(announce.Beat{Name: "s-north", Domain: "north", Kind: intent.KindService, Service: "booking", Address: toService.address(), Slots: 4})
+		s.announce(announce.Heartbeat{Name: "e-north", Domain: "north", Kind: intent.KindEngine, Address: toEngine.address(), Models: []string{"m"}, Slots: 64})
+		s.announce(announce.Heartbeat{Name: "s-north", Domain: "north", Kind: intent.KindService, Service: "booking", Address: toService.address(), Slots: 4})
 		s.see("north", 2)
 
 		ask := func(n, tokens int, stream bool, t *tally) {
--- a/proof/system/notrun_test.go
+++ b/proof/system/notrun_test.go
@@ -94,9 +94,9 @@
 		svc := s.service("s-behind", "nowhere")
 		gates := []*gate{newGate(engines[0].address), newGate(engines[1].address), newGate(svc.address)}
 		for n := range engines {
-			s.announce(announce.Beat{Name: fmt.Sprintf("e-%d", n+1), Domain: "north", Kind: intent.KindEngine, Address: gates[n].address(), Models: []string{"m"}, Slots: 8})
+			s.announce(announce.Heartbeat{Name: fmt.Sprintf("e-%d", n+1), Domain: "north", Kind: intent.KindEngine, Address: gates[n].address(), Models: []string{"m"}, Slots: 8})
 		}
-		s.announce(announce.Beat{Name: "s-1", Domain: "north", Kind: intent.KindService, Service: "booking", Address: gates[2].address(), Slots: 8})
+		s.announce(announce.Heartbeat{Name: "s-1", Domain: "north", Kind: intent.KindService, Service: "booking", Address: gates[2].address(), Slots: 8})
 		s.see("north", 3)
 
 		type word struct {
--- a/proof/system/order_test.go
+++ b/proof/system/order_test.go
@@ -240,7 +240,7 @@
 		}
 		behind := newStandIn(launch("e-a", "comfreyladder", flags...))
 		way := newDoor(behind.address)
-		s.announce(announce.Beat{Name: "e-a", Domain: "north", Kind: intent.KindEngine, Address: way.address, Models: []string{"m"}, Slots: 4})
+		s.announce(announce.Heartbeat{Name: "e-a", Domain: "north", Kind: intent.KindEngine, Address: way.address, Models: []string{"m"}, Slots: 4})
 		s.see("north", 1)
 		var issuer *instance
 		Eventually(func() bool {
--- a/proof/system/service_test.go
+++ b/proof/system/service_test.go
@@ -61,8 +61,8 @@
 	It("runs once when the instance freezes between claim and send", func() {
 		narrow := newNarrow()
 		svc := s.service("s-behind", "nowhere")
-		s.announce(announce.Beat{Name: "s-north", Domain: "north", Kind: intent.KindService, Service: "booking", Address: narrow.address, Slots: 4})
-		s.announce(announce.Beat{Name: "s-south", Domain: "south", Kind: intent.KindService, Service: "booking", Address: svc.address, Slots: 4})
+		s.announce(announce.Heartbeat{Name: "s-north", Domain: "north", Kind: intent.KindService, Service: "booking", Address: narrow.address, Slots: 4})
+		s.announce(announce.Heartbeat{Name: "s-south", Domain: "south", Kind: intent.KindService, Service: "booking", Address: svc.address, Slots: 4})
 		s.see("north", 1)
 		s.see("south", 1)
 		first := make(chan *reply, 1)
--- a/proof/system/whole_test.go
+++ b/proof/system/whole_test.go
@@ -138,7 +138,7 @@
 				_ = c.Close()
 			}
 		}()
-		s.announce(announce.Beat{Name: "e-closes", Domain: "north", Kind: intent.KindEngine, Address: ln.Addr().String(), Models: []string{"m"}, Slots: 4})
+		s.announce(announce.Heartbeat{Name: "e-closes", Domain: "north", Kind: intent.KindEngine, Address: ln.Addr().String(), Models: []string{"m"}, Slots: 4})
 		s.see("north", 1)
 		for _, stream := range []bool{true, false} {
 			r := in.chat("urgent", "closed", 8, stream)
