--- a/core/fault/fault.go
+++ b/core/fault/fault.go
@@ -30,7 +30,7 @@
 	KeyReused Code = "idempotency_key_reused"
 	// TooLarge means that a size limit was exceeded.
 	TooLarge Code = "too_large"
-	// Overloaded means that the request was refused before it ran, because of the load.
+	// Overloaded means that the request was refused before it ran.
 	Overloaded Code = "overloaded"
 	// Draining means that the instance is shutting down. Nothing was run.
 	Draining Code = "draining"
--- a/core/wire/wire.go
+++ b/core/wire/wire.go
@@ -1,12 +1,12 @@
-// Package wire holds what messages between instances have in common.
+// Package wire holds common definitions for the messages between instances.
 package wire
 
-// Array makes the codec write the struct that embeds it as an array, without the
-// names of its fields, which are a fifth of a small message. New fields may only
-// be added at the end: instances of the older version pass over them.
+// Array makes the codec encode a struct that embeds it as an array, without the names
+// of its fields, which make up a fifth of a small message. New fields may only be added
+// at the end, where instances of an older version ignore them.
 type Array struct {
 	_struct bool `codec:",toarray"`
 }
 
-// The codec finds the field by its name; nothing else uses it.
+// The codec looks the field up by its name; nothing else uses it.
 var _ = Array{}._struct
