--- a/core/control/mux.go
+++ b/core/control/mux.go
@@ -17,7 +17,7 @@
 // NewMux returns a Mux for the given state machines.
 func NewMux(machines map[string]Machine) *Mux { return &Mux{machines: machines} }
 
-// Has reports whether there is a sub-machine of that name.
+// Has reports whether a state machine is registered under the name.
 func (m *Mux) Has(name string) bool { return m.machines[name] != nil }
 
 // Machine returns the state machine registered under the name, or nil.
--- a/core/control/usage/model_test.go
+++ b/core/control/usage/model_test.go
@@ -12,11 +12,11 @@
 
 // Bounds of the exploration: the number of steps, and how often each kind may occur.
 const (
-	modelSteps  = 10
-	modelTells  = 2
-	modelCloses = 2
-	modelSends  = 2
-	modelMoves  = 1 // restores of a member from another one's snapshot
+	modelSteps   = 10
+	modelReports = 2
+	modelCloses  = 2
+	modelSends   = 2
+	modelMoves   = 1 // restores of a member from another one's snapshot
 )
 
 // member is a member's replica. It has applied a prefix of the log, and may have been restored
@@ -49,10 +49,10 @@
 // reports is a state of the model: two members that both believe that they hold the duty, one
 // after the other or at the same time, and the reports that the provider was sent.
 type reports struct {
-	log                         []usage.Command
-	members                     [2]member
-	sent                        map[int64]string
-	tells, closes, sends, moves int
+	log                                []usage.Command
+	members                            [2]member
+	sent                               map[int64]string
+	countReports, closes, sends, moves int
 }
 
 func (r *reports) clone() *reports {
@@ -66,7 +66,7 @@
 }
 
 func (r *reports) key() string {
-	key := fmt.Sprint(r.tells, r.closes, r.sends, r.moves, r.sent)
+	key := fmt.Sprint(r.countReports, r.closes, r.sends, r.moves, r.sent)
 	for i := range r.log {
 		b, _ := control.Marshal(&r.log[i])
 		key += string(b) + "|"
@@ -86,11 +86,11 @@
 	}
 	for instance := range uint64(2) {
 		step(func(n *reports) bool {
-			n.tells++
+			n.countReports++
 			n.log = append(n.log, usage.Command{Counts: []core.Report{{
-				Instance: 1 + instance, Current: 10 + int64(n.closes), Counts: []core.Count{count(10, "o", uint64(n.tells)), count(11, "o", uint64(n.tells))},
+				Instance: 1 + instance, Current: 10 + int64(n.closes), Counts: []core.Count{count(10, "o", uint64(n.countReports)), count(11, "o", uint64(n.countReports))},
 			}}})
-			return n.tells <= modelTells
+			return n.countReports <= modelReports
 		})
 	}
 	for i := range r.members {
