--- a/instance/gateway/suite_test.go
+++ b/instance/gateway/suite_test.go
@@ -127,7 +127,7 @@
 type noRegistry struct{}
 
 func (noRegistry) Announce(announce.Heartbeat) error { return nil }
-func (noRegistry) View() *registry.View         { return &registry.View{} }
+func (noRegistry) View() *registry.View              { return &registry.View{} }
 
 func document() *intent.Document {
 	return &intent.Document{
