--- a/core/control/quarantine/machine.go
+++ b/core/control/quarantine/machine.go
@@ -1,10 +1,10 @@
-// Package quarantine is the replicated list of requests that are kept from upstreams since
-// they crash each one that runs them, with the evidence of core/quarantine. It is a
-// sub-machine of core/control.
+// Package quarantine holds the replicated list of requests that are not sent to upstreams
+// because they crash every upstream that runs them, with the evidence from core/quarantine. It
+// is one of the state machines of core/control.
 //
-// Evidence is part of the log, so that it adds up whichever members and instances saw a crash,
-// and that neither a verdict nor what led to it is lost with processes: a request that was
-// forgotten would end as many upstreams again.
+// The evidence is part of the log, so that it accumulates whichever members and instances
+// observed a crash, and so that neither a verdict nor its evidence is lost when processes end.
+// A request that was forgotten would crash as many upstreams again.
 package quarantine
 
 import (
@@ -16,19 +16,20 @@
 	"github.com/comfreyladder/comfreyladder/core/quarantine"
 )
 
-// Name of the sub-machine.
+// Name is the name of the state machine.
 const Name = "quarantine"
 
 const (
-	// MaxTrials is how often a quarantined request may be run to see whether it still crashes
-	// its upstream: once, and once more if the outcome of that was lost or proves nothing.
+	// MaxTrials is how often a quarantined request may be run to check whether it still
+	// crashes its upstream: once, and a second time if the first outcome was lost or is
+	// inconclusive.
 	MaxTrials = 2
-	// TrialAfter is the least time from a verdict to a trial, and from one trial to the next
-	// one of any request: of two at a time a crash would not tell which caused it.
-	TrialAfter = time.Second
-	// TrialOutcome is after what time without an outcome a trial may be repeated.
-	TrialOutcome = 5 * time.Second
-	// maxEntries bounds the list. Those that were released go first, then the oldest.
+	// MinTrialInterval is the minimum time between a verdict and a trial, and between the trials
+	// of any requests. With two trials at a time, a crash could not be attributed to one.
+	MinTrialInterval = time.Second
+	// TrialTimeout is how long a trial may go without an outcome before it may be repeated.
+	TrialTimeout = 5 * time.Second
+	// maxEntries bounds the list. Released entries are dropped first, then the oldest.
 	maxEntries = 1024
 )
 
@@ -37,51 +38,54 @@
 	Fingerprint  quarantine.Fingerprint `codec:"f"`
 	Organisation string                 `codec:"o"`
 	Target       string                 `codec:"t"`
-	// Crashes is at how many crashes it was under way when it was quarantined.
+	// Crashes is the number of crashes during which the request was in flight, as of its
+	// quarantine.
 	Crashes int `codec:"n"`
-	// Since is when it was quarantined, by the log's time, in nanoseconds since the Unix epoch.
+	// Since is the log's time of the quarantine, in nanoseconds since the Unix epoch.
 	Since int64 `codec:"s"`
-	// Trials counts the runs since, LastTrial is when the latest one was granted, by the log's
-	// time, and Failed says that its upstream has crashed under it.
+	// Trials counts the trials since then. LastTrial is when the latest one was granted, in
+	// the same time. Failed means that an upstream crashed during a trial.
 	Trials    int   `codec:"r"`
 	LastTrial int64 `codec:"l"`
 	Failed    bool  `codec:"d"`
-	// Released entries are kept for a while so that all instances hear of it.
+	// Released marks an entry that is no longer quarantined. It is kept for a while so that
+	// all instances learn of the release.
 	Released bool `codec:"x"`
 	// Changed is the log index of the last change.
 	Changed uint64 `codec:"c"`
 }
 
-// MayBeTried reports whether the entry has a trial left.
-func (e *Entry) MayBeTried() bool { return !e.Released && !e.Failed && e.Trials < MaxTrials }
+// TrialAllowed reports whether the entry has a trial left, regardless of time.
+func (e *Entry) TrialAllowed() bool { return !e.Released && !e.Failed && e.Trials < MaxTrials }
 
-// Final reports whether it is proved, as far as it can be, that the request crashes upstreams.
+// Final reports whether a failed trial has confirmed that the request crashes upstreams.
 func (e *Entry) Final() bool { return !e.Released && e.Failed }
 
-// Command is one of the machine's commands: one field is set, or Verdict and Failed.
+// Command is a command of the state machine. One field is set, or both Verdict and Failed.
 type Command struct {
-	// Reports are what instances told.
+	// Reports are crash reports of instances.
 	Reports []quarantine.Report `codec:"r,omitempty"`
-	// Verdict lists requests to quarantine, Failed those that have failed their trial.
+	// Verdict lists requests to quarantine, Failed those whose trial has failed.
 	Verdict []quarantine.Fingerprint `codec:"v,omitempty"`
 	Failed  []quarantine.Fingerprint `codec:"f,omitempty"`
-	// Trial asks for a trial of a request, Return gives back one that was not made.
-	Trial  *quarantine.Fingerprint `codec:"t,omitempty"`
-	Return *quarantine.Fingerprint `codec:"b,omitempty"`
+	// Trial requests a trial of a quarantined request. CancelTrial returns a granted trial
+	// that was not made.
+	Trial       *quarantine.Fingerprint `codec:"t,omitempty"`
+	CancelTrial *quarantine.Fingerprint `codec:"b,omitempty"`
 	// Release ends the quarantine of a request.
 	Release *quarantine.Fingerprint `codec:"x,omitempty"`
 }
 
-// The results of commands that ask for something.
+// Results of Trial, CancelTrial and Release commands.
 var (
-	// Done says that a trial is granted, or that a request is released.
-	Done = []byte{1}
-	// Refused says that it isn't.
+	// Granted means that the command was carried out.
+	Granted = []byte{1}
+	// Refused means that the command changed no entry.
 	Refused = []byte{0}
 )
 
-// state is the form of a snapshot.
-type state struct {
+// snapshotState is the encoded form of a snapshot.
+type snapshotState struct {
 	Index     uint64                    `codec:"n"`
 	Pruned    uint64                    `codec:"p"`
 	At        int64                     `codec:"a"`
@@ -92,59 +96,59 @@
 	Suspects  []quarantine.Fingerprint  `codec:"s"`
 }
 
-// Machine is the sub-machine. It is not safe for concurrent use.
+// Machine is the replicated state machine. It is not safe for concurrent use.
 type Machine struct {
 	ledger  *quarantine.Ledger
 	entries map[quarantine.Fingerprint]*Entry
-	// index is that of the last change that instances need to hear of, pruned that of the
-	// last one that dropped entries.
+	// index is the log index of the last change that instances need to learn of, pruned that
+	// of the last change that dropped entries.
 	index, pruned uint64
 	at            time.Time
 	lastTrial     time.Time
 	suspects      []quarantine.Fingerprint
 }
 
-// New returns a machine that knows of no crash.
+// New returns a Machine without crashes and entries.
 func New() *Machine {
 	return &Machine{ledger: quarantine.NewLedger(quarantine.DefaultPolicy), entries: map[quarantine.Fingerprint]*Entry{}}
 }
 
-// Apply implements control.Machine. A command that does not decode changes nothing.
+// Apply implements control.Machine. A command that cannot be decoded changes nothing.
 func (m *Machine) Apply(index uint64, at time.Time, data []byte) []byte {
 	var c Command
 	if control.Unmarshal(data, &c) != nil {
 		return nil
 	}
 	m.at = at
-	result := Done
+	result := Granted
 	switch {
 	case c.Trial != nil:
 		result = m.trial(index, at, *c.Trial)
-	case c.Return != nil:
-		result = m.giveBack(index, *c.Return)
+	case c.CancelTrial != nil:
+		result = m.cancelTrial(index, *c.CancelTrial)
 	case c.Release != nil:
 		result = m.release(index, *c.Release)
 	case len(c.Verdict)+len(c.Failed) > 0:
 		m.quarantine(index, at, c.Verdict)
-		m.fail(index, c.Failed)
+		m.markFailed(index, c.Failed)
 	default:
-		m.take(index, at, c.Reports)
+		m.applyReports(index, at, c.Reports)
 	}
-	m.suspect(index)
+	m.updateSuspects(index)
 	m.prune(index)
 	return result
 }
 
-func (m *Machine) take(index uint64, at time.Time, reports []quarantine.Report) {
+func (m *Machine) applyReports(index uint64, at time.Time, reports []quarantine.Report) {
 	for i := range reports {
-		m.ledger.Take(at, &reports[i])
+		m.ledger.ApplyReport(at, &reports[i])
 		for _, s := range reports[i].Succeeded {
 			m.release(index, s.Fingerprint)
 		}
 	}
 }
 
-func (m *Machine) fail(index uint64, list []quarantine.Fingerprint) {
+func (m *Machine) markFailed(index uint64, list []quarantine.Fingerprint) {
 	for _, f := range list {
 		if e := m.entries[f]; e != nil && !e.Released && !e.Failed {
 			e.Failed, e.Changed, m.index = true, index, index
@@ -160,31 +164,31 @@
 		e := &Entry{Fingerprint: f, Since: at.UnixNano(), Changed: index}
 		e.Organisation, e.Target, e.Crashes = m.ledger.Describe(f)
 		m.entries[f], m.index = e, index
-		m.ledger.Quarantine(f)
+		m.ledger.MarkQuarantined(f)
 	}
 }
 
 func (m *Machine) trial(index uint64, at time.Time, f quarantine.Fingerprint) []byte {
 	e := m.entries[f]
-	if e == nil || !e.MayBeTried() || at.Sub(time.Unix(0, e.Since)) < TrialAfter || at.Sub(m.lastTrial) < TrialAfter {
+	if e == nil || !e.TrialAllowed() || at.Sub(time.Unix(0, e.Since)) < MinTrialInterval || at.Sub(m.lastTrial) < MinTrialInterval {
 		return Refused
 	}
-	if e.Trials > 0 && at.Sub(time.Unix(0, e.LastTrial)) < TrialOutcome {
+	if e.Trials > 0 && at.Sub(time.Unix(0, e.LastTrial)) < TrialTimeout {
 		return Refused
 	}
 	e.Trials++
 	e.LastTrial, e.Changed, m.index, m.lastTrial = at.UnixNano(), index, index, at
-	return Done
+	return Granted
 }
 
-func (m *Machine) giveBack(index uint64, f quarantine.Fingerprint) []byte {
+func (m *Machine) cancelTrial(index uint64, f quarantine.Fingerprint) []byte {
 	e := m.entries[f]
 	if e == nil || e.Released || e.Failed || e.Trials == 0 {
 		return Refused
 	}
 	e.Trials--
 	e.LastTrial, e.Changed, m.index = 0, index, index
-	return Done
+	return Granted
 }
 
 func (m *Machine) release(index uint64, f quarantine.Fingerprint) []byte {
@@ -194,11 +198,11 @@
 	}
 	m.ledger.Release(f)
 	e.Released, e.Changed, m.index = true, index, index
-	return Done
+	return Granted
 }
 
-// suspect notes whether other requests are suspected now.
-func (m *Machine) suspect(index uint64) {
+// updateSuspects recomputes the suspected requests and records a change.
+func (m *Machine) updateSuspects(index uint64) {
 	list := m.ledger.Suspects(m.at)
 	if !slices.Equal(list, m.suspects) {
 		m.suspects, m.index = list, index
@@ -207,7 +211,7 @@
 
 func (m *Machine) prune(index uint64) {
 	for len(m.entries) > maxEntries {
-		f := m.first()
+		f := m.nextToDrop()
 		if !m.entries[f].Released {
 			m.ledger.Release(f)
 		}
@@ -216,19 +220,19 @@
 	}
 }
 
-// first returns the entry that is dropped first.
-func (m *Machine) first() quarantine.Fingerprint {
+// nextToDrop returns the entry to drop next.
+func (m *Machine) nextToDrop() quarantine.Fingerprint {
 	var best *Entry
 	for _, e := range m.entries {
-		if best == nil || order(e, best) < 0 {
+		if best == nil || compareForDrop(e, best) < 0 {
 			best = e
 		}
 	}
 	return best.Fingerprint
 }
 
-// order tells which of two entries is dropped first.
-func order(a, b *Entry) int {
+// compareForDrop orders entries by which is dropped first.
+func compareForDrop(a, b *Entry) int {
 	if a.Released != b.Released {
 		if a.Released {
 			return -1
--- a/core/control/quarantine/view.go
+++ b/core/control/quarantine/view.go
@@ -12,7 +12,7 @@
 
 // Snapshot implements control.Machine.
 func (m *Machine) Snapshot() ([]byte, error) {
-	s := state{Index: m.index, Pruned: m.pruned, At: nanos(m.at), LastTrial: nanos(m.lastTrial), Entries: m.Entries(), Crashes: m.ledger.State(), Successes: m.ledger.Successes(), Suspects: m.suspects}
+	s := snapshotState{Index: m.index, Pruned: m.pruned, At: nanos(m.at), LastTrial: nanos(m.lastTrial), Entries: m.Entries(), Crashes: m.ledger.State(), Successes: m.ledger.Successes(), Suspects: m.suspects}
 	return control.Marshal(&s)
 }
 
@@ -32,7 +32,7 @@
 
 // Restore implements control.Machine.
 func (m *Machine) Restore(snapshot []byte) error {
-	var s state
+	var s snapshotState
 	if err := control.Unmarshal(snapshot, &s); err != nil {
 		return err
 	}
@@ -43,13 +43,13 @@
 		e := &s.Entries[i]
 		m.entries[e.Fingerprint] = e
 		if !e.Released {
-			m.ledger.Quarantine(e.Fingerprint)
+			m.ledger.MarkQuarantined(e.Fingerprint)
 		}
 	}
 	return nil
 }
 
-// Entries returns the list, the oldest change first.
+// Entries returns all entries, the least recently changed first.
 func (m *Machine) Entries() []Entry {
 	list := make([]Entry, 0, len(m.entries))
 	for _, e := range m.entries {
@@ -61,27 +61,27 @@
 	return list
 }
 
-// Suspects returns the requests that are suspected.
+// Suspects returns the suspected requests, sorted.
 func (m *Machine) Suspects() []quarantine.Fingerprint { return m.suspects }
 
-// Describe returns whose request it is, where it went, and at how many crashes it was under
-// way.
+// Describe returns the organisation and target of a request, and during how many crashes it was
+// in flight.
 func (m *Machine) Describe(f quarantine.Fingerprint) (organisation, target string, crashes int) {
 	return m.ledger.Describe(f)
 }
 
-// At returns the log's time at the last command.
+// At returns the log's time of the last command.
 func (m *Machine) At() time.Time { return m.at }
 
-// Judge returns the command that is to follow at a time of the log, nil for none, and whether
-// there are crashes that can't be judged yet. It does not change the state.
-func (m *Machine) Judge(now time.Time) (c *Command, unsettled bool) {
-	c = &Command{Verdict: m.ledger.Judge(now)}
+// NextCommand returns the command to propose at a time of the log, or nil, and whether there are
+// crashes that cannot be evaluated yet. It does not change the state.
+func (m *Machine) NextCommand(now time.Time) (c *Command, unsettled bool) {
+	c = &Command{Verdict: m.ledger.ToQuarantine(now)}
 	for _, e := range m.Entries() {
 		if e.Trials == 0 || e.Released || e.Failed {
 			continue
 		}
-		if m.ledger.Proves(e.Fingerprint, time.Unix(0, e.LastTrial), now) {
+		if m.ledger.ConfirmsCrash(e.Fingerprint, time.Unix(0, e.LastTrial), now) {
 			c.Failed = append(c.Failed, e.Fingerprint)
 		}
 	}
@@ -91,30 +91,30 @@
 	return c, !m.ledger.Settled(now)
 }
 
-// Held is what instances are told of an entry.
-type Held struct {
+// EntryStatus is the part of an entry that instances receive.
+type EntryStatus struct {
 	wire.Array
 	Fingerprint quarantine.Fingerprint
-	// Released says that it is not quarantined any more, Trial that a trial may be asked for,
-	// Final that it has failed its trial.
+	// Released means that the request is no longer quarantined, Trial that a trial may be
+	// requested, Final that a trial has failed.
 	Released, Trial, Final bool
 }
 
-// Changes is what an instance is behind by.
+// Changes holds the changes that an instance has not received yet.
 type Changes struct {
-	// Index is up to where an instance is that has taken them in.
+	// Index is the log index that the instance has reached once it has applied the changes.
 	Index uint64 `codec:"n"`
-	// Full says that Held lists all there are, not only changed ones.
-	Full bool   `codec:"f,omitempty"`
-	Held []Held `codec:"h,omitempty"`
-	// Suspects are all that are suspected now.
+	// Full means that Entries lists all quarantined requests, not only changed entries.
+	Full    bool          `codec:"f,omitempty"`
+	Entries []EntryStatus `codec:"h,omitempty"`
+	// Suspects lists all requests that are suspected now.
 	Suspects []quarantine.Fingerprint `codec:"s,omitempty"`
 }
 
-// Index returns the log index of the last change that instances need to hear of.
+// Index returns the log index of the last change that instances need to learn of.
 func (m *Machine) Index() uint64 { return m.index }
 
-// Since returns what has changed after an index; nil for nothing.
+// Since returns the changes after an index, or nil if there are none.
 func (m *Machine) Since(index uint64) *Changes {
 	if m.index <= index {
 		return nil
@@ -122,7 +122,7 @@
 	c := &Changes{Index: m.index, Full: index < m.pruned, Suspects: m.suspects}
 	for _, e := range m.Entries() {
 		if c.Full && !e.Released || !c.Full && e.Changed > index {
-			c.Held = append(c.Held, Held{Fingerprint: e.Fingerprint, Released: e.Released, Trial: e.MayBeTried(), Final: e.Final()})
+			c.Entries = append(c.Entries, EntryStatus{Fingerprint: e.Fingerprint, Released: e.Released, Trial: e.TrialAllowed(), Final: e.Final()})
 		}
 	}
 	return c
--- a/core/control/serving/machine.go
+++ b/core/control/serving/machine.go
@@ -1,10 +1,10 @@
-// Package serving is the replicated state that instances forward requests by: the
-// newest table of routes, and the upstreams that announced themselves. It is a
-// sub-machine of core/control.
+// Package serving holds the replicated state by which instances forward requests: the
+// latest routing table and the upstreams that have announced themselves. It is one of
+// the state machines of core/control.
 //
-// Upstreams are part of the log since an acknowledged leave must reach every
-// instance: what is committed is seen by each confirmed read. Heartbeats that say
-// nothing new are not proposed.
+// Upstreams are part of the log because an acknowledged leave must reach every
+// instance: each confirmed read sees what has been committed. Heartbeats that change
+// nothing are not proposed.
 package serving
 
 import (
@@ -16,21 +16,21 @@
 	"github.com/comfreyladder/comfreyladder/core/route"
 )
 
-// Name of the sub-machine.
+// Name is the name of the state machine.
 const Name = "serving"
 
-// State is what an upstream is at.
+// State is the state of an incarnation of an upstream.
 type State uint8
 
-// The states of an upstream's incarnation.
+// States of an incarnation.
 const (
-	// Ready upstreams take work.
+	// Ready upstreams accept work.
 	Ready State = iota + 1
-	// Draining upstreams finish what they have.
+	// Draining upstreams finish their requests and get no new ones.
 	Draining
 	// Superseded means that another incarnation announced the same address.
 	Superseded
-	// Gone incarnations left; that is final.
+	// Gone means that the incarnation has left. This state is final.
 	Gone
 )
 
@@ -47,23 +47,24 @@
 	Domain  string `codec:"d"`
 	Slots   int    `codec:"n"`
 	State   State  `codec:"t"`
-	// Born is the Unix millisecond at which the incarnation started, by its own word; zero
-	// where it does not say. Sequence orders its heartbeats.
-	Born     int64  `codec:"b,omitempty"`
-	Sequence uint64 `codec:"q"`
-	// Begun is the log index at which the incarnation was first heard of. It tells two
-	// incarnations under one ID apart for those who remember anything by the ID.
-	Begun uint64 `codec:"g,omitempty"`
-	// Silent means that no heartbeat came for a while. It may still serve those
-	// that reach it.
+	// StartedAt is when the incarnation started, in Unix milliseconds, as it reports itself, or
+	// zero if it does not. Sequence orders its heartbeats.
+	StartedAt int64  `codec:"b,omitempty"`
+	Sequence  uint64 `codec:"q"`
+	// FirstIndex is the log index at which the incarnation was first recorded. Code that keeps
+	// data by upstream ID uses it to tell incarnations with the same ID apart.
+	FirstIndex uint64 `codec:"g,omitempty"`
+	// Silent means that no heartbeat has arrived for a while. The upstream may still
+	// serve instances that can reach it.
 	Silent bool `codec:"x"`
-	// WarmMS is for how many milliseconds from the announcement on it is slow.
+	// WarmMS is how long after the announcement the upstream is slow, in milliseconds.
 	WarmMS int64 `codec:"w"`
-	// Preemptible upstreams may be taken back by whoever lends them. LeavesMS is for how many
-	// milliseconds from the announcement on one that drains stays, if it says so.
+	// Preemptible upstreams may be reclaimed by their provider. LeavesMS is how long after
+	// the announcement a draining upstream stays, in milliseconds, if it says so.
 	Preemptible bool  `codec:"p,omitempty"`
 	LeavesMS    int64 `codec:"l,omitempty"`
-	// Changed is the log index of the last change, At its time.
+	// Changed is the log index of the last change, At its time in nanoseconds since the
+	// Unix epoch.
 	Changed uint64 `codec:"c"`
 	At      int64  `codec:"e"`
 }
@@ -71,7 +72,7 @@
 // Usable reports whether the incarnation may get new work.
 func (u *Upstream) Usable() bool { return u.State == Ready }
 
-// Put is the command that brings a table.
+// Put is the command that installs a routing table.
 type Put struct {
 	Version uint64 `codec:"v"`
 	// Table is the encoded route.Table, Source what the operator sent.
@@ -79,28 +80,30 @@
 	Source []byte `codec:"s"`
 }
 
-// Command is one of the machine's commands: exactly one field is set.
+// Command is a command of the state machine. Exactly one of Put, Announce, Leave and
+// Silent is set.
 type Command struct {
 	Put      *Put      `codec:"p,omitempty"`
 	Announce *Upstream `codec:"a,omitempty"`
-	// Leave is the ID of an incarnation that leaves, LeaveBorn when it started if it says so.
-	Leave     string `codec:"l,omitempty"`
-	LeaveBorn int64  `codec:"b,omitempty"`
-	// Silent lists incarnations that no member has heard for a while.
+	// Leave is the ID of an incarnation that leaves, LeaveStartedAt its start if it reports it.
+	Leave          string `codec:"l,omitempty"`
+	LeaveStartedAt int64  `codec:"b,omitempty"`
+	// Silent lists incarnations from which no member has received a heartbeat for a while.
 	Silent []string `codec:"x,omitempty"`
 }
 
 // Limits of the state.
 const (
-	// keepEnded is for how long ended incarnations are remembered, so that their
-	// late heartbeats don't bring them back.
-	keepEnded = 10 * time.Minute
-	// maxUpstreams bounds the incarnations in the state; the longest ended go first.
+	// endedRetention is how long ended incarnations are kept, so that a late heartbeat does not
+	// make them usable again.
+	endedRetention = 10 * time.Minute
+	// maxUpstreams bounds the incarnations in the state. Those whose last change is the
+	// oldest are dropped first.
 	maxUpstreams = 16384
 )
 
-// state is the form of a snapshot.
-type state struct {
+// snapshotState is the encoded form of a snapshot.
+type snapshotState struct {
 	Version   uint64     `codec:"v"`
 	Table     []byte     `codec:"t"`
 	Source    []byte     `codec:"s"`
@@ -110,19 +113,19 @@
 	Upstreams []Upstream `codec:"u"`
 }
 
-// Machine is the sub-machine. It is not safe for concurrent use.
+// Machine is the replicated state machine. It is not safe for concurrent use.
 type Machine struct {
-	s  state
-	by map[string]*Upstream
-	// services are those that the table in force names.
+	s    snapshotState
+	byID map[string]*Upstream
+	// services holds the names of the services in the current table.
 	services map[string]bool
 }
 
-// New returns a machine without a table and upstreams.
-func New() *Machine { return &Machine{by: map[string]*Upstream{}} }
+// New returns a Machine without a table and upstreams.
+func New() *Machine { return &Machine{byID: map[string]*Upstream{}} }
 
-// Apply implements control.Machine. The result is empty; a command that does not
-// decode changes nothing.
+// Apply implements control.Machine. The result is empty. A command that cannot be
+// decoded changes nothing.
 func (m *Machine) Apply(index uint64, at time.Time, data []byte) []byte {
 	var c Command
 	if control.Unmarshal(data, &c) != nil {
@@ -134,17 +137,17 @@
 	case c.Announce != nil:
 		m.announce(index, at, c.Announce)
 	case c.Leave != "":
-		m.leave(index, at, c.Leave, c.LeaveBorn)
+		m.leave(index, at, c.Leave, c.LeaveStartedAt)
 	default:
-		m.silence(index, at, c.Silent)
+		m.markSilent(index, at, c.Silent)
 	}
 	m.prune(index, at)
 	return nil
 }
 
-// put takes a table of a higher version. Any other changes nothing, so a resend
-// and an older one are harmless, and other content under the same version is
-// neither obeyed nor read back.
+// put installs a table with a higher version. Any other table changes nothing, so
+// resends and older tables are harmless, and different content under the same version
+// is neither used nor returned by Source.
 func (m *Machine) put(index uint64, p *Put) {
 	if p.Version <= m.s.Version {
 		return
@@ -154,7 +157,7 @@
 	m.services = servicesOf(p.Table)
 }
 
-// servicesOf returns the names of an encoded table's services; none if it can't be read.
+// servicesOf returns the names of an encoded table's services, or nil if it cannot be decoded.
 func servicesOf(encoded []byte) map[string]bool {
 	var t route.Table
 	if control.Unmarshal(encoded, &t) != nil {
@@ -168,9 +171,9 @@
 }
 
 func (m *Machine) announce(index uint64, at time.Time, u *Upstream) {
-	known := m.by[u.ID]
+	known := m.byID[u.ID]
 	next := *u
-	next.Begun = index
+	next.FirstIndex = index
 	if known != nil {
 		switch compare(known, u) {
 		case older:
@@ -179,9 +182,9 @@
 			if known.State == Gone || u.Sequence <= known.Sequence {
 				return
 			}
-			next.Begun, next.Born = known.Begun, max(known.Born, u.Born)
+			next.FirstIndex, next.StartedAt = known.FirstIndex, max(known.StartedAt, u.StartedAt)
 			if known.State == Draining {
-				// An incarnation that began to drain does not come back.
+				// A draining incarnation does not become ready again.
 				next.State = Draining
 			}
 		}
@@ -190,17 +193,18 @@
 	m.set(index, at, &next)
 }
 
-// claimAddress settles who has the address of an upstream. The other incarnations there
-// are superseded, but not gone for good: a late heartbeat of a dead one may have come
-// after its successor's first, and the successor's next heartbeat must win the address
-// back. Where both say when they started, the later one has the address at once, and an
-// upstream of a service that the table does not name takes it from nobody.
+// claimAddress decides which incarnation owns the address of by. The others with this
+// address become Superseded, which is not final: a late heartbeat of a dead incarnation
+// may arrive after its successor's first one, and the successor's next heartbeat must
+// regain the address. If both report when they started, the later one owns the address
+// at once. An upstream of a service that the table does not contain cannot take the
+// address from one whose service it contains.
 func (m *Machine) claimAddress(index uint64, at time.Time, by *Upstream) {
-	for id, u := range m.by {
+	for id, u := range m.byID {
 		if id == by.ID || u.Address != by.Address || (u.State != Ready && u.State != Draining) {
 			continue
 		}
-		if by.Born > 0 && u.Born > by.Born || m.named(u.Service) && !m.named(by.Service) {
+		if by.StartedAt > 0 && u.StartedAt > by.StartedAt || m.hasService(u.Service) && !m.hasService(by.Service) {
 			by.State = Superseded
 			continue
 		}
@@ -209,18 +213,18 @@
 	}
 }
 
-// named reports whether the table in force names a service.
-func (m *Machine) named(service string) bool { return m.services[service] }
+// hasService reports whether the current table contains a service.
+func (m *Machine) hasService(service string) bool { return m.services[service] }
 
-// leave ends an incarnation. Where the leave does not say which one under the ID it is
-// of, it ends the one that is known: work must not go on to an upstream that left.
+// leave ends an incarnation. A leave without a start ends the known incarnation with this
+// ID, since an upstream that left must not get work.
 func (m *Machine) leave(index uint64, at time.Time, id string, born int64) {
-	known := m.by[id]
-	if known == nil || born > 0 && compare(known, &Upstream{Born: born}) == newer {
-		// The leave may overtake the announcement; it has to outlive it.
-		known = &Upstream{ID: id, Born: born, Begun: index}
+	known := m.byID[id]
+	if known == nil || born > 0 && compare(known, &Upstream{StartedAt: born}) == newer {
+		// The leave may arrive before the announcement, which must not undo it.
+		known = &Upstream{ID: id, StartedAt: born, FirstIndex: index}
 	}
-	if known.State == Gone || born > 0 && born < known.Born {
+	if known.State == Gone || born > 0 && born < known.StartedAt {
 		return
 	}
 	next := *known
@@ -228,9 +232,9 @@
 	m.set(index, at, &next)
 }
 
-func (m *Machine) silence(index uint64, at time.Time, ids []string) {
+func (m *Machine) markSilent(index uint64, at time.Time, ids []string) {
 	for _, id := range ids {
-		if u := m.by[id]; u != nil && !u.Silent && u.State != Gone {
+		if u := m.byID[id]; u != nil && !u.Silent && u.State != Gone {
 			next := *u
 			next.Silent = true
 			m.set(index, at, &next)
@@ -240,28 +244,28 @@
 
 func (m *Machine) set(index uint64, at time.Time, u *Upstream) {
 	u.Changed, u.At = index, at.UnixNano()
-	m.by[u.ID] = u
+	m.byID[u.ID] = u
 	m.s.Index = index
 }
 
 func (m *Machine) prune(index uint64, at time.Time) {
-	limit := at.Add(-keepEnded).UnixNano()
-	for id, u := range m.by {
+	limit := at.Add(-endedRetention).UnixNano()
+	for id, u := range m.byID {
 		if u.At < limit && (u.Silent || u.State >= Superseded) {
-			delete(m.by, id)
+			delete(m.byID, id)
 			m.s.Pruned, m.s.Index = index, index
 		}
 	}
-	for len(m.by) > maxUpstreams {
-		delete(m.by, m.oldest())
+	for len(m.byID) > maxUpstreams {
+		delete(m.byID, m.oldest())
 		m.s.Pruned, m.s.Index = index, index
 	}
 }
 
 func (m *Machine) oldest() string {
 	best := ""
-	for id, u := range m.by {
-		if b := m.by[best]; b == nil || u.At < b.At || u.At == b.At && id < best {
+	for id, u := range m.byID {
+		if b := m.byID[best]; b == nil || u.At < b.At || u.At == b.At && id < best {
 			best = id
 		}
 	}
@@ -277,13 +281,13 @@
 
 // Restore implements control.Machine.
 func (m *Machine) Restore(snapshot []byte) error {
-	var s state
+	var s snapshotState
 	if err := control.Unmarshal(snapshot, &s); err != nil {
 		return err
 	}
-	m.by = make(map[string]*Upstream, len(s.Upstreams))
+	m.byID = make(map[string]*Upstream, len(s.Upstreams))
 	for i := range s.Upstreams {
-		m.by[s.Upstreams[i].ID] = &s.Upstreams[i]
+		m.byID[s.Upstreams[i].ID] = &s.Upstreams[i]
 	}
 	s.Upstreams = nil
 	m.s = s
@@ -291,51 +295,51 @@
 	return nil
 }
 
-// Upstreams returns all incarnations, by ID.
+// Upstreams returns the latest incarnation of every upstream, sorted by ID.
 func (m *Machine) Upstreams() []Upstream {
-	list := make([]Upstream, 0, len(m.by))
-	for _, u := range m.by {
+	list := make([]Upstream, 0, len(m.byID))
+	for _, u := range m.byID {
 		list = append(list, *u)
 	}
 	slices.SortFunc(list, func(a, b Upstream) int { return strings.Compare(a.ID, b.ID) })
 	return list
 }
 
-// Upstream returns one incarnation.
+// Upstream returns the latest incarnation with an ID.
 func (m *Machine) Upstream(id string) (Upstream, bool) {
-	u := m.by[id]
+	u := m.byID[id]
 	if u == nil {
 		return Upstream{}, false
 	}
 	return *u, true
 }
 
-// Source returns the version in force and what the operator sent for it; zero when
-// there is none.
+// Source returns the version of the current table and the operator's input for it. The
+// version is zero if there is no table.
 func (m *Machine) Source() (uint64, []byte) { return m.s.Version, m.s.Source }
 
 // Index returns the log index of the last change.
 func (m *Machine) Index() uint64 { return m.s.Index }
 
-// Changes is what an instance is behind by.
+// Changes holds the changes that an instance has not received yet.
 type Changes struct {
-	// Index is up to where an instance is that has taken them in.
+	// Index is the log index that the instance has reached once it has applied the changes.
 	Index uint64 `codec:"n"`
-	// Full says that the upstreams are all there are, not only changed ones.
+	// Full means that Upstreams lists all upstreams, not only changed ones.
 	Full bool `codec:"f"`
-	// Table is the encoded table if it has changed.
+	// Table is the encoded table, if it has changed.
 	Version   uint64     `codec:"v"`
 	Table     []byte     `codec:"t"`
 	Upstreams []Upstream `codec:"u"`
 }
 
-// Since returns what has changed after an index.
+// Since returns the changes after an index.
 func (m *Machine) Since(index uint64) Changes {
 	c := Changes{Index: m.s.Index, Full: index == 0 || index < m.s.Pruned, Version: m.s.Version}
 	if m.s.TableAt > index {
 		c.Table = m.s.Table
 	}
-	for _, u := range m.by {
+	for _, u := range m.byID {
 		if c.Full || u.Changed > index {
 			c.Upstreams = append(c.Upstreams, *u)
 		}
--- a/core/raft/members.go
+++ b/core/raft/members.go
@@ -118,7 +118,7 @@
 	}
 	p := n.progress[id]
 	if p.match < n.commit || now.Sub(p.lastAck) > n.cfg.ElectionTimeout {
-		return 0, fault.New(fault.NotRun, "learner %x has synced the log up to %d of %d", id, p.match, n.commit).After(n.cfg.ElectionTimeout)
+		return 0, fault.New(fault.NotRun, "learner %x has synced the log up to %d of %d", id, p.match, n.commit).WithRetryAfter(n.cfg.ElectionTimeout)
 	}
 	m.Voter = true
 	return n.proposeMembers(now, n.members().with(m))
@@ -148,10 +148,10 @@
 		return n.notLeader()
 	}
 	if n.log.term(n.commit) != n.term {
-		return fault.New(fault.NotRun, "the new leader has not committed an entry in its term yet").After(n.cfg.Heartbeat)
+		return fault.New(fault.NotRun, "the new leader has not committed an entry in its term yet").WithRetryAfter(n.cfg.Heartbeat)
 	}
 	if n.memberships[len(n.memberships)-1].index > n.commit {
-		return fault.New(fault.NotRun, "another membership change is pending").After(n.cfg.Heartbeat)
+		return fault.New(fault.NotRun, "another membership change is pending").WithRetryAfter(n.cfg.Heartbeat)
 	}
 	return nil
 }
--- a/core/raft/node.go
+++ b/core/raft/node.go
@@ -259,9 +259,9 @@
 
 func (n *Node) notLeader() error {
 	if n.transferee != 0 {
-		return fault.New(fault.NotRun, "leadership is being transferred").After(n.cfg.Heartbeat)
+		return fault.New(fault.NotRun, "leadership is being transferred").WithRetryAfter(n.cfg.Heartbeat)
 	}
-	return fault.New(fault.NotRun, "this member is not the leader").After(n.cfg.Heartbeat)
+	return fault.New(fault.NotRun, "this member is not the leader").WithRetryAfter(n.cfg.Heartbeat)
 }
 
 // Status is the state of a member and its group, as the member knows it.
--- a/core/registry/brief.go
+++ b/core/registry/brief.go
@@ -69,7 +69,7 @@
 // refOf hashes the fields that a CompactBeat omits: the upstream's name, its incarnation
 // and its self-description. Collisions of 64-bit hashes are not expected among a few
 // thousand upstreams.
-func refOf(b announce.Beat) uint64 {
+func refOf(b announce.Heartbeat) uint64 {
 	d := xxhash.New()
 	write := func(s string) {
 		_, _ = d.WriteString(s)
@@ -96,7 +96,7 @@
 	if e == nil {
 		return Unknown
 	}
-	beat := e.upstream.Beat
+	beat := e.upstream.Heartbeat
 	beat.Sequence, beat.Leave = b.Sequence, false
 	beat.Cache = b.Cache
 	if l := b.Load; l != nil {
@@ -123,7 +123,7 @@
 	if e == nil || e.inactive {
 		return RelayedBeat{}, false
 	}
-	m := RelayedBeat{Beat: e.upstream.Beat, Remaining: e.expires.Sub(now), Age: now.Sub(e.upstream.HeardAt)}
+	m := RelayedBeat{Beat: e.upstream.Heartbeat, Remaining: e.expires.Sub(now), Age: now.Sub(e.upstream.HeardAt)}
 	if e.upstream.Load != nil {
 		load := *e.upstream.Load
 		load.AgeMillis = max(e.upstream.HeardAt.Sub(e.upstream.LoadAt), 0).Milliseconds()
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -28,7 +28,7 @@
 
 // RelayedBeat is a beat relayed between instances.
 type RelayedBeat struct {
-	Beat announce.Beat `codec:"b"`
+	Beat announce.Heartbeat `codec:"b"`
 	// Remaining is how long the beat still keeps the upstream alive.
 	Remaining time.Duration `codec:"r"`
 	// Age is the time since the beat reached the failure domain.
@@ -38,7 +38,7 @@
 // Upstream is an immutable view of one upstream that may be given new work.
 type Upstream struct {
 	// Beat is the latest beat, without its load report and its cache events.
-	announce.Beat
+	announce.Heartbeat
 	// HeardAt is when the beat reached the failure domain.
 	HeardAt time.Time
 	// Load is the latest load report, or nil; LoadAt is when it was measured.
@@ -110,7 +110,7 @@
 )
 
 // Apply processes a beat that the upstream itself sent to this instance.
-func (r *Registry) Apply(now time.Time, beat announce.Beat) Outcome {
+func (r *Registry) Apply(now time.Time, beat announce.Heartbeat) Outcome {
 	return r.ApplyRelayed(now, RelayedBeat{Beat: beat, Remaining: min(beat.TTL(), MaxSilence)})
 }
 
@@ -162,7 +162,7 @@
 	}
 	e.cache.apply(beat.Cache)
 	beat.Cache, beat.Load = nil, nil
-	e.upstream.Beat = beat
+	e.upstream.Heartbeat = beat
 	e.upstream.HeardAt = heardAt
 	e.upstream.Cache = e.cache.view()
 	if e.inactive != beat.Leave || e.ref == 0 {
--- a/instance/duty/lease.go
+++ b/instance/duty/lease.go
@@ -47,7 +47,7 @@
 		s.giveUp(now, g)
 		return
 	}
-	if !now.Before(s.lease.Renew) {
+	if !now.Before(s.lease.RenewAt) {
 		s.ask(g, s.acquireRequest(now))
 	}
 }
@@ -121,8 +121,8 @@
 
 func (s *Service) acquireRequest(now time.Time) fence.Request {
 	return fence.Request{
-		Verb: fence.Acquire, Subject: Subject, Holder: s.holder, Machine: s.cfg.Machine, Return: s.cfg.Lease,
-		TTL: s.cfg.terms().TTL, Settled: s.lease.IsSettled(now), Unchanged: s.seat.revision,
+		Verb: fence.Acquire, Subject: Subject, Holder: s.holder, Instance: s.cfg.Machine, ReturnDelay: s.cfg.Lease,
+		TTL: s.cfg.terms().TTL, WaitDone: s.lease.IsSettled(now), ExpiredRevision: s.seat.revision,
 	}
 }
 
@@ -174,9 +174,9 @@
 
 // granted takes a lease or its renewal.
 func (s *Service) granted(asked, now time.Time, grant *fence.Grant) {
-	begun, _ := s.lease.Take(asked, now, grant, s.cfg.terms())
+	begun, _ := s.lease.Update(asked, now, grant, s.cfg.terms())
 	if begun {
-		s.cfg.Log.Info().Str("event", "duties_held").Uint64("fence", s.lease.Number).Dur("wait", s.lease.Settled.Sub(now)).
+		s.cfg.Log.Info().Str("event", "duties_held").Uint64("fence", s.lease.Number).Dur("wait", s.lease.SettledAt.Sub(now)).
 			Dur("left", s.lease.Until.Sub(now)).Msg("this instance holds the duties")
 	}
 }
--- a/instance/gateway/gateway.go
+++ b/instance/gateway/gateway.go
@@ -38,7 +38,7 @@
 
 // Registry takes announcements and knows which upstreams are there.
 type Registry interface {
-	Announce(b announce.Beat) error
+	Announce(b announce.Heartbeat) error
 	View() *registry.View
 }
 
@@ -149,7 +149,7 @@
 		return nil, err
 	}
 	if g.cfg.CutOff != nil && g.cfg.CutOff() && !org.ServeWhenCutOff {
-		return nil, fault.New(fault.NotRun, "this failure domain is cut off and does not serve organisation %q meanwhile", org.Name).After(cutOffRetry)
+		return nil, fault.New(fault.NotRun, "this failure domain is cut off and does not serve organisation %q meanwhile", org.Name).WithRetryAfter(cutOffRetry)
 	}
 	return org, nil
 }
@@ -175,7 +175,7 @@
 	if err != nil {
 		return err
 	}
-	beat := &announce.Beat{}
+	beat := &announce.Heartbeat{}
 	if err := httpapi.ReadJSON(ctx, beat); err != nil {
 		return err
 	}
--- a/instance/order/lease.go
+++ b/instance/order/lease.go
@@ -16,8 +16,8 @@
 	return core.Authority{FenceChecking: ok, FenceIgnoring: ok && s.lease.IsSettled(now)}
 }
 
-func (s *Service) terms() fence.Terms {
-	return fence.Terms{TTL: s.cfg.TTL, Margin: s.cfg.Margin, Flight: s.cfg.Flight}
+func (s *Service) terms() fence.Timing {
+	return fence.Timing{TTL: s.cfg.TTL, Margin: s.cfg.Margin, MaxEffectDelay: s.cfg.Flight}
 }
 
 // tend renews the lease while there are orders to give, takes it when the first
@@ -25,10 +25,10 @@
 // settled yet is kept: the next would have to wait all over again.
 func (s *Service) tend(now time.Time) {
 	s.lease.Expire(now)
-	wanted := now.Sub(later(s.active, s.lease.Settled)) < s.cfg.Keep
+	wanted := now.Sub(later(s.active, s.lease.SettledAt)) < s.cfg.Keep
 	switch {
 	case s.asking || now.Before(s.askAt):
-	case wanted && (s.lease.Number == 0 || !now.Before(s.lease.Renew)):
+	case wanted && (s.lease.Number == 0 || !now.Before(s.lease.RenewAt)):
 		s.ask(s.acquireRequest(now), s.granted)
 	case !wanted && s.lease.Number > 0 && !s.uncertain(now):
 		s.giveUp()
@@ -63,7 +63,7 @@
 func (s *Service) acquireRequest(now time.Time) fence.Request {
 	return fence.Request{
 		Verb: fence.Acquire, Subject: s.cfg.Domain, Holder: s.holder, TTL: s.cfg.TTL,
-		Settled: s.lease.Number > 0 && !now.Before(s.lease.Settled),
+		WaitDone: s.lease.Number > 0 && !now.Before(s.lease.SettledAt),
 	}
 }
 
@@ -119,7 +119,7 @@
 // the beginning of a term for as long as that one counted on its lease and their flight
 // takes; engines that check the number refuse them, the others are left alone until then.
 func (s *Service) granted(asked, now time.Time, g fence.Grant) {
-	begun, alone := s.lease.Take(asked, now, &g, s.terms())
+	begun, alone := s.lease.Update(asked, now, &g, s.terms())
 	if !begun {
 		return
 	}
@@ -127,5 +127,5 @@
 		s.domain.Begin(now, g.Lease.Number == 1)
 		s.forget()
 	}
-	s.cfg.Log.Info().Uint64("fence", s.lease.Number).Dur("wait", s.lease.Settled.Sub(now)).Msg("this instance orders the domain's engines")
+	s.cfg.Log.Info().Uint64("fence", s.lease.Number).Dur("wait", s.lease.SettledAt.Sub(now)).Msg("this instance orders the domain's engines")
 }
--- a/instance/order/order.go
+++ b/instance/order/order.go
@@ -134,7 +134,7 @@
 	// What follows is owned by the loop.
 	domain  *core.Domain
 	doc     *intent.Document
-	lease   fence.Held
+	lease   fence.HeldLease
 	asking  bool
 	askAt   time.Time
 	active  time.Time // when an order was due last
@@ -223,6 +223,6 @@
 	}
 	st.Models, st.Engines = d.Models, d.Engines
 	if s.lease.Valid(now) {
-		st.Fence, st.Until, st.Settled = s.lease.Number, s.lease.Until, s.lease.Settled
+		st.Fence, st.Until, st.Settled = s.lease.Number, s.lease.Until, s.lease.SettledAt
 	}
 }
--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -96,8 +96,8 @@
 // NewRecorder returns a recorder that has not started.
 func NewRecorder(cfg RecorderConfig) *Recorder {
 	policy := quarantine.DefaultPolicy
-	policy.Crashes += aloneMore
-	policy.Settle = 0
+	policy.QuarantineThreshold += aloneMore
+	policy.SettleDelay = 0
 	return &Recorder{cfg: cfg, wake: make(chan struct{}, 1), own: quarantine.NewLedger(policy)}
 }
 
@@ -165,7 +165,7 @@
 	if len(underWay) == 0 {
 		return
 	}
-	r.own.Crashed(upstream, at, underWay)
+	r.own.RecordCrash(upstream, at, underWay)
 	r.own.Forget(clock.Now())
 	r.judge()
 	if len(r.at) >= maxUnsent {
@@ -185,7 +185,7 @@
 	now := clock.Now()
 	r.successes.note(now, f)
 	if !r.own.Empty() {
-		r.own.Succeeded(f, now)
+		r.own.RecordSuccess(f, now)
 		r.judge()
 	}
 	if r.isKnown(f) {
@@ -210,7 +210,7 @@
 func (r *Recorder) Alive(upstream uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.own.Alive(upstream)
+	r.own.RetractCrash(upstream)
 	r.judge()
 	if len(r.unsent.Alive) >= maxUnsent {
 		return
@@ -226,7 +226,7 @@
 	if r.own.Empty() {
 		return
 	}
-	r.suspects, r.guilty = set(r.own.Suspects(now)), set(r.own.Judge(now))
+	r.suspects, r.guilty = set(r.own.Suspects(now)), set(r.own.ToQuarantine(now))
 }
 
 func set(list []quarantine.Fingerprint) map[quarantine.Fingerprint]bool {
--- a/instance/quarantine/service.go
+++ b/instance/quarantine/service.go
@@ -19,7 +19,7 @@
 	"github.com/comfreyladder/comfreyladder/instance/link"
 )
 
-var errNoMember = fault.New(fault.Unavailable, "no member of the control group is known").After(time.Second)
+var errNoMember = fault.New(fault.Unavailable, "no member of the control group is known").WithRetryAfter(time.Second)
 
 // Links is what a Service needs of instance/link.
 type Links interface {
@@ -149,13 +149,13 @@
 	}
 	c := &state.Command{Trial: &q.Fingerprint}
 	if q.Unused {
-		c = &state.Command{Return: &q.Fingerprint}
+		c = &state.Command{CancelTrial: &q.Fingerprint}
 	}
 	result, err := s.propose(ctx, c)
 	if err != nil {
 		return nil, err
 	}
-	granted := bytes.Equal(result, state.Done)
+	granted := bytes.Equal(result, state.Granted)
 	s.cfg.Log.Info().Str("event", "quarantine_trial").Str("fingerprint", q.Fingerprint.String()).Str("instance", from).
 		Bool("unused", q.Unused).Bool("granted", granted).Msg("trial of a quarantined request")
 	return TrialAnswer{Granted: granted}, nil
@@ -164,7 +164,7 @@
 // Release ends the quarantine of a request. It fails with fault.NotFound where there is none.
 func (s *Service) Release(ctx context.Context, f quarantine.Fingerprint) error {
 	result, err := s.propose(ctx, &state.Command{Release: &f})
-	if err == nil && !bytes.Equal(result, state.Done) {
+	if err == nil && !bytes.Equal(result, state.Granted) {
 		err = fault.New(fault.NotFound, "the request %s is not quarantined", f)
 	}
 	return err
@@ -203,7 +203,7 @@
 	var verdict *state.Command
 	var unsettled bool
 	now := s.now()
-	machine(g, func(m *state.Machine) { verdict, unsettled = m.Judge(now) })
+	machine(g, func(m *state.Machine) { verdict, unsettled = m.NextCommand(now) })
 	if verdict == nil {
 		return unsettled
 	}
--- a/instance/serving/serving.go
+++ b/instance/serving/serving.go
@@ -134,7 +134,7 @@
 	return nil
 }
 
-var errNoMember = fault.New(fault.Unavailable, "this instance is no member of the control group yet").After(time.Second)
+var errNoMember = fault.New(fault.Unavailable, "this instance is no member of the control group yet").WithRetryAfter(time.Second)
 
 func (s *Service) replica() (*consensus.Service, error) {
 	g := s.cfg.Replica()
@@ -237,7 +237,7 @@
 	}
 	machine(g, func(m *serving.Machine) { version, source = m.Source() })
 	if version == 0 {
-		return 0, nil, fault.New(fault.Unavailable, "there is no table yet").After(time.Second)
+		return 0, nil, fault.New(fault.Unavailable, "there is no table yet").WithRetryAfter(time.Second)
 	}
 	return version, source, nil
 }
@@ -254,12 +254,12 @@
 	var ok bool
 	machine(g, func(m *serving.Machine) { known, ok = m.Upstream(u.ID) })
 	s.note(u.ID)
-	if ok && !serving.TellsNews(&known, &u) {
+	if ok && !serving.ChangesState(&known, &u) {
 		return nil
 	}
 	err = s.propose(ctx, &serving.Command{Announce: &u})
 	s.cfg.Log.Info().Str("event", "upstream_announced").Str("upstream", u.ID).Str("service", u.Service).Str("address", u.Address).
-		Str("state", u.State.String()).Int64("born", u.Born).Uint64("sequence", u.Sequence).Str("before", known.State.String()).Bool("was_silent", known.Silent).Bool("preemptible", u.Preemptible).Int64("leaves_ms", u.LeavesMS).
+		Str("state", u.State.String()).Int64("born", u.StartedAt).Uint64("sequence", u.Sequence).Str("before", known.State.String()).Bool("was_silent", known.Silent).Bool("preemptible", u.Preemptible).Int64("leaves_ms", u.LeavesMS).
 		Str("outcome", outcome(err)).Err(err).Msg("heartbeat of an upstream")
 	return err
 }
@@ -268,7 +268,7 @@
 // does not say when. When it returns without a failure, every confirmed answer from then
 // on has it.
 func (s *Service) Leave(ctx context.Context, id string, born int64) error {
-	err := s.propose(ctx, &serving.Command{Leave: id, LeaveBorn: born})
+	err := s.propose(ctx, &serving.Command{Leave: id, LeaveStartedAt: born})
 	s.cfg.Log.Info().Str("event", "upstream_left").Str("upstream", id).Int64("born", born).Str("outcome", outcome(err)).Err(err).Msg("an upstream leaves")
 	return err
 }
