--- a/instance/link/accept.go
+++ b/instance/link/accept.go
@@ -17,7 +17,7 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// Path of links on the peer listener.
+// Path is the URL path of links on the peer listener.
 const Path = "/v1/link"
 
 const (
@@ -31,19 +31,19 @@
 	statusNotFound     = 404
 )
 
-// handshakeTimeout bounds how long an unauthenticated peer may hold a
-// connection.
+// handshakeTimeout limits how long a peer that is not authenticated yet may hold a connection.
 const handshakeTimeout = 2 * time.Second
 
-// earlyThen reads what r has buffered and then next.
-func earlyThen(r *bufio.Reader, next io.Reader) io.Reader {
-	early, _ := r.Peek(r.Buffered())
-	kept := bytes.Clone(early)
+// withBuffered returns a reader of the bytes that r has buffered, followed by next. It returns r
+// to the pool of package ws.
+func withBuffered(r *bufio.Reader, next io.Reader) io.Reader {
+	buffered, _ := r.Peek(r.Buffered())
+	copied := bytes.Clone(buffered)
 	ws.PutReader(r)
-	return io.MultiReader(bytes.NewReader(kept), next)
+	return io.MultiReader(bytes.NewReader(copied), next)
 }
 
-// accept serves one connection from another instance.
+// accept serves a connection from another instance.
 func (s *Service) accept(ctx context.Context, conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	if s.cfg.ServerTLS != nil {
@@ -51,13 +51,13 @@
 	}
 	name, err := s.upgrade(conn)
 	if err != nil {
-		s.stats.refused.Add(1)
-		s.log.Warn().Err(err).Str("remote", conn.RemoteAddr().String()).Msg("link refused")
+		s.stats.rejectedLinks.Add(1)
+		s.log.Warn().Err(err).Str("remote", conn.RemoteAddr().String()).Msg("link rejected")
 		return
 	}
-	w := s.newWire(conn, name, newQueue(s.cfg.QueueItems, s.cfg.QueueBytes, &s.queued), nil)
-	defer w.out.close()
-	w.in = bufio.NewReaderSize(heard{w}, bufferSize)
+	w := s.newWire(conn, name, newQueue(s.cfg.QueueItems, s.cfg.QueueBytes, &s.sendBudget), nil)
+	defer w.sendQueue.close()
+	w.in = bufio.NewReaderSize(deadlineReader{w}, bufferSize)
 	in := newInbound(s, w)
 	w.handle = in.receive
 	ended := context.AfterFunc(ctx, w.close)
@@ -68,13 +68,13 @@
 	s.log.Debug().Err(err).Str("peer", name).Msg("accepted link ended")
 }
 
-// upgrade checks the credential and returns the peer's name.
+// upgrade performs the WebSocket handshake, checks the credential and returns the peer's name.
 func (s *Service) upgrade(conn net.Conn) (string, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return "", fault.Wrap(err, fault.Unavailable, "handshake")
 	}
 	var name string
-	allowed := s.cfg.Open
+	authenticated := s.cfg.Open
 	upgrader := ws.Upgrader{
 		OnRequest: func(uri []byte) error {
 			if string(uri) != Path {
@@ -85,14 +85,14 @@
 		OnHeader: func(key, value []byte) error {
 			switch {
 			case bytes.EqualFold(key, []byte(authHeader)):
-				allowed = s.cfg.Open || s.knows(value)
+				authenticated = s.cfg.Open || s.validCredential(value)
 			case bytes.EqualFold(key, []byte(instanceHeader)):
 				name = string(value)
 			}
 			return nil
 		},
 		OnBeforeUpgrade: func() (ws.HandshakeHeader, error) {
-			if !allowed || name == "" {
+			if !authenticated || name == "" {
 				return nil, ws.RejectConnectionError(ws.RejectionStatus(statusUnauthorized))
 			}
 			return nil, nil
@@ -100,7 +100,7 @@
 	}
 	if _, err := upgrader.Upgrade(conn); err != nil {
 		code := fault.Unavailable
-		if !allowed {
+		if !authenticated {
 			code = fault.Unauthenticated
 		}
 		return "", fault.Wrap(errors.WithStack(err), code, "handshake")
@@ -111,10 +111,9 @@
 	return name, nil
 }
 
-// knows compares the hash of a credential with all accepted ones in constant
-// time, so that neither the place of the first wrong byte nor which of them
-// matches shows in the time taken.
-func (s *Service) knows(value []byte) bool {
+// validCredential compares the hash of a credential with all accepted hashes in constant time, so
+// that the duration reveals neither the position of the first wrong byte nor which hash matches.
+func (s *Service) validCredential(value []byte) bool {
 	credential, ok := bytes.CutPrefix(value, []byte(bearer))
 	if !ok {
 		return false
--- a/instance/link/bench_test.go
+++ b/instance/link/bench_test.go
@@ -14,14 +14,14 @@
 	"github.com/comfreyladder/comfreyladder/instance/link"
 )
 
-type ticket struct {
+type benchMessage struct {
 	ID     string `codec:"i"`
 	Class  string `codec:"c"`
 	Tokens int    `codec:"t"`
 }
 
-// BenchmarkCall measures a call with a small message, such as the scheduler's,
-// and the processor time that both sides of it take together.
+// BenchmarkCall measures calls with a small message, such as the scheduler's, and the CPU time
+// that both sides take together.
 func BenchmarkCall(b *testing.B) {
 	for _, callers := range []int{1, 64} {
 		b.Run(strconv.Itoa(callers), func(b *testing.B) { benchCalls(b, callers) })
@@ -29,18 +29,18 @@
 }
 
 func benchCalls(b *testing.B, callers int) {
-	known := &book{}
+	addresses := &addressBook{}
 	services := make([]*link.Service, 2)
 	for i := range services {
 		s, err := link.New(link.Config{
-			Self: strconv.Itoa(i), Listen: "127.0.0.1:0", Credential: "secret", Book: known, Log: zerolog.Nop(),
+			Self: strconv.Itoa(i), Listen: "127.0.0.1:0", Credential: "secret", Book: addresses, Log: zerolog.Nop(),
 			Accept: [][sha256.Size]byte{sha256.Sum256([]byte("secret"))},
 		})
 		if err != nil {
 			b.Fatal(err)
 		}
 		s.Handle("grant", func(_ context.Context, _ string, m link.Message) (any, error) {
-			var t ticket
+			var t benchMessage
 			err := m.Decode(&t)
 			return t, err
 		})
@@ -48,17 +48,17 @@
 			b.Fatal(err)
 		}
 		defer func() { _ = s.Stop(context.Background()) }()
-		known.Store(strconv.Itoa(i), s.Addr().String())
+		addresses.Store(strconv.Itoa(i), s.Addr().String())
 		services[i] = s
 	}
 	b.ResetTimer()
-	before := processorTime()
+	before := processCPUTime()
 	var running sync.WaitGroup
 	for range callers {
 		running.Go(func() {
-			var answer ticket
+			var answer benchMessage
 			for range max(1, b.N/callers) {
-				if err := services[0].Call(context.Background(), "1", "grant", ticket{"request-1234567890", "nurse-review", 700}, &answer); err != nil {
+				if err := services[0].Call(context.Background(), "1", "grant", benchMessage{"request-1234567890", "nurse-review", 700}, &answer); err != nil {
 					b.Error(err)
 					return
 				}
@@ -66,10 +66,10 @@
 		})
 	}
 	running.Wait()
-	b.ReportMetric(float64((processorTime()-before).Microseconds())/float64(b.N), "cpu-us/op")
+	b.ReportMetric(float64((processCPUTime()-before).Microseconds())/float64(b.N), "cpu-us/op")
 }
 
-func processorTime() time.Duration {
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
--- a/instance/link/call.go
+++ b/instance/link/call.go
@@ -7,23 +7,22 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// call is a request that waits for its answer.
+// call is a request that waits for its response.
 type call struct {
 	id      uint64
 	channel string
 	done    chan struct{}
 
-	mu     sync.Mutex
-	sentOn *wire // nil while no byte of the request left
-	ended  bool
-	answer *envelope
-	err    error
+	mu       sync.Mutex
+	sentOn   *connection // nil until the request is written
+	ended    bool
+	response *envelope
+	err      error
 }
 
-// markSent records that bytes are about to leave on w; false means that the
-// caller has given up and nothing may leave any more. From here on the request
-// may have run.
-func (c *call) markSent(w *wire) bool {
+// markSent records that the request is about to be written to w, after which it may have run. It
+// returns false if the caller has given up; the request must then not be written.
+func (c *call) markSent(w *connection) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ended {
@@ -33,19 +32,19 @@
 	return true
 }
 
-func (c *call) finish(answer *envelope, err error) {
+func (c *call) complete(response *envelope, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ended {
 		return
 	}
 	c.ended = true
-	c.answer, c.err = answer, err
+	c.response, c.err = response, err
 	close(c.done)
 }
 
-// abandon ends the call without an answer. Only here is "not run" told from
-// "outcome unknown": a request of which no byte left was not run.
+// abandon ends the call without a response. It alone distinguishes fault.NotRun from
+// fault.OutcomeUnknown: a request of which no byte was written has not run.
 func (c *call) abandon(cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,16 +60,15 @@
 	close(c.done)
 }
 
-func (c *call) wire() *wire {
+func (c *call) wire() *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.sentOn
 }
 
-// Call sends req to the instance named to and decodes the answer into resp,
-// which may be nil. The handler's typed failure comes back with its code. When
-// no answer came, the code is fault.NotRun if no byte of the request left this
-// process, and else fault.OutcomeUnknown; a call is never sent twice.
+// Call sends req to the instance named to and decodes the response into resp, which may be nil. An
+// error of the handler is returned with its code. If no response arrives, the code is fault.NotRun
+// if no byte of the request was sent, otherwise fault.OutcomeUnknown. A call is never sent twice.
 func (s *Service) Call(ctx context.Context, to, channel string, req, resp any) error {
 	body, err := Encode(req)
 	if err != nil {
@@ -86,25 +84,25 @@
 		return err
 	}
 	if len(data) > s.cfg.MaxMessage {
-		return fault.New(fault.TooLarge, "call on %s: %d bytes, at most %d are allowed", channel, len(data), s.cfg.MaxMessage)
+		return fault.New(fault.TooLarge, "call on %s: %d bytes exceed the limit of %d", channel, len(data), s.cfg.MaxMessage)
 	}
 	p.addCall(c)
-	defer p.dropCall(c)
-	if _, err := p.out.push(&item{channel: channel, bulk: s.traits(channel).bulk, data: data, call: c}); err != nil {
+	defer p.removeCall(c)
+	if _, err := p.sendQueue.push(&queuedMessage{channel: channel, bulk: s.channel(channel).bulk, data: data, call: c}); err != nil {
 		return fault.Wrap(err, fault.NotRun, "call on %s to %s", channel, to)
 	}
 	select {
 	case <-c.done:
 	case <-ctx.Done():
-		p.out.remove(c)
+		p.sendQueue.remove(c)
 		c.abandon(ctx.Err())
 	}
 	<-c.done
 	switch {
 	case c.err != nil:
 		return c.err
-	case c.answer.Kind == kindFailure:
-		return c.answer.fault()
+	case c.response.Kind == kindError:
+		return c.response.toError()
 	}
-	return Decode(c.answer.Body, resp)
+	return Decode(c.response.Body, resp)
 }
--- a/instance/link/envelope_test.go
+++ b/instance/link/envelope_test.go
@@ -17,9 +17,9 @@
 	Count uint64   `codec:"c"`
 }
 
-// Story: something on the way, or a defect of a peer, garbles a message. The
-// daemon must refuse it, not end or allocate what the garbled length says.
-func TestGarbledMessages(t *testing.T) {
+// Guards against a corrupt message, from the network or a faulty peer, that crashes the daemon or
+// makes it allocate by a corrupt length.
+func TestCorruptMessagesAreRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		valid, err := Encode(nested{"a", []nested{{Name: "b"}, {Count: math.MaxUint64}}, 7})
 		if err != nil {
@@ -46,9 +46,9 @@
 	})
 }
 
-func TestHugeLengths(t *testing.T) {
+func TestLengthsBeyondTheMessageAreRejected(t *testing.T) {
 	g := NewWithT(t)
-	// A list, and a text, that are an array of 2^30 entries.
+	// The list and the text field, each encoded as an array of 2^30 entries.
 	list := []byte{0xa1, 0x61, 'i', 0x9a, 0x40, 0, 0, 0}
 	text := []byte{0xa1, 0x61, 'n', 0x9a, 0x40, 0, 0, 0}
 	var before, after runtime.MemStats
@@ -57,7 +57,7 @@
 	g.Expect(fault.CodeOf(Decode(text, &nested{}))).To(Equal(fault.Corrupt))
 	runtime.ReadMemStats(&after)
 	g.Expect(after.TotalAlloc - before.TotalAlloc).To(BeNumerically("<", 1<<20))
-	// A map with the key "i" whose array, byte string and text claim 2^62 entries.
+	// A map whose key "i" holds an array, byte string or text with a length of 2^62.
 	for _, length := range []byte{0x9b, 0x5b, 0x7b} {
 		data := []byte{0xa1, 0x61, 'i', length, 0x40, 0, 0, 0, 0, 0, 0, 0}
 		g.Expect(fault.CodeOf(Decode(data, &nested{}))).To(Equal(fault.Corrupt))
--- a/instance/link/helpers_test.go
+++ b/instance/link/helpers_test.go
@@ -16,8 +16,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// certificate returns the configurations of a server and a client that trusts it.
-func certificate() (server, client *tls.Config) {
+// newTLSConfigs returns the TLS configurations of a server and of a client that trusts it.
+func newTLSConfigs() (server, client *tls.Config) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	Expect(err).NotTo(HaveOccurred())
 	template := &x509.Certificate{
@@ -33,14 +33,14 @@
 	return &tls.Config{Certificates: []tls.Certificate{{Certificate: [][]byte{der}, PrivateKey: key}}}, &tls.Config{RootCAs: roots}
 }
 
-// proxy forwards connections until they are muted; a muted connection stays open
-// and swallows everything, while new ones work.
+// proxy forwards connections. After dropTraffic, the connections open by then stay open but lose
+// all data, while new ones work.
 type proxy struct {
 	net.Listener
-	mu     sync.Mutex
-	muted  []*atomic.Bool
-	conns  atomic.Int64
-	target string
+	mu       sync.Mutex
+	dropping []*atomic.Bool
+	conns    atomic.Int64
+	target   string
 }
 
 func newProxy(target string) *proxy {
@@ -66,17 +66,17 @@
 		p.conns.Add(1)
 		muted := &atomic.Bool{}
 		p.mu.Lock()
-		p.muted = append(p.muted, muted)
+		p.dropping = append(p.dropping, muted)
 		p.mu.Unlock()
 		go pipe(c, up, muted)
 		go pipe(up, c, muted)
 	}
 }
 
-func (p *proxy) mute() {
+func (p *proxy) dropTraffic() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, m := range p.muted {
+	for _, m := range p.dropping {
 		m.Store(true)
 	}
 }
--- a/instance/link/inbound.go
+++ b/instance/link/inbound.go
@@ -7,22 +7,21 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// Bounds of one accepted connection.
+// Limits of one accepted connection.
 const (
-	// maxInboundMessages is how many one-way messages may wait for their
-	// handlers; more are dropped and counted. The places for them take 8 bytes
-	// each, twice for each connection.
+	// maxInboundMessages is how many one-way messages of each priority may wait for their
+	// handlers; further ones are dropped and counted. The two channels take 8 bytes per message.
 	maxInboundMessages = 1024
-	// maxInboundCalls is how many calls run at once; more are refused.
+	// maxInboundCalls is how many calls run concurrently; further ones are rejected.
 	maxInboundCalls = 256
 )
 
-// inbound runs the handlers of one accepted connection: one-way messages in
-// order, control apart from bulk, and each call in a goroutine of its own, so
-// that no handler holds up the reader and with it the heartbeats.
+// inbound runs the handlers of one accepted connection. One-way messages run in order, with a
+// goroutine for each priority, and each call runs in a goroutine of its own, so that no handler
+// blocks the reader and thereby the detection of heartbeats.
 type inbound struct {
-	s       *Service
-	w       *wire
+	service *Service
+	w       *connection
 	control chan *envelope
 	bulk    chan *envelope
 	calls   chan struct{}
@@ -31,9 +30,9 @@
 	running sync.WaitGroup
 }
 
-func newInbound(s *Service, w *wire) *inbound {
+func newInbound(s *Service, w *connection) *inbound {
 	return &inbound{
-		s:       s,
+		service: s,
 		w:       w,
 		control: make(chan *envelope, maxInboundMessages),
 		bulk:    make(chan *envelope, maxInboundMessages),
@@ -43,8 +42,8 @@
 
 func (in *inbound) start(ctx context.Context) {
 	in.ctx, in.cancel = context.WithCancel(ctx)
-	in.running.Go(func() { in.work(in.control) })
-	in.running.Go(func() { in.work(in.bulk) })
+	in.running.Go(func() { in.handleMessages(in.control) })
+	in.running.Go(func() { in.handleMessages(in.bulk) })
 }
 
 func (in *inbound) stop() {
@@ -57,12 +56,12 @@
 	}
 }
 
-func (in *inbound) work(messages <-chan *envelope) {
+func (in *inbound) handleMessages(messages <-chan *envelope) {
 	for {
 		select {
 		case e := <-messages:
-			if _, err := in.run(e); err != nil {
-				in.s.log.Debug().Err(err).Str("peer", in.w.peer).Str("channel", e.Channel).Msg("message not handled")
+			if _, err := in.callHandler(e); err != nil {
+				in.service.log.Debug().Err(err).Str("peer", in.w.peer).Str("channel", e.Channel).Msg("message handler failed")
 			}
 			in.release(e)
 		case <-in.ctx.Done():
@@ -71,97 +70,97 @@
 	}
 }
 
-// reserve counts an envelope's bytes until its handler has ended; false means
-// that handlers are so far behind that no more may be held.
+// reserve counts an envelope's bytes as held until release. It returns false if received messages
+// that are not handled yet already use the whole budget.
 func (in *inbound) reserve(e *envelope) bool {
 	size := int64(len(e.Body))
-	if in.s.received.used.Add(size) <= in.s.received.max {
+	if in.service.receiveBudget.used.Add(size) <= in.service.receiveBudget.max {
 		return true
 	}
-	in.s.received.used.Add(-size)
+	in.service.receiveBudget.used.Add(-size)
 	return false
 }
 
-func (in *inbound) release(e *envelope) { in.s.received.used.Add(-int64(len(e.Body))) }
+func (in *inbound) release(e *envelope) { in.service.receiveBudget.used.Add(-int64(len(e.Body))) }
 
-func (in *inbound) receive(_ *wire, e *envelope) {
+func (in *inbound) receive(_ *connection, e *envelope) {
 	switch e.Kind {
 	case kindMessage:
 		in.enqueue(e)
 	case kindRequest:
 		if !in.reserve(e) {
-			in.refuse(e)
+			in.rejectCall(e)
 			return
 		}
 		select {
 		case in.calls <- struct{}{}:
-			in.running.Go(func() { in.answer(e) })
+			in.running.Go(func() { in.handleCall(e) })
 		default:
 			in.release(e)
-			in.refuse(e)
+			in.rejectCall(e)
 		}
 	}
 }
 
 func (in *inbound) enqueue(e *envelope) {
 	if !in.reserve(e) {
-		in.s.stats.dropped(e.Channel)
+		in.service.stats.dropped(e.Channel)
 		return
 	}
 	messages := in.control
-	if in.s.traits(e.Channel).bulk {
+	if in.service.channel(e.Channel).bulk {
 		messages = in.bulk
 	}
 	select {
 	case messages <- e:
 	default:
 		in.release(e)
-		in.s.stats.dropped(e.Channel)
+		in.service.stats.dropped(e.Channel)
 	}
 }
 
-func (in *inbound) refuse(e *envelope) {
-	in.reply(failure(e.ID, e.Channel, fault.New(fault.NotRun, "%s has too many calls from %s to run", in.s.cfg.Self, in.w.peer)))
+func (in *inbound) rejectCall(e *envelope) {
+	in.respond(errorEnvelope(e.ID, e.Channel, fault.New(fault.NotRun, "%s already runs too many calls, or holds too many unhandled messages, to accept a call from %s", in.service.cfg.Self, in.w.peer)))
 }
 
-func (in *inbound) answer(e *envelope) {
+func (in *inbound) handleCall(e *envelope) {
 	defer func() { <-in.calls }()
 	defer in.release(e)
-	result, err := in.run(e)
+	result, err := in.callHandler(e)
 	if err != nil {
-		in.reply(failure(e.ID, e.Channel, err))
+		in.respond(errorEnvelope(e.ID, e.Channel, err))
 		return
 	}
 	body, err := Encode(result)
 	if err != nil {
-		in.reply(failure(e.ID, e.Channel, err))
+		in.respond(errorEnvelope(e.ID, e.Channel, err))
 		return
 	}
-	in.reply(&envelope{Kind: kindAnswer, ID: e.ID, Channel: e.Channel, Body: body})
+	in.respond(&envelope{Kind: kindResponse, ID: e.ID, Channel: e.Channel, Body: body})
 }
 
-func (in *inbound) run(e *envelope) (any, error) {
-	h := in.s.handler(e.Channel)
+func (in *inbound) callHandler(e *envelope) (any, error) {
+	h := in.service.handler(e.Channel)
 	if h == nil {
-		return nil, fault.New(fault.NotRun, "channel %q has no handler on %s", e.Channel, in.s.cfg.Self)
+		return nil, fault.New(fault.NotRun, "channel %q has no handler on instance %s", e.Channel, in.service.cfg.Self)
 	}
 	return h(in.ctx, in.w.peer, Message{body: e.Body})
 }
 
-// reply queues an answer; when it cannot be sent, the connection ends, so that
-// the caller learns that the outcome is unknown instead of waiting.
-func (in *inbound) reply(e *envelope) {
+// respond queues a response. If it cannot be queued, the connection is closed, so that the caller
+// learns that the outcome is unknown instead of waiting.
+func (in *inbound) respond(e *envelope) {
 	data, err := Encode(e)
-	if err == nil && len(data) > in.s.cfg.MaxMessage {
-		err = fault.New(fault.TooLarge, "answer of %d bytes, at most %d are allowed", len(data), in.s.cfg.MaxMessage)
-		data, _ = Encode(failure(e.ID, e.Channel, err))
+	if err == nil && len(data) > in.service.cfg.MaxMessage {
+		err = fault.New(fault.TooLarge, "response of %d bytes exceeds the limit of %d", len(data), in.service.cfg.MaxMessage)
+		data, _ = Encode(errorEnvelope(e.ID, e.Channel, err))
 		err = nil
 	}
 	if err == nil {
-		_, err = in.w.out.push(&item{channel: e.Channel, bulk: in.s.traits(e.Channel).bulk, data: data})
+		_, err = in.w.sendQueue.push(&queuedMessage{channel: e.Channel, bulk: in.service.channel(e.Channel).bulk, data: data})
 	}
 	if err != nil {
-		in.s.log.Warn().Err(err).Str("peer", in.w.peer).Msg("answer lost, link closed")
+		in.service.log.Warn().Err(err).Str("peer", in.w.peer).Msg("response could not be queued, link closed")
 		in.w.close()
 	}
 }
--- a/instance/link/link.go
+++ b/instance/link/link.go
@@ -1,7 +1,7 @@
-// Package link carries messages and calls between instances. A link is one
-// WebSocket connection on the peer listener; each binary frame is one
-// CBOR-encoded envelope. Each instance dials the peers it sends to; answers come
-// back on the connection that carried the request.
+// Package link carries one-way messages and calls between instances. A link is a WebSocket
+// connection to the peer listener; each binary frame holds one CBOR-encoded envelope. Each
+// instance dials the peers that it sends to; a response returns on the connection that carried the
+// request.
 package link
 
 import (
@@ -22,55 +22,54 @@
 
 // Defaults of Config.
 const (
-	// DefaultHeartbeat and DefaultTimeout let a link that fell silent be
-	// replaced in two seconds and a dial: the other side's heartbeats come
-	// every second, so that one may be late by as much again.
+	// With DefaultHeartbeat and DefaultTimeout, a silent link is replaced within two seconds plus
+	// a dial: the accepting side sends a heartbeat every second, so one may be late by another
+	// second.
 	DefaultHeartbeat = 500 * time.Millisecond
 	DefaultTimeout   = 1500 * time.Millisecond
-	// DefaultDialTimeout leaves room for a handshake between regions.
+	// DefaultDialTimeout allows for a handshake between regions.
 	DefaultDialTimeout = time.Second
-	// DefaultMinBackoff and DefaultMaxBackoff bound the pause between dials.
+	// DefaultMinBackoff and DefaultMaxBackoff bound the delay between dial attempts.
 	DefaultMinBackoff = 50 * time.Millisecond
 	DefaultMaxBackoff = time.Second
-	// DefaultIdleAfter ends links that carry only heartbeats.
+	// DefaultIdleAfter is how long a link that carries only heartbeats stays open.
 	DefaultIdleAfter = 30 * time.Second
-	// DefaultMaxMessage holds a snapshot of the control state.
+	// DefaultMaxMessage is large enough for a snapshot of the control state.
 	DefaultMaxMessage = 8 << 20
-	// DefaultQueueItems and DefaultQueueBytes bound what waits for one peer;
-	// the first counts for each priority.
+	// DefaultQueueItems and DefaultQueueBytes limit the send queue of one peer; the first applies
+	// to each priority.
 	DefaultQueueItems = 4096
 	DefaultQueueBytes = 16 << 20
-	// DefaultTotalBytes bounds what waits for all peers together, and as much
-	// again what was received and not handled yet: within the 64 MB that a
-	// daemon has for control.
+	// DefaultTotalBytes limits the send queues of all peers together, and separately the messages
+	// that were received but not handled yet. Both fit into the 64 MB that a daemon has for
+	// control traffic.
 	DefaultTotalBytes = 24 << 20
 )
 
-// peerEventLoops is one, as links carry some hundred small messages a second.
+// peerEventLoops is one because links carry only some hundred small messages a second.
 const peerEventLoops = 1
 
-// AddressBook knows where instances listen for links.
+// AddressBook resolves the names of instances.
 type AddressBook interface {
 	// Address returns the "ip:port" of the instance's peer listener.
 	Address(instance string) (addr string, ok bool)
 }
 
-// Config of a Service. Durations and sizes that are zero mean the defaults.
+// Config configures a Service. Zero durations and sizes select the defaults.
 type Config struct {
 	// Self is this instance's name.
 	Self string
-	// Listen is the "ip:port" of the peer listener; empty for an instance that only
-	// dials.
+	// Listen is the "ip:port" of the peer listener; empty for an instance that only dials.
 	Listen string
-	// Credential is sent to peers; Accept holds the SHA-256 hashes of those
-	// that are accepted from peers, several while one is being replaced.
+	// Credential is sent to peers. Accept holds the SHA-256 hashes of the credentials accepted
+	// from peers: more than one while a credential is being replaced.
 	Credential string
 	Accept     [][sha256.Size]byte
-	// Open accepts peers without a credential. Whoever reaches the peer listener
-	// can then act as an instance: only for networks that keep others out.
+	// Open accepts peers without a credential. Anyone who can reach the peer listener can then act
+	// as an instance, so it is only for networks that are closed to others.
 	Open bool
 	Book AddressBook
-	// ServerTLS and ClientTLS switch TLS on for each direction.
+	// ServerTLS and ClientTLS enable TLS for accepted and dialled links.
 	ServerTLS *tls.Config
 	ClientTLS *tls.Config
 	Log       zerolog.Logger
@@ -87,7 +86,7 @@
 	TotalBytes  int
 }
 
-func (c *Config) fill() {
+func (c *Config) setDefaults() {
 	defaults.Set(&c.Heartbeat, DefaultHeartbeat)
 	defaults.Set(&c.Timeout, DefaultTimeout)
 	defaults.Set(&c.DialTimeout, DefaultDialTimeout)
@@ -100,48 +99,48 @@
 	defaults.Set(&c.TotalBytes, DefaultTotalBytes)
 }
 
-// Message is what a handler receives.
+// Message is the body of a received message or call.
 type Message struct{ body []byte }
 
-// Decode reads the message into v, a pointer; it fails with fault.Corrupt.
+// Decode decodes the message into v, a pointer. It fails with fault.Corrupt.
 func (m Message) Decode(v any) error { return Decode(m.body, v) }
 
-// Handler answers a message from another instance. For one-way messages the
-// result is ignored. One-way messages of one peer and priority come in order;
-// calls run side by side. ctx ends with the connection.
+// Handler handles a message or call from another instance. The result of a one-way message is
+// ignored. One-way messages of one peer and one priority are handled in order; calls run
+// concurrently. ctx ends with the connection.
 type Handler func(ctx context.Context, from string, m Message) (any, error)
 
-// ChannelOption states a trait of a channel, for sending and receiving alike.
-type ChannelOption func(*channel)
+// ChannelOption configures a channel, for both sending and receiving.
+type ChannelOption func(*channelConfig)
 
-// Lossy lets a full queue drop the channel's oldest message for a new one.
-func Lossy() ChannelOption { return func(c *channel) { c.lossy = true } }
+// Lossy makes a full queue drop the channel's oldest message in favour of a new one.
+func Lossy() ChannelOption { return func(c *channelConfig) { c.lossy = true } }
 
-// Bulk sends the channel's messages after those of all channels that are not.
-func Bulk() ChannelOption { return func(c *channel) { c.bulk = true } }
+// Bulk gives the channel's messages low priority: they are sent after those of all other channels.
+func Bulk() ChannelOption { return func(c *channelConfig) { c.bulk = true } }
 
-// Lazy lets the channel's messages wait for the next message or heartbeat of the
-// link, for Config.Heartbeat at most. What is sent to each peer once a second
-// then needs no segment, and wakes no process, of its own.
-func Lazy() ChannelOption { return func(c *channel) { c.lazy = true } }
+// Lazy makes the channel's messages wait for the next other message or heartbeat of the link, at
+// most Config.Heartbeat, once the link is up. Messages sent to every peer once a second then need
+// no TCP segment and no wake-up of their own.
+func Lazy() ChannelOption { return func(c *channelConfig) { c.lazy = true } }
 
-type channel struct {
+type channelConfig struct {
 	lossy, bulk, lazy bool
 	handler           Handler
 }
 
-// Service holds the links of one instance.
+// Service manages the links of one instance.
 type Service struct {
-	cfg       Config
-	log       zerolog.Logger
-	heartbeat []byte
-	nextID    atomic.Uint64
-	stats     stats
-	queued    budget
-	received  budget
+	cfg           Config
+	log           zerolog.Logger
+	heartbeat     []byte
+	nextID        atomic.Uint64
+	stats         stats
+	sendBudget    budget
+	receiveBudget budget
 
 	mu       sync.RWMutex
-	channels map[string]channel
+	channels map[string]channelConfig
 	peers    map[string]*peer
 	ctx      context.Context
 	cancel   context.CancelFunc
@@ -149,29 +148,29 @@
 	listener *gnetconn.Listener
 }
 
-// New returns a service that is not started. It fails with fault.Invalid when
-// the configuration is incomplete.
+// New returns a service that is not started. It fails with fault.Invalid if the configuration is
+// incomplete.
 func New(cfg Config) (*Service, error) {
-	secured := cfg.Credential != "" && len(cfg.Accept) > 0
-	if cfg.Self == "" || cfg.Book == nil || !secured && !cfg.Open {
-		return nil, fault.New(fault.Invalid, "links need the instance's name, an address book, a credential and accepted hashes")
+	authenticated := cfg.Credential != "" && len(cfg.Accept) > 0
+	if cfg.Self == "" || cfg.Book == nil || !authenticated && !cfg.Open {
+		return nil, fault.New(fault.Invalid, "links require the name of the instance, an address book, a credential and the hashes of accepted credentials")
 	}
-	cfg.fill()
-	beat, err := Encode(&envelope{Kind: kindHeartbeat})
+	cfg.setDefaults()
+	heartbeat, err := Encode(&envelope{Kind: kindHeartbeat})
 	if err != nil {
 		return nil, err
 	}
-	s := &Service{cfg: cfg, log: cfg.Log, heartbeat: beat, channels: map[string]channel{}, peers: map[string]*peer{}}
-	s.queued.max = int64(cfg.TotalBytes)
-	s.received.max = int64(cfg.TotalBytes)
+	s := &Service{cfg: cfg, log: cfg.Log, heartbeat: heartbeat, channels: map[string]channelConfig{}, peers: map[string]*peer{}}
+	s.sendBudget.max = int64(cfg.TotalBytes)
+	s.receiveBudget.max = int64(cfg.TotalBytes)
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s, nil
 }
 
-// Handle registers a channel. Register before Start; instances that only send
-// on a channel register it with a nil handler to state its traits.
+// Handle registers a channel; it must be called before Start. An instance that only sends on a
+// channel registers it with a nil handler and the same options.
 func (s *Service) Handle(name string, h Handler, options ...ChannelOption) {
-	c := channel{handler: h}
+	c := channelConfig{handler: h}
 	for _, o := range options {
 		o(&c)
 	}
@@ -186,7 +185,7 @@
 	return s.channels[name].handler
 }
 
-func (s *Service) traits(name string) channel {
+func (s *Service) channel(name string) channelConfig {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.channels[name]
@@ -195,7 +194,7 @@
 // Start binds the peer listener. It fails with fault.Unavailable.
 func (s *Service) Start(context.Context) error {
 	if s.cfg.Open {
-		s.log.Warn().Str("event", "links_open").Msg("links are accepted without a credential, as the settings say")
+		s.log.Warn().Str("event", "links_open").Msg("the settings allow links without a credential")
 	}
 	if s.cfg.Listen == "" {
 		return nil
@@ -211,7 +210,7 @@
 	s.listener = l
 	s.running.Go(func() {
 		if err := l.Serve(func(c net.Conn) { s.accept(s.ctx, c) }); err != nil {
-			s.log.Error().Err(err).Msg("peer listener ended")
+			s.log.Error().Err(err).Msg("peer listener failed")
 		}
 	})
 	return nil
@@ -225,8 +224,8 @@
 	return s.listener.Addr()
 }
 
-// Stop closes all links and waits for their handlers, until ctx ends. Calls
-// that wait end with fault.NotRun or fault.OutcomeUnknown.
+// Stop closes all links and waits for their handlers until ctx ends. Pending calls fail with
+// fault.NotRun or fault.OutcomeUnknown.
 func (s *Service) Stop(ctx context.Context) error {
 	s.mu.Lock()
 	s.cancel()
@@ -244,11 +243,11 @@
 	case <-done:
 		return err
 	case <-ctx.Done():
-		return fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "links still run")
+		return fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "links are still running")
 	}
 }
 
-// peerFor returns the peer's state and starts its goroutine at first use.
+// peerFor returns the state of a peer and starts its goroutine on first use.
 func (s *Service) peerFor(name string) (*peer, error) {
 	s.mu.RLock()
 	p := s.peers[name]
@@ -257,31 +256,30 @@
 		return p, nil
 	}
 	if _, ok := s.cfg.Book.Address(name); !ok {
-		return nil, fault.New(fault.NotFound, "instance %s: no address is known", name)
+		return nil, fault.New(fault.NotFound, "the address of instance %s is unknown", name)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.ctx.Err() != nil {
-		return nil, fault.New(fault.Draining, "links are stopped")
+		return nil, fault.New(fault.Draining, "the link service is stopped")
 	}
 	if p := s.peers[name]; p != nil {
 		return p, nil
 	}
 	ctx, cancel := context.WithCancel(s.ctx)
-	p = &peer{s: s, name: name, out: newQueue(s.cfg.QueueItems, s.cfg.QueueBytes, &s.queued), cancel: cancel, calls: map[uint64]*call{}}
+	p = &peer{service: s, name: name, sendQueue: newQueue(s.cfg.QueueItems, s.cfg.QueueBytes, &s.sendBudget), cancel: cancel, calls: map[uint64]*call{}}
 	s.peers[name] = p
 	s.running.Go(func() {
 		defer cancel()
 		p.run(ctx)
-		for _, c := range p.out.close() {
-			c.abandon(fault.New(fault.Draining, "links to %s are stopped", name))
+		for _, c := range p.sendQueue.close() {
+			c.abandon(fault.New(fault.Draining, "the link to %s is stopped", name))
 		}
 	})
 	return p, nil
 }
 
-// Forget ends the link to an instance that is gone for good and drops what
-// waits for it.
+// Forget ends the link to an instance that was removed and drops the messages queued for it.
 func (s *Service) Forget(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -291,9 +289,9 @@
 	}
 }
 
-// Send queues a one-way message without blocking. It arrives at most once, or
-// never. A full queue drops the oldest message of a lossy channel and is
-// fault.Overloaded otherwise; an instance without address is fault.NotFound.
+// Send queues a one-way message without blocking. It is delivered at most once. If the queue is
+// full, Send drops the oldest message of a lossy channel and fails with fault.Overloaded for any
+// other channel. It fails with fault.NotFound for an instance without an address.
 func (s *Service) Send(to, channel string, msg any) error {
 	body, err := Encode(msg)
 	if err != nil {
@@ -308,19 +306,19 @@
 		return err
 	}
 	if len(data) > s.cfg.MaxMessage {
-		return fault.New(fault.TooLarge, "message on %s: %d bytes, at most %d are allowed", channel, len(data), s.cfg.MaxMessage)
+		return fault.New(fault.TooLarge, "message on %s: %d bytes exceed the limit of %d", channel, len(data), s.cfg.MaxMessage)
 	}
-	t := s.traits(channel)
-	dropped, err := p.out.push(&item{channel: channel, lossy: t.lossy, bulk: t.bulk, lazy: t.lazy, data: data})
+	t := s.channel(channel)
+	dropped, err := p.sendQueue.push(&queuedMessage{channel: channel, lossy: t.lossy, bulk: t.bulk, lazy: t.lazy, data: data})
 	if dropped {
 		s.stats.dropped(channel)
 	}
 	if err != nil {
-		s.stats.of(channel).unsentCount.Add(1)
+		s.stats.countersFor(channel).unsentCount.Add(1)
 	}
 	return err
 }
 
-func (s *Service) newWire(conn net.Conn, name string, out *queue, handle func(*wire, *envelope)) *wire {
-	return &wire{s: s, peer: name, conn: conn, out: out, handle: handle, stop: make(chan struct{})}
+func (s *Service) newWire(conn net.Conn, name string, out *queue, handle func(*connection, *envelope)) *connection {
+	return &connection{service: s, peer: name, conn: conn, sendQueue: out, handle: handle, stop: make(chan struct{})}
 }
--- a/instance/link/link_test.go
+++ b/instance/link/link_test.go
@@ -28,11 +28,11 @@
 		goleak.IgnoreAnyFunction("github.com/onsi/ginkgo/v2/internal/interrupt_handler.(*InterruptHandler).registerForInterrupts.func2"))
 }
 
-const limit = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-type book struct{ sync.Map }
+type addressBook struct{ sync.Map }
 
-func (b *book) Address(name string) (string, bool) {
+func (b *addressBook) Address(name string) (string, bool) {
 	v, ok := b.Load(name)
 	if !ok {
 		return "", false
@@ -40,27 +40,27 @@
 	return v.(string), true
 }
 
-type note struct {
+type textMessage struct {
 	Text string `codec:"text"`
 }
 
-func start(name string, b *book, change func(*link.Config)) *link.Service {
+func startService(name string, b *addressBook, modify func(*link.Config)) *link.Service {
 	cfg := link.Config{
 		Self: name, Listen: "127.0.0.1:0", Credential: "secret", Book: b,
 		Accept: [][sha256.Size]byte{sha256.Sum256([]byte("older")), sha256.Sum256([]byte("secret"))},
 		Log:    zerolog.Nop(),
 	}
-	if change != nil {
-		change(&cfg)
+	if modify != nil {
+		modify(&cfg)
 	}
 	s, err := link.New(cfg)
 	Expect(err).NotTo(HaveOccurred())
 	s.Handle("echo", func(_ context.Context, from string, m link.Message) (any, error) {
-		var n note
+		var n textMessage
 		if err := m.Decode(&n); err != nil {
 			return nil, err
 		}
-		return note{Text: from + ":" + n.Text}, nil
+		return textMessage{Text: from + ":" + n.Text}, nil
 	})
 	s.Handle("refuse", func(context.Context, string, link.Message) (any, error) {
 		return nil, fault.New(fault.Conflict, "no").After(3 * time.Second)
@@ -72,7 +72,7 @@
 	Expect(s.Start(context.Background())).To(Succeed())
 	b.Store(name, s.Addr().String())
 	DeferCleanup(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), limit)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		Expect(s.Stop(ctx)).To(Succeed())
 	})
@@ -80,18 +80,18 @@
 }
 
 func call(s *link.Service, to, channel, text string) (string, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	var out note
-	err := s.Call(ctx, to, channel, note{Text: text}, &out)
+	var out textMessage
+	err := s.Call(ctx, to, channel, textMessage{Text: text}, &out)
 	return out.Text, err
 }
 
 var _ = Describe("calls and messages", func() {
 	It("correlates calls and carries typed failures", func() {
-		b := &book{}
-		one := start("one", b, nil)
-		start("two", b, nil)
+		b := &addressBook{}
+		one := startService("one", b, nil)
+		startService("two", b, nil)
 		var wg sync.WaitGroup
 		for i := range 64 {
 			wg.Go(func() {
@@ -109,8 +109,8 @@
 	})
 
 	It("keeps the order of messages", func() {
-		b := &book{}
-		one := start("one", b, nil)
+		b := &addressBook{}
+		one := startService("one", b, nil)
 		two, err := link.New(link.Config{
 			Self: "two", Listen: "127.0.0.1:0", Credential: "secret", Book: b, Log: zerolog.Nop(),
 			Accept: [][sha256.Size]byte{sha256.Sum256([]byte("secret"))},
@@ -130,27 +130,27 @@
 			Expect(one.Send("two", "numbers", i)).To(Succeed())
 		}
 		for i := range 1000 {
-			Eventually(got, limit).Should(Receive(Equal(i)))
+			Eventually(got, testTimeout).Should(Receive(Equal(i)))
 		}
 	})
 
-	It("refuses wrong credentials", func() {
-		b := &book{}
-		one := start("one", b, func(c *link.Config) { c.Credential = "wrong" })
-		two := start("two", b, nil)
+	It("rejects wrong credentials", func() {
+		b := &addressBook{}
+		one := startService("one", b, func(c *link.Config) { c.Credential = "wrong" })
+		two := startService("two", b, nil)
 		_, err := call(one, "two", "echo", "x")
 		Expect(fault.CodeOf(err)).To(Equal(fault.NotRun))
-		Eventually(two.RefusedLinks, limit).Should(BeNumerically(">=", 1))
+		Eventually(two.RefusedLinks, testTimeout).Should(BeNumerically(">=", 1))
 		Expect(two.Stats()).To(BeEmpty())
 	})
 
-	It("bounds what waits for a peer that cannot be reached", func() {
+	It("limits the queue of an unreachable peer", func() {
 		silent, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		defer silent.Close()
-		b := &book{}
+		b := &addressBook{}
 		b.Store("two", silent.Addr().String())
-		one := start("one", b, func(c *link.Config) { c.QueueItems, c.DialTimeout = 10, time.Hour })
+		one := startService("one", b, func(c *link.Config) { c.QueueItems, c.DialTimeout = 10, time.Hour })
 		one.Handle("news", nil, link.Lossy())
 		for range 10 {
 			Expect(one.Send("two", "plain", "x")).To(Succeed())
@@ -161,19 +161,18 @@
 	})
 })
 
-var _ = Describe("ends of a link", func() {
-	// Story: 20 instances tell each other every second that they are there. With
-	// a segment for each such message, half of what an instance spends on control
-	// goes into segments. Lazy messages ride along with others, in order, and
-	// still make the first connection.
+var _ = Describe("link failures and limits", func() {
+	// With 20 instances that send each other an announcement every second, half of
+	// the cost of control traffic was in separate segments. Lazy messages must share
+	// the segment of another message, keep their order, and still cause a dial.
 	It("sends lazy messages together with others", func() {
-		b := &book{}
+		b := &addressBook{}
 		slow := func(c *link.Config) { c.Heartbeat, c.Timeout = time.Hour, 2*time.Hour }
-		one := start("one", b, slow)
-		two := start("two", b, slow)
+		one := startService("one", b, slow)
+		two := startService("two", b, slow)
 		got := make(chan string, 10)
 		take := func(_ context.Context, _ string, m link.Message) (any, error) {
-			var n note
+			var n textMessage
 			err := m.Decode(&n)
 			got <- n.Text
 			return nil, err
@@ -182,41 +181,40 @@
 			s.Handle("beat", take, link.Lazy())
 			s.Handle("urgent", take)
 		}
-		Expect(one.Send("two", "beat", note{Text: "dials"})).To(Succeed())
-		Eventually(got, limit).Should(Receive(Equal("dials")))
+		Expect(one.Send("two", "beat", textMessage{Text: "dials"})).To(Succeed())
+		Eventually(got, testTimeout).Should(Receive(Equal("dials")))
 		before, _ := one.Segments()
-		Expect(one.Send("two", "beat", note{Text: "waits"})).To(Succeed())
+		Expect(one.Send("two", "beat", textMessage{Text: "waits"})).To(Succeed())
 		Consistently(got, "100ms").ShouldNot(Receive())
-		Expect(one.Send("two", "urgent", note{Text: "goes"})).To(Succeed())
-		Eventually(got, limit).Should(Receive(Equal("waits")))
-		Eventually(got, limit).Should(Receive(Equal("goes")))
+		Expect(one.Send("two", "urgent", textMessage{Text: "goes"})).To(Succeed())
+		Eventually(got, testTimeout).Should(Receive(Equal("waits")))
+		Eventually(got, testTimeout).Should(Receive(Equal("goes")))
 		after, _ := one.Segments()
 		Expect(after - before).To(BeEquivalentTo(1))
 	})
 
-	// Story: a router between two instances forgets their connection: it stays
-	// open on both sides and swallows all packets, while new connections work.
-	// Without heartbeats, calls would hang on it until the system's TCP timeout,
-	// many minutes later.
-	It("replaces a connection that went silent", func() {
-		b := &book{}
-		one := start("one", b, nil)
-		two := start("two", b, nil)
+	// Guards against calls that hang on a connection until the system's TCP timeout,
+	// many minutes later. A router between two instances that loses the connection's
+	// state drops its packets while both sides keep it open; new connections work.
+	It("replaces a connection that lost its network path", func() {
+		b := &addressBook{}
+		one := startService("one", b, nil)
+		two := startService("two", b, nil)
 		p := newProxy(two.Addr().String())
 		b.Store("two", p.Addr().String())
 		Expect(call(one, "two", "echo", "a")).To(Equal("one:a"))
-		p.mute()
+		p.dropTraffic()
 		_, err := call(one, "two", "echo", "b")
 		Expect(fault.CodeOf(err)).To(Equal(fault.OutcomeUnknown))
 		Expect(call(one, "two", "echo", "c")).To(Equal("one:c"))
 		Expect(p.conns.Load()).To(BeEquivalentTo(2))
 	})
 
-	// Story: a caller of an operation that must not run twice asks whether it
-	// may send it again. Only a request that never left may be.
-	It("tells not sent from sent without an answer", func() {
-		b := &book{}
-		one := start("one", b, nil)
+	// A caller may retry a non-idempotent operation only if the request was never
+	// sent, so the error code has to say which.
+	It("distinguishes unsent requests from requests without a response", func() {
+		b := &addressBook{}
+		one := startService("one", b, nil)
 		gone, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		b.Store("gone", gone.Addr().String())
@@ -226,20 +224,20 @@
 		_, err = call(one, "unknown", "echo", "x")
 		Expect(fault.CodeOf(err)).To(Equal(fault.NotRun))
 
-		start("two", b, nil)
+		startService("two", b, nil)
 		Expect(call(one, "two", "echo", "x")).To(Equal("one:x"))
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
-		err = one.Call(ctx, "two", "hang", note{}, nil)
+		err = one.Call(ctx, "two", "hang", textMessage{}, nil)
 		Expect(fault.CodeOf(err)).To(Equal(fault.OutcomeUnknown))
 	})
 
-	// Story: a handler hangs while a peer goes on sending to it. Unbounded, what
-	// waits for it would fill the memory.
-	It("refuses and drops what exceeds the memory for unhandled messages", func() {
-		b := &book{}
-		one := start("one", b, nil)
-		two := start("two", b, func(c *link.Config) { c.TotalBytes = 1 << 20 })
+	// Guards against memory use without limit when a handler hangs while a peer
+	// goes on sending to it.
+	It("rejects calls and drops messages beyond the budget for unhandled messages", func() {
+		b := &addressBook{}
+		one := startService("one", b, nil)
+		two := startService("two", b, func(c *link.Config) { c.TotalBytes = 1 << 20 })
 		release := make(chan struct{})
 		two.Handle("stuck", func(context.Context, string, link.Message) (any, error) {
 			<-release
@@ -255,36 +253,35 @@
 				}
 			}
 			return 0
-		}, limit).Should(BeEquivalentTo(1))
-		ctx, cancel := context.WithTimeout(context.Background(), limit)
+		}, testTimeout).Should(BeEquivalentTo(1))
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		err := one.Call(ctx, "two", "echo", make([]byte, 300<<10), nil)
 		Expect(fault.CodeOf(err)).To(Equal(fault.NotRun))
 		close(release)
-		Eventually(func() error { return one.Call(ctx, "two", "stuck", make([]byte, 300<<10), nil) }, limit).Should(Succeed())
+		Eventually(func() error { return one.Call(ctx, "two", "stuck", make([]byte, 300<<10), nil) }, testTimeout).Should(Succeed())
 	})
 
-	It("runs over TLS and refuses peers that don't", func() {
-		server, client := certificate()
+	It("runs over TLS and rejects peers without it", func() {
+		server, client := newTLSConfigs()
 		secure := func(c *link.Config) { c.ServerTLS, c.ClientTLS = server, client }
-		b := &book{}
-		one := start("one", b, secure)
-		start("two", b, secure)
+		b := &addressBook{}
+		one := startService("one", b, secure)
+		startService("two", b, secure)
 		Expect(call(one, "two", "echo", "x")).To(Equal("one:x"))
-		plain := start("plain", b, nil)
+		plain := startService("plain", b, nil)
 		_, err := call(plain, "two", "echo", "x")
 		Expect(fault.CodeOf(err)).To(Equal(fault.NotRun))
 	})
 
-	// Story: a message says for how long an upstream still counts as alive, and
-	// waits longer than that for a slow handshake. Delivered late, it would keep
-	// an upstream alive that is dead.
-	It("drops lossy messages that waited too long", func() {
+	// Guards against late delivery of a message that says how long an upstream still
+	// counts as alive: after a slow handshake, it would keep a dead upstream alive.
+	It("drops lossy messages that were queued too long", func() {
 		quick := func(c *link.Config) {
-			c.Heartbeat, c.Timeout, c.DialTimeout = 50*time.Millisecond, 300*time.Millisecond, limit
+			c.Heartbeat, c.Timeout, c.DialTimeout = 50*time.Millisecond, 300*time.Millisecond, testTimeout
 		}
-		b := &book{}
-		one, two := start("one", b, quick), start("two", b, quick)
+		b := &addressBook{}
+		one, two := startService("one", b, quick), startService("two", b, quick)
 		got := make(chan string, 2)
 		for _, name := range []string{"news", "plain"} {
 			two.Handle(name, func(context.Context, string, link.Message) (any, error) {
@@ -316,14 +313,14 @@
 		time.Sleep(400 * time.Millisecond)
 		close(release)
 		var first string
-		Eventually(got, limit).Should(Receive(&first))
+		Eventually(got, testTimeout).Should(Receive(&first))
 		Expect(first).To(Equal("plain"))
 	})
 
-	It("survives garbage on the listener", func() {
-		b := &book{}
-		one := start("one", b, nil)
-		two := start("two", b, nil)
+	It("survives an invalid request on the listener", func() {
+		b := &addressBook{}
+		one := startService("one", b, nil)
+		two := startService("two", b, nil)
 		c, err := net.Dial("tcp", two.Addr().String())
 		Expect(err).NotTo(HaveOccurred())
 		_, _ = io.WriteString(c, "GET /elsewhere HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/instance/link/peer.go
+++ b/instance/link/peer.go
@@ -15,12 +15,12 @@
 	"github.com/comfreyladder/comfreyladder/instance/tcpconn"
 )
 
-// peer is another instance to which this one dials.
+// peer is another instance that this one dials.
 type peer struct {
-	s    *Service
-	name string
-	out  *queue
-	// cancel ends run; see Service.Forget.
+	service   *Service
+	name      string
+	sendQueue *queue
+	// cancel ends run; Service.Forget calls it.
 	cancel context.CancelFunc
 
 	mu    sync.Mutex
@@ -33,70 +33,69 @@
 	p.calls[c.id] = c
 }
 
-func (p *peer) dropCall(c *call) {
+func (p *peer) removeCall(c *call) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.calls, c.id)
 }
 
-// run keeps one connection to the peer for as long as there is something to
-// send or to wait for.
+// run keeps one connection to the peer open while messages are queued or calls are pending.
 func (p *peer) run(ctx context.Context) {
-	backoff := p.s.cfg.MinBackoff
+	backoff := p.service.cfg.MinBackoff
 	for {
 		if !p.waitForWork(ctx) {
 			return
 		}
 		w, err := p.dial(ctx)
 		if err != nil {
-			p.s.log.Debug().Err(err).Str("peer", p.name).Msg("link dial failed")
+			p.service.log.Debug().Err(err).Str("peer", p.name).Msg("dialling a link failed")
 			p.failQueued(err)
 			if !clock.Sleep(ctx, jitter(backoff)) {
 				return
 			}
-			backoff = min(2*backoff, p.s.cfg.MaxBackoff)
+			backoff = min(2*backoff, p.service.cfg.MaxBackoff)
 			continue
 		}
 		started := time.Now()
 		p.serve(ctx, w)
-		if time.Since(started) > p.s.cfg.Timeout {
-			backoff = p.s.cfg.MinBackoff
+		if time.Since(started) > p.service.cfg.Timeout {
+			backoff = p.service.cfg.MinBackoff
 			continue
 		}
-		// A link that ends at once, such as one that the peer refuses after
-		// the handshake, must not be dialled in a tight loop.
+		// Back off after a short-lived link too: a peer that closes it right
+		// after the handshake must not be dialled in a tight loop.
 		if !clock.Sleep(ctx, jitter(backoff)) {
 			return
 		}
-		backoff = min(2*backoff, p.s.cfg.MaxBackoff)
+		backoff = min(2*backoff, p.service.cfg.MaxBackoff)
 	}
 }
 
-// waitForWork blocks while nothing is queued; false means that ctx ended.
+// waitForWork blocks until a message is queued; it returns false if ctx ended first.
 func (p *peer) waitForWork(ctx context.Context) bool {
-	if p.out.waiting() {
+	if p.sendQueue.hasMessages() {
 		return true
 	}
 	select {
-	case <-p.out.ready:
+	case <-p.sendQueue.ready:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (p *peer) serve(ctx context.Context, w *wire) {
+func (p *peer) serve(ctx context.Context, w *connection) {
 	ended := context.AfterFunc(ctx, w.close)
 	defer ended()
 	err := w.run()
-	p.s.log.Debug().Err(err).Str("peer", p.name).Msg("link ended")
+	p.service.log.Debug().Err(err).Str("peer", p.name).Msg("link ended")
 	for _, c := range p.callsOn(w) {
 		c.abandon(err)
 	}
 }
 
-// callsOn returns the calls sent on w; their answers cannot come any more.
-func (p *peer) callsOn(w *wire) []*call {
+// callsOn returns the calls sent on w, which can get no response once w is closed.
+func (p *peer) callsOn(w *connection) []*call {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var calls []*call
@@ -108,73 +107,72 @@
 	return calls
 }
 
-// awaits reports whether a call still waits for an answer.
-func (p *peer) awaits() bool {
+// hasPendingCalls reports whether a call waits for its response.
+func (p *peer) hasPendingCalls() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.calls) > 0
 }
 
-// failQueued ends calls that cannot be sent now, so that callers need not wait
-// for their own time limit to learn that nothing was run, and drops lossy
-// messages, which would be out of date by the next dial.
+// failQueued fails the queued calls, so that callers learn at once, and not by their own timeouts,
+// that nothing was run. It drops lossy messages, which would be out of date by the next dial.
 func (p *peer) failQueued(err error) {
-	for _, c := range p.out.takeCalls() {
+	for _, c := range p.sendQueue.takeCalls() {
 		c.abandon(err)
 	}
 }
 
-// receive matches an answer with its call by ID. An answer that comes late or
-// belongs to none of this peer's calls is dropped.
-func (p *peer) receive(_ *wire, e *envelope) {
-	if e.Kind != kindAnswer && e.Kind != kindFailure {
+// receive matches a response with its call by ID. A response that is late or matches no pending
+// call of this peer is dropped.
+func (p *peer) receive(_ *connection, e *envelope) {
+	if e.Kind != kindResponse && e.Kind != kindError {
 		return
 	}
 	p.mu.Lock()
 	c := p.calls[e.ID]
 	p.mu.Unlock()
 	if c == nil || c.channel != e.Channel {
-		p.s.stats.unmatched.Add(1)
+		p.service.stats.unmatchedResponses.Add(1)
 		return
 	}
-	c.finish(e, nil)
+	c.complete(e, nil)
 }
 
-func (p *peer) dial(ctx context.Context) (*wire, error) {
-	addr, ok := p.s.cfg.Book.Address(p.name)
+func (p *peer) dial(ctx context.Context) (*connection, error) {
+	addr, ok := p.service.cfg.Book.Address(p.name)
 	if !ok {
-		return nil, fault.New(fault.NotFound, "instance %s: no address is known", p.name)
+		return nil, fault.New(fault.NotFound, "the address of instance %s is unknown", p.name)
 	}
 	scheme := "ws://"
-	if p.s.cfg.ClientTLS != nil {
+	if p.service.cfg.ClientTLS != nil {
 		scheme = "wss://"
 	}
 	dialer := ws.Dialer{
-		Timeout:   p.s.cfg.DialTimeout,
-		TLSConfig: p.s.cfg.ClientTLS,
+		Timeout:   p.service.cfg.DialTimeout,
+		TLSConfig: p.service.cfg.ClientTLS,
 		Header: ws.HandshakeHeaderHTTP(http.Header{
-			authHeader:     []string{bearer + p.s.cfg.Credential},
-			instanceHeader: []string{p.s.cfg.Self},
+			authHeader:     []string{bearer + p.service.cfg.Credential},
+			instanceHeader: []string{p.service.cfg.Self},
 		}),
 	}
-	conn, early, _, err := dialer.Dial(ctx, scheme+addr+Path)
+	conn, buffered, _, err := dialer.Dial(ctx, scheme+addr+Path)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Unavailable, "dial %s at %s", p.name, addr)
 	}
-	w := p.s.newWire(tcpconn.Wrap(conn), p.name, p.out, p.receive)
+	w := p.service.newWire(tcpconn.Wrap(conn), p.name, p.sendQueue, p.receive)
 	w.dialer = true
-	w.idleAfter = p.s.cfg.IdleAfter
-	w.awaits = p.awaits
-	w.in = bufio.NewReaderSize(heard{w}, bufferSize)
-	if early != nil {
-		// Frames that came with the handshake's answer are already read.
-		w.in = bufio.NewReaderSize(earlyThen(early, heard{w}), bufferSize)
+	w.idleAfter = p.service.cfg.IdleAfter
+	w.hasPendingCalls = p.hasPendingCalls
+	w.in = bufio.NewReaderSize(deadlineReader{w}, bufferSize)
+	if buffered != nil {
+		// The handshake's reader already holds frames that followed the response.
+		w.in = bufio.NewReaderSize(withBuffered(buffered, deadlineReader{w}), bufferSize)
 	}
 	return w, nil
 }
 
-// jitter spreads d over [d/2, d), so that instances that lost the same peer
-// don't dial it again all at once.
+// jitter returns a random duration in [d/2, d), so that instances that lost the same peer don't
+// all redial it at once.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d/2)
 }
--- a/instance/link/queue.go
+++ b/instance/link/queue.go
@@ -8,35 +8,35 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// item is one envelope on its way out.
-type item struct {
+// queuedMessage is an encoded envelope that waits to be written.
+type queuedMessage struct {
 	channel string
 	lossy   bool
 	bulk    bool
 	lazy    bool
 	data    []byte
 	queued  time.Time
-	call    *call // nil for messages that expect no answer
+	call    *call // nil unless it is a request
 }
 
-// queue holds what waits for a connection: control before bulk, each bounded in
-// messages and both together in bytes, and all queues of the service together in
-// bytes, so that peers that cannot be reached cost a bounded amount of memory.
+// queue holds the messages that wait for a connection, control messages before bulk ones. Each
+// priority is limited in messages, the queue in bytes, and all queues of the service together in
+// bytes, so that unreachable peers use a bounded amount of memory.
 type queue struct {
 	mu       sync.Mutex
-	control  []*item
-	bulk     []*item
+	control  []*queuedMessage
+	bulk     []*queuedMessage
 	bytes    int
 	maxItems int
 	maxBytes int
 	shared   *budget
 	closed   bool
-	// served says that a wire drains the queue, at each heartbeat at least.
-	served bool
-	ready  chan struct{}
+	// hasWriter is set while a connection drains the queue, at least once per heartbeat interval.
+	hasWriter bool
+	ready     chan struct{}
 }
 
-// budget counts the bytes in all queues of a service.
+// budget limits a number of bytes across several queues or connections.
 type budget struct {
 	used atomic.Int64
 	max  int64
@@ -50,26 +50,26 @@
 	return q.bytes+size <= q.maxBytes && q.shared.used.Load()+int64(size) <= q.shared.max
 }
 
-// grow counts bytes that come, or go when size is negative.
-func (q *queue) grow(size int) {
+// addBytes adjusts the byte counts; size is negative for a removed message.
+func (q *queue) addBytes(size int) {
 	q.bytes += size
 	q.shared.used.Add(int64(size))
 }
 
-// push adds an item without blocking. A full queue drops the oldest item of the
-// same channel when that is lossy, and refuses others with fault.Overloaded. The
-// first result says whether something was dropped.
-func (q *queue) push(it *item) (bool, error) {
+// push adds a message without blocking. If the queue is full, a lossy message replaces the oldest
+// one of its channel, or is dropped itself if there is none, and any other message fails with
+// fault.Overloaded. The first result reports whether a message was dropped.
+func (q *queue) push(it *queuedMessage) (bool, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.closed {
-		return false, fault.New(fault.Unavailable, "the link is closed")
+		return false, fault.New(fault.Unavailable, "the send queue is closed")
 	}
-	list := q.list(it.bulk)
+	list := q.listFor(it.bulk)
 	dropped := false
 	if len(*list) >= q.maxItems || !q.hasRoom(len(it.data)) {
 		if !it.lossy {
-			return false, fault.New(fault.Overloaded, "the queue to the peer is full: %d messages, %d bytes", len(*list), q.bytes)
+			return false, fault.New(fault.Overloaded, "the send queue of the peer is full: %d messages, %d bytes", len(*list), q.bytes)
 		}
 		dropped = true
 		if !q.dropOldest(list, it.channel) || !q.hasRoom(len(it.data)) {
@@ -78,8 +78,8 @@
 	}
 	it.queued = time.Now()
 	*list = append(*list, it)
-	q.grow(len(it.data))
-	if it.lazy && q.served {
+	q.addBytes(len(it.data))
+	if it.lazy && q.hasWriter {
 		return dropped, nil
 	}
 	select {
@@ -89,25 +89,25 @@
 	return dropped, nil
 }
 
-// serve states whether a wire drains the queue. Lazy messages wake nobody while
-// one does; without one, they are what a link is dialled for.
-func (q *queue) serve(served bool) {
+// setHasWriter records whether a connection drains the queue. If so, a lazy message does not wake
+// the writer; otherwise it causes a dial like any other message.
+func (q *queue) setHasWriter(hasWriter bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.served = served
+	q.hasWriter = hasWriter
 }
 
-func (q *queue) list(bulk bool) *[]*item {
+func (q *queue) listFor(bulk bool) *[]*queuedMessage {
 	if bulk {
 		return &q.bulk
 	}
 	return &q.control
 }
 
-func (q *queue) dropOldest(list *[]*item, channel string) bool {
+func (q *queue) dropOldest(list *[]*queuedMessage, channel string) bool {
 	for i, it := range *list {
 		if it.channel == channel {
-			q.grow(-len(it.data))
+			q.addBytes(-len(it.data))
 			*list = append((*list)[:i], (*list)[i+1:]...)
 			return true
 		}
@@ -115,31 +115,31 @@
 	return false
 }
 
-// pop takes the next item, or nil.
-func (q *queue) pop() *item {
+// pop removes and returns the next message, or nil.
+func (q *queue) pop() *queuedMessage {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, list := range []*[]*item{&q.control, &q.bulk} {
+	for _, list := range []*[]*queuedMessage{&q.control, &q.bulk} {
 		if len(*list) == 0 {
 			continue
 		}
 		it := (*list)[0]
 		(*list)[0] = nil
 		*list = (*list)[1:]
-		q.grow(-len(it.data))
+		q.addBytes(-len(it.data))
 		return it
 	}
 	return nil
 }
 
-// remove takes a call's item out; false means that a writer has it already.
+// remove removes a call's request; it returns false if the request is not queued any more.
 func (q *queue) remove(c *call) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, list := range []*[]*item{&q.control, &q.bulk} {
+	for _, list := range []*[]*queuedMessage{&q.control, &q.bulk} {
 		for i, it := range *list {
 			if it.call == c {
-				q.grow(-len(it.data))
+				q.addBytes(-len(it.data))
 				*list = append((*list)[:i], (*list)[i+1:]...)
 				return true
 			}
@@ -148,19 +148,19 @@
 	return false
 }
 
-// takeCalls takes out all items that expect an answer and drops lossy ones.
+// takeCalls removes all requests, returns their calls and drops lossy messages.
 func (q *queue) takeCalls() []*call {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var calls []*call
-	for _, list := range []*[]*item{&q.control, &q.bulk} {
+	for _, list := range []*[]*queuedMessage{&q.control, &q.bulk} {
 		kept := (*list)[:0:0]
 		for _, it := range *list {
 			if it.call == nil && !it.lossy {
 				kept = append(kept, it)
 				continue
 			}
-			q.grow(-len(it.data))
+			q.addBytes(-len(it.data))
 			if it.call != nil {
 				calls = append(calls, it.call)
 			}
@@ -170,20 +170,20 @@
 	return calls
 }
 
-// waiting reports whether something is queued.
-func (q *queue) waiting() bool {
+// hasMessages reports whether the queue is not empty.
+func (q *queue) hasMessages() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.control)+len(q.bulk) > 0
 }
 
-// close drops all that waits and refuses more; it returns the calls among it.
+// close drops all queued messages, rejects further ones, and returns the dropped calls.
 func (q *queue) close() []*call {
 	calls := q.takeCalls()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.closed = true
-	for _, list := range []*[]*item{&q.control, &q.bulk} {
+	for _, list := range []*[]*queuedMessage{&q.control, &q.bulk} {
 		for _, it := range *list {
 			if it.call != nil {
 				calls = append(calls, it.call)
@@ -191,6 +191,6 @@
 		}
 		*list = nil
 	}
-	q.grow(-q.bytes)
+	q.addBytes(-q.bytes)
 	return calls
 }
--- a/instance/link/stats.go
+++ b/instance/link/stats.go
@@ -6,20 +6,19 @@
 	"sync/atomic"
 )
 
-// heartbeatChannel is the name under which heartbeats are counted.
+// heartbeatChannel is the channel name under which heartbeats are counted.
 const heartbeatChannel = "heartbeat"
 
-// ChannelStats counts one channel's traffic of this instance, over all peers.
-// Bytes are those of the WebSocket frames, headers included; what TCP and IP add
-// depends on Segments.
+// ChannelStats counts the traffic of one channel of this instance, over all peers. Bytes are those
+// of WebSocket frames including headers; the overhead of TCP and IP depends on Segments.
 type ChannelStats struct {
 	Channel     string
 	SentCount   uint64
 	SentBytes   uint64
 	RecvCount   uint64
 	RecvBytes   uint64
-	DropCount   uint64 // dropped on lossy channels or for want of room
-	UnsentCount uint64 // refused because the queue was full
+	DropCount   uint64 // dropped by a lossy channel or for lack of space
+	UnsentCount uint64 // rejected by Send because the queue was full or closed
 }
 
 type counters struct {
@@ -27,46 +26,46 @@
 }
 
 type stats struct {
-	channels  sync.Map // channel name to *counters
-	unmatched atomic.Uint64
-	refused   atomic.Uint64
-	count     atomic.Int64
-	writes    atomic.Uint64
-	reads     atomic.Uint64
+	channels           sync.Map // maps a channel name to *counters
+	unmatchedResponses atomic.Uint64
+	rejectedLinks      atomic.Uint64
+	channelCount       atomic.Int64
+	writes             atomic.Uint64
+	reads              atomic.Uint64
 }
 
-// maxChannels bounds the counters, as a peer chooses the names it sends.
+// maxChannels limits the number of counters, as the channel names come from peers.
 const maxChannels = 256
 
-func (s *stats) of(channel string) *counters {
+func (s *stats) countersFor(channel string) *counters {
 	if c, ok := s.channels.Load(channel); ok {
 		return c.(*counters)
 	}
-	if s.count.Load() >= maxChannels {
+	if s.channelCount.Load() >= maxChannels {
 		channel = "other"
 	}
 	c, loaded := s.channels.LoadOrStore(channel, &counters{})
 	if !loaded {
-		s.count.Add(1)
+		s.channelCount.Add(1)
 	}
 	return c.(*counters)
 }
 
 func (s *stats) sent(channel string, bytes int) {
-	c := s.of(channel)
+	c := s.countersFor(channel)
 	c.sentCount.Add(1)
 	c.sentBytes.Add(uint64(bytes))
 }
 
 func (s *stats) received(channel string, bytes int) {
-	c := s.of(channel)
+	c := s.countersFor(channel)
 	c.recvCount.Add(1)
 	c.recvBytes.Add(uint64(bytes))
 }
 
-func (s *stats) dropped(channel string) { s.of(channel).dropCount.Add(1) }
+func (s *stats) dropped(channel string) { s.countersFor(channel).dropCount.Add(1) }
 
-// Stats returns the counters of all channels, ordered by name.
+// Stats returns the counters of all channels, sorted by name.
 func (s *Service) Stats() []ChannelStats {
 	var all []ChannelStats
 	s.stats.channels.Range(func(name, value any) bool {
@@ -86,14 +85,14 @@
 	return all
 }
 
-// Segments returns how often links wrote to and read from their connections,
-// which is about the count of TCP segments with data each way.
+// Segments returns the number of writes to and reads from the connections of all links,
+// approximately the number of TCP segments with data in each direction.
 func (s *Service) Segments() (writes, reads uint64) {
 	return s.stats.writes.Load(), s.stats.reads.Load()
 }
 
-// UnmatchedAnswers returns how many answers came late or belonged to no call.
-func (s *Service) UnmatchedAnswers() uint64 { return s.stats.unmatched.Load() }
+// UnmatchedAnswers returns how many responses were late or matched no call.
+func (s *Service) UnmatchedAnswers() uint64 { return s.stats.unmatchedResponses.Load() }
 
 // RefusedLinks returns how many connections failed the handshake.
-func (s *Service) RefusedLinks() uint64 { return s.stats.refused.Load() }
+func (s *Service) RefusedLinks() uint64 { return s.stats.rejectedLinks.Load() }
--- a/instance/link/wellformed.go
+++ b/instance/link/wellformed.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// CBOR major types (RFC 8949, 3.1).
+// CBOR major types (RFC 8949, section 3.1).
 const (
 	majorBytes = 2
 	majorText  = 3
@@ -11,17 +11,17 @@
 	majorTag   = 6
 )
 
-// argument sizes by the five low bits of an initial byte.
+// Values of the five low bits of an initial byte: the first and the last that
+// stand for an argument in the bytes that follow, of 1 and 8 bytes.
 const (
-	argumentOne   = 24
-	argumentEight = 27
+	argumentOneByte    = 24
+	argumentEightBytes = 27
 )
 
-// wellFormed reports whether data is one CBOR item whose lengths fit into it.
-// The decoder believes a length when it allocates: a garbled byte that turns a
-// string into an array makes it take 64 MiB for a message of 30 bytes. Here a
-// length that exceeds the bytes that are left is refused first. Items of
-// indefinite length, which the encoder never writes, are refused as well.
+// wellFormed reports whether data is a single CBOR item all of whose lengths fit into data. The
+// decoder allocates by the encoded length without checking it: one corrupted byte that turned a
+// string into an array made it allocate 64 MiB for a message of 30 bytes. Items of indefinite
+// length, which the encoder never writes, are rejected as well.
 func wellFormed(data []byte) bool {
 	rest, ok := skipItem(data, maxNesting)
 	return ok && len(rest) == 0
@@ -69,21 +69,21 @@
 	return data, true
 }
 
-// argument reads the number that follows from an item's initial byte.
+// argument decodes the argument of the item at the start of data and returns the bytes after it.
 func argument(data []byte) (uint64, []byte, bool) {
 	info := data[0] & 0x1f
 	rest := data[1:]
-	if info < argumentOne {
+	if info < argumentOneByte {
 		return uint64(info), rest, true
 	}
-	if info > argumentEight {
+	if info > argumentEightBytes {
 		return 0, nil, false
 	}
-	size := 1 << (info - argumentOne)
+	size := 1 << (info - argumentOneByte)
 	if len(rest) < size {
 		return 0, nil, false
 	}
-	var number [8]byte
-	copy(number[8-size:], rest[:size])
-	return binary.BigEndian.Uint64(number[:]), rest[size:], true
+	var padded [8]byte
+	copy(padded[8-size:], rest[:size])
+	return binary.BigEndian.Uint64(padded[:]), rest[size:], true
 }
--- a/instance/link/wire.go
+++ b/instance/link/wire.go
@@ -12,65 +12,66 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// bufferSize of a connection's reader and writer, in bytes. Most messages have a
-// few hundred; a voter has a hundred connections.
+// bufferSize is the size in bytes of a connection's read and write buffers. Most messages have a
+// few hundred bytes, and a voter has a hundred connections.
 const bufferSize = 4 << 10
 
-// wire is one WebSocket connection: a writer that drains a queue and sends
-// heartbeats, and a reader that hands envelopes on.
-type wire struct {
-	s      *Service
-	peer   string
-	conn   net.Conn
-	in     *bufio.Reader
-	dialer bool // this side dialled, so it masks its frames (RFC 6455, 5.3)
-	out    *queue
-	handle func(*wire, *envelope)
-	// idleAfter ends the wire when nothing but heartbeats was written for this
-	// long; zero means never.
-	idleAfter time.Duration
-	awaits    func() bool // whether a call still waits; set with idleAfter
-	stop      chan struct{}
-	stopOnce  sync.Once
+// connection is one WebSocket connection: a writer that drains the send queue and sends
+// heartbeats, and a reader that passes envelopes to handle.
+type connection struct {
+	service   *Service
+	peer      string
+	conn      net.Conn
+	in        *bufio.Reader
+	dialer    bool // this side dialled, so it masks its frames (RFC 6455, section 5.3)
+	sendQueue *queue
+	handle    func(*connection, *envelope)
+	// idleAfter closes the connection after this long without any frame but heartbeats; zero
+	// disables it.
+	idleAfter       time.Duration
+	hasPendingCalls func() bool // set together with idleAfter
+	stop            chan struct{}
+	stopOnce        sync.Once
 }
 
-// answerBeats is how many heartbeats of the dialling side there are for one of
-// the other side. Links are dialled both ways, so that the accepting side has
-// little to say; its heartbeats alone were a third of a domain's messages.
-const answerBeats = 2
+// acceptorHeartbeatFactor multiplies the heartbeat interval of the accepting side. Instances dial
+// each other in both directions, so the accepting side of a link sends little but responses; at
+// the dialling side's interval its heartbeats were a third of a failure domain's messages.
+const acceptorHeartbeatFactor = 2
 
-// interval returns after how much silence this side sends a heartbeat.
-func (w *wire) interval() time.Duration {
+// heartbeatInterval returns how long this side may send nothing before it sends a heartbeat.
+func (w *connection) heartbeatInterval() time.Duration {
 	if w.dialer {
-		return w.s.cfg.Heartbeat
+		return w.service.cfg.Heartbeat
 	}
-	return answerBeats * w.s.cfg.Heartbeat
+	return acceptorHeartbeatFactor * w.service.cfg.Heartbeat
 }
 
-// timeout returns after how much silence of the other side the wire ends: as
-// many missed heartbeats on either side, less those that come seldom.
-func (w *wire) timeout() time.Duration {
+// readTimeout returns after how much silence of the other side the connection is closed. It allows
+// for the longer heartbeat interval of the accepting side, so that both sides tolerate the same
+// delay of a heartbeat.
+func (w *connection) readTimeout() time.Duration {
 	if w.dialer {
-		return w.s.cfg.Timeout + (answerBeats-1)*w.s.cfg.Heartbeat
+		return w.service.cfg.Timeout + (acceptorHeartbeatFactor-1)*w.service.cfg.Heartbeat
 	}
-	return w.s.cfg.Timeout
+	return w.service.cfg.Timeout
 }
 
-func (w *wire) close() {
+func (w *connection) close() {
 	w.stopOnce.Do(func() {
 		close(w.stop)
 		_ = w.conn.Close()
 	})
 }
 
-// run serves the connection until either side ends it, and returns why.
-func (w *wire) run() error {
+// run serves the connection until either side ends it, and returns the cause.
+func (w *connection) run() error {
 	written := make(chan error, 1)
 	go func() {
-		written <- w.write()
+		written <- w.writeLoop()
 		w.close()
 	}()
-	err := w.read()
+	err := w.readLoop()
 	w.close()
 	if writeErr := <-written; writeErr != nil {
 		return writeErr
@@ -78,28 +79,27 @@
 	return err
 }
 
-// heard sets the read deadline anew before each read. A connection that
-// something between the two ends has lost track of stays open and silent: no
-// read or write fails on it. As the peer sends heartbeats, silence for longer
-// than the timeout means that, and the deadline ends the connection.
-type heard struct{ w *wire }
+// deadlineReader sets a new read deadline before each read. When a router or NAT between the two
+// ends loses the connection's state, the connection stays open without an error on either side;
+// the deadline closes it, because a live peer sends heartbeats.
+type deadlineReader struct{ w *connection }
 
-func (h heard) Read(p []byte) (int, error) {
-	if err := h.w.conn.SetReadDeadline(time.Now().Add(h.w.timeout())); err != nil {
+func (h deadlineReader) Read(p []byte) (int, error) {
+	if err := h.w.conn.SetReadDeadline(time.Now().Add(h.w.readTimeout())); err != nil {
 		return 0, err
 	}
-	h.w.s.stats.reads.Add(1)
+	h.w.service.stats.reads.Add(1)
 	return h.w.conn.Read(p)
 }
 
-func (w *wire) read() error {
+func (w *connection) readLoop() error {
 	for {
 		header, err := ws.ReadHeader(w.in)
 		if err != nil {
 			return fault.Wrap(err, fault.Unavailable, "link to %s: read", w.peer)
 		}
-		if header.Length > int64(w.s.cfg.MaxMessage) {
-			return fault.New(fault.TooLarge, "link to %s: a message of %d bytes, at most %d are allowed", w.peer, header.Length, w.s.cfg.MaxMessage)
+		if header.Length > int64(w.service.cfg.MaxMessage) {
+			return fault.New(fault.TooLarge, "link to %s: message of %d bytes exceeds the limit of %d", w.peer, header.Length, w.service.cfg.MaxMessage)
 		}
 		payload := make([]byte, header.Length)
 		if _, err := io.ReadFull(w.in, payload); err != nil {
@@ -112,7 +112,7 @@
 		case header.OpCode == ws.OpClose:
 			return fault.New(fault.Unavailable, "link to %s: closed by the peer", w.peer)
 		case header.OpCode != ws.OpBinary || !header.Fin:
-			return fault.New(fault.Corrupt, "link to %s: frame that is not one binary message", w.peer)
+			return fault.New(fault.Corrupt, "link to %s: frame is not an unfragmented binary message", w.peer)
 		}
 		if err := w.receive(payload, ws.HeaderSize(header)); err != nil {
 			return err
@@ -120,81 +120,80 @@
 	}
 }
 
-func (w *wire) receive(payload []byte, header int) error {
+func (w *connection) receive(payload []byte, headerSize int) error {
 	var e envelope
 	if err := Decode(payload, &e); err != nil {
 		return err
 	}
 	if e.Kind == kindHeartbeat {
-		w.s.stats.received(heartbeatChannel, header+len(payload))
+		w.service.stats.received(heartbeatChannel, headerSize+len(payload))
 		return nil
 	}
-	w.s.stats.received(e.Channel, header+len(payload))
+	w.service.stats.received(e.Channel, headerSize+len(payload))
 	w.handle(w, &e)
 	return nil
 }
 
-// write drains the queue until the wire ends. A heartbeat goes out only when
-// nothing else was written for its interval: any message tells the peer as much,
-// and heartbeats to 20 peers, four a second with each, were a fifth of the
-// segments of a failure domain.
-func (w *wire) write() error {
+// writeLoop sends queued messages until the connection ends. It sends a heartbeat only when
+// nothing else was written for the heartbeat interval, as any message shows the peer that this
+// side is alive: unconditional heartbeats to 20 peers, four a second with each, were a fifth of
+// the segments of a failure domain.
+func (w *connection) writeLoop() error {
 	out := bufio.NewWriterSize(w.conn, bufferSize)
-	w.out.serve(true)
-	defer w.out.serve(false)
-	beat := time.NewTimer(w.interval())
-	defer beat.Stop()
+	w.sendQueue.setHasWriter(true)
+	defer w.sendQueue.setHasWriter(false)
+	timer := time.NewTimer(w.heartbeatInterval())
+	defer timer.Stop()
 	lastUse := time.Now()
 	for {
-		wrote, err := w.drain(out)
+		wrote, err := w.writeQueued(out)
 		if err != nil {
 			return err
 		}
 		if wrote {
 			lastUse = time.Now()
-			beat.Reset(w.interval())
+			timer.Reset(w.heartbeatInterval())
 		}
 		select {
-		case <-w.out.ready:
-		case <-beat.C:
-			if w.out.waiting() {
+		case <-w.sendQueue.ready:
+		case <-timer.C:
+			if w.sendQueue.hasMessages() {
 				continue
 			}
-			if w.idleAfter > 0 && time.Since(lastUse) > w.idleAfter && !w.awaits() {
+			if w.idleAfter > 0 && time.Since(lastUse) > w.idleAfter && !w.hasPendingCalls() {
 				return nil
 			}
-			if err := w.beat(out); err != nil {
+			if err := w.writeHeartbeat(out); err != nil {
 				return err
 			}
-			beat.Reset(w.interval())
+			timer.Reset(w.heartbeatInterval())
 		case <-w.stop:
 			return nil
 		}
 	}
 }
 
-func (w *wire) beat(out *bufio.Writer) error {
-	if err := w.frame(out, heartbeatChannel, w.s.heartbeat); err != nil {
+func (w *connection) writeHeartbeat(out *bufio.Writer) error {
+	if err := w.writeFrame(out, heartbeatChannel, w.service.heartbeat); err != nil {
 		return err
 	}
 	return w.flush(out)
 }
 
-// drain writes all that waits and flushes once; it reports whether that was
-// anything.
-func (w *wire) drain(out *bufio.Writer) (bool, error) {
+// writeQueued writes all queued messages and flushes once. It reports whether it wrote any.
+func (w *connection) writeQueued(out *bufio.Writer) (bool, error) {
 	wrote := false
-	for it := w.out.pop(); it != nil; it = w.out.pop() {
-		if it.lossy && time.Since(it.queued) > w.s.cfg.Timeout {
-			// What a lossy message says, such as how long an upstream still
-			// counts as alive, is wrong once it has waited that long.
-			w.s.stats.dropped(it.channel)
+	for it := w.sendQueue.pop(); it != nil; it = w.sendQueue.pop() {
+		if it.lossy && time.Since(it.queued) > w.service.cfg.Timeout {
+			// The content, such as how long an upstream still counts as alive,
+			// is out of date after this wait.
+			w.service.stats.dropped(it.channel)
 			continue
 		}
 		if it.call != nil && !it.call.markSent(w) {
 			continue
 		}
-		if err := w.frame(out, it.channel, it.data); err != nil {
+		if err := w.writeFrame(out, it.channel, it.data); err != nil {
 			return wrote, err
 		}
 		wrote = true
@@ -202,9 +201,9 @@
 	return wrote, w.flush(out)
 }
 
-// frame writes and counts one message; the peer must take it within the timeout.
-func (w *wire) frame(out *bufio.Writer, channel string, data []byte) error {
-	if err := w.conn.SetWriteDeadline(time.Now().Add(w.s.cfg.Timeout)); err != nil {
+// writeFrame writes and counts one message, with a write deadline of Config.Timeout.
+func (w *connection) writeFrame(out *bufio.Writer, channel string, data []byte) error {
+	if err := w.conn.SetWriteDeadline(time.Now().Add(w.service.cfg.Timeout)); err != nil {
 		return fault.Wrap(err, fault.Unavailable, "link to %s: write", w.peer)
 	}
 	f := ws.NewBinaryFrame(data)
@@ -214,13 +213,13 @@
 	if err := ws.WriteFrame(out, f); err != nil {
 		return fault.Wrap(err, fault.Unavailable, "link to %s: write", w.peer)
 	}
-	w.s.stats.sent(channel, ws.HeaderSize(f.Header)+len(data))
+	w.service.stats.sent(channel, ws.HeaderSize(f.Header)+len(data))
 	return nil
 }
 
-func (w *wire) flush(out *bufio.Writer) error {
+func (w *connection) flush(out *bufio.Writer) error {
 	if out.Buffered() > 0 {
-		w.s.stats.writes.Add(1)
+		w.service.stats.writes.Add(1)
 	}
 	if err := out.Flush(); err != nil {
 		return fault.Wrap(err, fault.Unavailable, "link to %s: write", w.peer)
