--- a/instance/gnetconn/bench_test.go
+++ b/instance/gnetconn/bench_test.go
@@ -12,29 +12,29 @@
 	"github.com/comfreyladder/comfreyladder/instance/gnetconn"
 )
 
-// BenchmarkHTTP compares requests a second of fasthttp on this package and on a
-// plain listener, over 1 and 64 keep-alive connections.
+// BenchmarkHTTP compares the requests per second of fasthttp on this package and on a plain
+// listener, over 1 and 64 keep-alive connections.
 func BenchmarkHTTP(b *testing.B) {
 	server := &fasthttp.Server{Handler: func(ctx *fasthttp.RequestCtx) { ctx.SetBodyString("ok") }, Logger: discard{}}
-	own, err := gnetconn.Listen("127.0.0.1:0", gnetconn.Options{})
+	gnetListener, err := gnetconn.Listen("127.0.0.1:0", gnetconn.Options{})
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer func() { _ = own.Close(context.Background()) }()
-	go func() { _ = own.Serve(func(c net.Conn) { _ = server.ServeConn(c) }) }()
-	plain, err := net.Listen("tcp", "127.0.0.1:0")
+	defer func() { _ = gnetListener.Close(context.Background()) }()
+	go func() { _ = gnetListener.Serve(func(c net.Conn) { _ = server.ServeConn(c) }) }()
+	plainListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer func() { _ = plain.Close() }()
-	go func() { _ = server.Serve(plain) }()
+	defer func() { _ = plainListener.Close() }()
+	go func() { _ = server.Serve(plainListener) }()
 	for _, conns := range []int{1, 64} {
-		b.Run("plain-"+strconv.Itoa(conns), func(b *testing.B) { load(b, plain.Addr(), conns) })
-		b.Run("gnetconn-"+strconv.Itoa(conns), func(b *testing.B) { load(b, own.Addr(), conns) })
+		b.Run("plain-"+strconv.Itoa(conns), func(b *testing.B) { benchRequests(b, plainListener.Addr(), conns) })
+		b.Run("gnetconn-"+strconv.Itoa(conns), func(b *testing.B) { benchRequests(b, gnetListener.Addr(), conns) })
 	}
 }
 
-func load(b *testing.B, addr net.Addr, conns int) {
+func benchRequests(b *testing.B, addr net.Addr, conns int) {
 	client := &fasthttp.HostClient{Addr: addr.String(), MaxConns: conns}
 	defer client.CloseIdleConnections()
 	var wg sync.WaitGroup
--- a/instance/gnetconn/conn.go
+++ b/instance/gnetconn/conn.go
@@ -14,12 +14,12 @@
 	"github.com/comfreyladder/comfreyladder/instance/tcpconn"
 )
 
-// keptBuffer is the largest inbound buffer that an idle connection keeps.
-const keptBuffer = 16 << 10
+// maxIdleBuffer is the capacity of the largest inbound buffer that is kept once it is empty.
+const maxIdleBuffer = 16 << 10
 
-// Conn is a net.Conn whose socket belongs to a gnet event loop. Its methods may
-// be called from several goroutines. Errors are those of the net package:
-// io.EOF, net.ErrClosed, os.ErrDeadlineExceeded or a system call's error.
+// Conn is a net.Conn whose socket belongs to a gnet event loop. Its methods are safe for
+// concurrent use. Errors are those of package net: io.EOF, net.ErrClosed, os.ErrDeadlineExceeded
+// or the error of a system call.
 type Conn struct {
 	listener *Listener
 	gc       gnet.Conn
@@ -27,25 +27,25 @@
 	remote   net.Addr
 	hungUp   chan struct{}
 
-	// mu guards the inbound side and the reason why it ended.
-	mu        sync.Mutex
-	readable  sync.Cond
-	in        []byte // received bytes; those before off were read
-	off       int
-	end       error // set once no more bytes will come
-	closed    bool  // closed by this side
-	readBy    time.Time
-	readTimer *time.Timer
+	// mu guards the inbound side and the error that ended it.
+	mu           sync.Mutex
+	readCond     sync.Cond
+	inbound      []byte // received bytes, of which those before off were read
+	off          int
+	readErr      error // set once no more bytes can arrive
+	closed       bool  // closed by this side
+	readDeadline time.Time
+	readTimer    *time.Timer
 
-	writing sync.Mutex // held over a whole Write, so that writes don't mix
-	// socket guards the file descriptor: gnet closes it after OnClose, which
-	// takes this lock. Without it, a late write could reach another connection
-	// that got the same number; see writeNow.
-	socket  sync.Mutex
-	fd      int
-	gone    bool
-	slow    *os.File // duplicate of fd in the runtime's poller, made on demand
-	writeBy time.Time
+	writeMu sync.Mutex // held for a whole Write, so that concurrent writes don't interleave
+	// fdMu guards the file descriptor. gnet closes it after OnClose, which takes this lock:
+	// without it, a late write could reach another connection that was given the same descriptor;
+	// see writeNonblocking.
+	fdMu          sync.Mutex
+	fd            int
+	fdClosed      bool
+	pollFile      *os.File // duplicate of fd in the runtime's poller, created on demand
+	writeDeadline time.Time
 }
 
 func newConn(l *Listener, gc gnet.Conn) *Conn {
@@ -57,7 +57,7 @@
 		remote:   gc.RemoteAddr(),
 		hungUp:   make(chan struct{}),
 	}
-	c.readable.L = &c.mu
+	c.readCond.L = &c.mu
 	return c
 }
 
@@ -67,41 +67,40 @@
 // RemoteAddr implements net.Conn.
 func (c *Conn) RemoteAddr() net.Addr { return c.remote }
 
-// HangUp returns a channel that is closed as soon as the event loop sees that
-// the peer closed or reset the connection, even while nobody reads, and also
-// once this side closed it. A peer that closes only its sending half counts as
-// hung up.
+// HangUp returns a channel that is closed as soon as the event loop sees that the peer closed or
+// reset the connection, even while no goroutine reads, and also after Close. A peer that shuts
+// down only its sending side counts as hung up.
 func (c *Conn) HangUp() <-chan struct{} { return c.hungUp }
 
-// receive takes bytes over from the event loop; false means that a limit is
-// exceeded. gnet cannot stop reading a socket, so that a peer which sends more
-// than handlers read would fill the memory; closing its connection holds that
-// to MaxInbound each and MaxInboundTotal in all.
+// receive appends bytes read by the event loop to the inbound buffer; false means that a limit is
+// exceeded. gnet cannot stop reading a socket, so a peer that sends faster than the handler reads
+// would use memory without limit. Closing its connection bounds that to MaxInbound per connection
+// and MaxInboundTotal in total.
 func (c *Conn) receive(data []byte) bool {
 	l := c.listener
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || c.end != nil {
+	if c.closed || c.readErr != nil {
 		return true
 	}
-	if len(c.in)-c.off+len(data) > l.opts.MaxInbound {
+	if len(c.inbound)-c.off+len(data) > l.opts.MaxInbound {
 		return false
 	}
 	if l.inbound.Add(int64(len(data))) > l.opts.MaxInboundTotal {
 		l.inbound.Add(-int64(len(data)))
 		return false
 	}
-	if c.off > 0 && len(c.in)+len(data) > cap(c.in) {
-		c.in = c.in[:copy(c.in, c.in[c.off:])]
+	if c.off > 0 && len(c.inbound)+len(data) > cap(c.inbound) {
+		c.inbound = c.inbound[:copy(c.inbound, c.inbound[c.off:])]
 		c.off = 0
 	}
-	c.in = append(c.in, data...)
-	c.readable.Broadcast()
+	c.inbound = append(c.inbound, data...)
+	c.readCond.Broadcast()
 	return true
 }
 
-// Read implements net.Conn. After the peer hung up, it first returns what was
-// received before. Bytes that have arrived are returned also when the deadline is over.
+// Read implements net.Conn. After the peer closed the connection, it first returns the bytes
+// received before. Bytes that have arrived are returned even after the deadline.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,56 +108,58 @@
 		switch {
 		case c.closed:
 			return 0, net.ErrClosed
-		case c.off < len(c.in):
-			return c.take(p), nil
-		case c.end != nil:
-			return 0, c.end
+		case c.off < len(c.inbound):
+			return c.consume(p), nil
+		case c.readErr != nil:
+			return 0, c.readErr
 		case len(p) == 0:
 			return 0, nil
-		case c.overdue() && !c.arriving():
+		case c.readDeadlinePassed() && !c.socketReadable():
 			return 0, os.ErrDeadlineExceeded
 		}
-		c.armReadTimer()
-		c.readable.Wait()
+		c.startReadTimer()
+		c.readCond.Wait()
 	}
 }
 
-func (c *Conn) take(p []byte) int {
-	n := copy(p, c.in[c.off:])
+func (c *Conn) consume(p []byte) int {
+	n := copy(p, c.inbound[c.off:])
 	c.off += n
 	c.listener.inbound.Add(-int64(n))
-	if c.off == len(c.in) {
+	if c.off == len(c.inbound) {
 		c.off = 0
-		c.in = c.in[:0]
-		if cap(c.in) > keptBuffer {
-			c.in = nil
+		c.inbound = c.inbound[:0]
+		if cap(c.inbound) > maxIdleBuffer {
+			c.inbound = nil
 		}
 	}
 	return n
 }
 
-// overdue reports whether the read deadline is over; it needs mu.
-func (c *Conn) overdue() bool { return !c.readBy.IsZero() && !time.Now().Before(c.readBy) }
+// readDeadlinePassed reports whether the read deadline has passed; the caller holds mu.
+func (c *Conn) readDeadlinePassed() bool {
+	return !c.readDeadline.IsZero() && !time.Now().Before(c.readDeadline)
+}
 
-// arrivingPoll is how often a read that is overdue looks whether the event loop has taken
-// what waits in the socket.
-const arrivingPoll = time.Millisecond
+// socketPollInterval is how often a read past its deadline checks whether the event loop has taken
+// the bytes that wait in the socket.
+const socketPollInterval = time.Millisecond
 
-// arriving reports whether the socket holds bytes that the event loop has yet to take, as
-// after a freeze. It needs mu, which it gives up meanwhile.
-func (c *Conn) arriving() bool {
+// socketReadable reports whether the socket holds bytes that the event loop has not taken yet, as
+// after a freeze of the process. The caller holds mu, which is released meanwhile.
+func (c *Conn) socketReadable() bool {
 	c.mu.Unlock()
 	defer c.mu.Lock()
-	c.socket.Lock()
-	defer c.socket.Unlock()
-	return !c.gone && tcpconn.FDReadable(c.fd)
+	c.fdMu.Lock()
+	defer c.fdMu.Unlock()
+	return !c.fdClosed && tcpconn.FDReadable(c.fd)
 }
 
-func (c *Conn) armReadTimer() {
-	if c.readBy.IsZero() {
+func (c *Conn) startReadTimer() {
+	if c.readDeadline.IsZero() {
 		return
 	}
-	left := max(time.Until(c.readBy), arrivingPoll)
+	left := max(time.Until(c.readDeadline), socketPollInterval)
 	if c.readTimer == nil {
 		c.readTimer = time.AfterFunc(left, c.wakeReaders)
 		return
@@ -169,40 +170,41 @@
 func (c *Conn) wakeReaders() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.readable.Broadcast()
+	c.readCond.Broadcast()
 }
 
-// hangUp ends the connection for both sides. It runs on the event loop before
-// gnet closes the file descriptor.
+// hangUp ends the connection in both directions. It runs on the event loop before gnet closes the
+// file descriptor.
 func (c *Conn) hangUp(reason error) {
 	c.mu.Lock()
-	if c.end == nil {
-		c.end = reason
+	if c.readErr == nil {
+		c.readErr = reason
 	}
-	c.stopReading()
+	c.endReads()
 	c.mu.Unlock()
 
-	c.socket.Lock()
-	c.gone = true
-	c.closeSlow()
-	c.socket.Unlock()
+	c.fdMu.Lock()
+	c.fdClosed = true
+	c.closePollFile()
+	c.fdMu.Unlock()
 	close(c.hungUp)
 }
 
-// stopReading wakes readers for the last time; it needs mu.
-func (c *Conn) stopReading() {
+// endReads wakes all blocked readers, and after Close discards the inbound buffer; the caller
+// holds mu.
+func (c *Conn) endReads() {
 	if c.readTimer != nil {
 		c.readTimer.Stop()
 	}
 	if c.closed {
-		c.listener.inbound.Add(-int64(len(c.in) - c.off))
-		c.in, c.off = nil, 0
+		c.listener.inbound.Add(-int64(len(c.inbound) - c.off))
+		c.inbound, c.off = nil, 0
 	}
-	c.readable.Broadcast()
+	c.readCond.Broadcast()
 }
 
-// Close implements net.Conn. It does not wait for the event loop, so that it
-// may be called anywhere.
+// Close implements net.Conn. It does not wait for the event loop, so it can be called from any
+// goroutine.
 func (c *Conn) Close() error {
 	c.mu.Lock()
 	if c.closed {
@@ -210,16 +212,16 @@
 		return net.ErrClosed
 	}
 	c.closed = true
-	c.stopReading()
+	c.endReads()
 	c.mu.Unlock()
 
-	c.socket.Lock()
-	defer c.socket.Unlock()
-	if c.gone {
+	c.fdMu.Lock()
+	defer c.fdMu.Unlock()
+	if c.fdClosed {
 		return nil
 	}
-	c.gone = true
-	c.closeSlow()
+	c.fdClosed = true
+	c.closePollFile()
 	return c.gc.Close()
 }
 
@@ -238,34 +240,34 @@
 	if c.closed {
 		return net.ErrClosed
 	}
-	c.readBy = t
-	c.readable.Broadcast()
+	c.readDeadline = t
+	c.readCond.Broadcast()
 	return nil
 }
 
 // SetWriteDeadline implements net.Conn.
 func (c *Conn) SetWriteDeadline(t time.Time) error {
-	c.socket.Lock()
-	defer c.socket.Unlock()
-	if c.gone {
+	c.fdMu.Lock()
+	defer c.fdMu.Unlock()
+	if c.fdClosed {
 		return net.ErrClosed
 	}
-	c.writeBy = t
-	if c.slow != nil {
-		return c.slow.SetWriteDeadline(t)
+	c.writeDeadline = t
+	if c.pollFile != nil {
+		return c.pollFile.SetWriteDeadline(t)
 	}
 	return nil
 }
 
-// reason says why a write found the connection closed.
-func (c *Conn) reason() error {
+// writeError returns the error of a write to a connection that is closed.
+func (c *Conn) writeError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || c.end == nil {
+	if c.closed || c.readErr == nil {
 		return net.ErrClosed
 	}
-	if errors.Is(c.end, io.EOF) {
+	if errors.Is(c.readErr, io.EOF) {
 		return syscall.EPIPE
 	}
-	return c.end
+	return c.readErr
 }
--- a/instance/gnetconn/events.go
+++ b/instance/gnetconn/events.go
@@ -9,19 +9,19 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// events receives gnet's callbacks, each on the connection's event loop, where
-// nothing may block.
-type events struct {
+// eventHandler receives gnet's callbacks. Each runs on the event loop of its connection and must
+// not block.
+type eventHandler struct {
 	gnet.BuiltinEventEngine
 	listener *Listener
 	booted   chan struct{}
 }
 
 // OnBoot implements gnet.EventHandler.
-func (e *events) OnBoot(engine gnet.Engine) gnet.Action {
+func (e *eventHandler) OnBoot(engine gnet.Engine) gnet.Action {
 	l := e.listener
 	l.engine = engine
-	l.addr, l.bootFailure = boundAddr(engine)
+	l.addr, l.bootErr = boundAddr(engine)
 	close(e.booted)
 	return gnet.None
 }
@@ -46,16 +46,16 @@
 }
 
 // OnOpen implements gnet.EventHandler.
-func (e *events) OnOpen(gc gnet.Conn) ([]byte, gnet.Action) {
+func (e *eventHandler) OnOpen(gc gnet.Conn) ([]byte, gnet.Action) {
 	l := e.listener
 	if l.conns.Add(1) > int64(l.opts.MaxConns) {
 		l.conns.Add(-1)
-		l.turnedAway.Add(1)
+		l.rejectedConns.Add(1)
 		return nil, gnet.Close
 	}
-	// Not as an option of the listener: gnet then reports "bad file descriptor"
-	// in place of an address that is in use.
-	_ = gc.SetKeepAlivePeriod(keepAlive)
+	// As an option of the listener, it makes gnet report "bad file descriptor"
+	// instead of an address in use.
+	_ = gc.SetKeepAlivePeriod(keepAlivePeriod)
 	c := newConn(l, gc)
 	gc.SetContext(c)
 	l.handlers.Add(1)
@@ -64,7 +64,7 @@
 }
 
 // OnTraffic implements gnet.EventHandler.
-func (e *events) OnTraffic(gc gnet.Conn) gnet.Action {
+func (e *eventHandler) OnTraffic(gc gnet.Conn) gnet.Action {
 	c, ok := gc.Context().(*Conn)
 	if !ok {
 		return gnet.Close
@@ -81,7 +81,7 @@
 }
 
 // OnClose implements gnet.EventHandler.
-func (e *events) OnClose(gc gnet.Conn, err error) gnet.Action {
+func (e *eventHandler) OnClose(gc gnet.Conn, err error) gnet.Action {
 	c, ok := gc.Context().(*Conn)
 	if !ok {
 		return gnet.None
@@ -94,12 +94,12 @@
 	return gnet.None
 }
 
-// quiet drops gnet's own log lines: they are not in the daemon's log format,
-// and what matters in them reaches the handler as a connection's error.
-type quiet struct{}
+// discardLogger drops gnet's own log lines: they are not in the daemon's log format, and the
+// handler gets the relevant ones as errors of the connection.
+type discardLogger struct{}
 
-func (quiet) Debugf(string, ...any) {}
-func (quiet) Infof(string, ...any)  {}
-func (quiet) Warnf(string, ...any)  {}
-func (quiet) Errorf(string, ...any) {}
-func (quiet) Fatalf(string, ...any) {}
+func (discardLogger) Debugf(string, ...any) {}
+func (discardLogger) Infof(string, ...any)  {}
+func (discardLogger) Warnf(string, ...any)  {}
+func (discardLogger) Errorf(string, ...any) {}
+func (discardLogger) Fatalf(string, ...any) {}
--- a/instance/gnetconn/gnetconn_test.go
+++ b/instance/gnetconn/gnetconn_test.go
@@ -33,12 +33,12 @@
 	RunSpecs(t, "gnetconn")
 	http.DefaultClient.CloseIdleConnections()
 	goleak.VerifyNone(t, before,
-		// Each of these runs once per process, for good, whoever uses the library.
+		// Each of these libraries starts one goroutine per process that never ends.
 		goleak.IgnoreAnyFunction("github.com/onsi/ginkgo/v2/internal/interrupt_handler.(*InterruptHandler).registerForInterrupts.func2"),
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"))
 }
 
-const limit = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func serve(opts gnetconn.Options, handler func(net.Conn)) *gnetconn.Listener {
 	l, err := gnetconn.Listen("127.0.0.1:0", opts)
@@ -46,10 +46,10 @@
 	done := make(chan error, 1)
 	go func() { done <- l.Serve(handler) }()
 	DeferCleanup(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), limit)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		Expect(l.Close(ctx)).To(Succeed())
-		Eventually(done, limit).Should(Receive(BeNil()))
+		Eventually(done, testTimeout).Should(Receive(BeNil()))
 	})
 	return l
 }
@@ -92,7 +92,7 @@
 		}
 	})
 
-	It("takes and returns big and chunked bodies whole", func() {
+	It("receives and sends large and chunked bodies completely", func() {
 		l := serveHTTP(echo)
 		body := bytes.Repeat([]byte("comfreyladder "), 1_200_000)
 		for _, reader := range []io.Reader{bytes.NewReader(body), io.MultiReader(bytes.NewReader(body))} {
@@ -103,14 +103,14 @@
 			_ = resp.Body.Close()
 			Expect(sha256.Sum256(got)).To(Equal(sha256.Sum256(body)))
 		}
-		Eventually(l.Inbound, limit).Should(BeZero())
+		Eventually(l.Inbound, testTimeout).Should(BeZero())
 	})
 })
 
 var _ = Describe("limits", func() {
-	// Story: a caller asks for a long answer and stops reading. The handler goes
-	// on producing. If the answer were buffered in the process, a few such
-	// callers would use up its memory.
+	// Guards against a response buffered in the process while the handler goes on
+	// writing: a few callers that ask for a long response and stop reading would
+	// exhaust its memory.
 	It("blocks the writer instead of buffering for a peer that does not read", func() {
 		var written atomic.Int64
 		failure := make(chan error, 1)
@@ -128,11 +128,11 @@
 		})
 		dial(l)
 		var err error
-		Eventually(failure, limit).Should(Receive(&err))
+		Eventually(failure, testTimeout).Should(Receive(&err))
 		Expect(errors.Is(err, os.ErrDeadlineExceeded)).To(BeTrue())
 		var timeout net.Error
 		Expect(errors.As(err, &timeout) && timeout.Timeout()).To(BeTrue())
-		Expect(written.Load()).To(BeNumerically("<", 64<<20), "more than the kernel's buffers was taken")
+		Expect(written.Load()).To(BeNumerically("<", 64<<20), "more bytes were accepted than the kernel's buffers hold")
 	})
 
 	It("delivers everything to a slow reader once it reads", func() {
@@ -148,10 +148,9 @@
 		Expect(n).To(BeEquivalentTo(size))
 	})
 
-	// Story: a peer sends faster than the handler reads, or while it does not
-	// read at all. gnet goes on reading the socket, so that without a bound the
-	// process would hold all of it.
-	DescribeTable("closes a connection whose unread bytes exceed a bound", func(opts gnetconn.Options) {
+	// Guards against memory use without limit when a peer sends faster than the
+	// handler reads, or while it does not read at all: gnet goes on reading the socket.
+	DescribeTable("closes a connection whose unread bytes exceed a limit", func(opts gnetconn.Options) {
 		release := make(chan struct{})
 		l := serve(opts, func(net.Conn) { <-release })
 		defer close(release)
@@ -159,18 +158,18 @@
 		Eventually(func() error {
 			_, err := c.Write(make([]byte, 64<<10))
 			return err
-		}, limit, "1ms").Should(HaveOccurred())
+		}, testTimeout, "1ms").Should(HaveOccurred())
 		Expect(l.Overflows()).To(BeEquivalentTo(1))
 		Expect(l.Inbound()).To(BeNumerically("<=", 1<<20))
 	},
-		Entry("its own", gnetconn.Options{MaxInbound: 1 << 20}),
-		Entry("that of all connections", gnetconn.Options{MaxInboundTotal: 1 << 20}),
+		Entry("per connection", gnetconn.Options{MaxInbound: 1 << 20}),
+		Entry("over all connections", gnetconn.Options{MaxInboundTotal: 1 << 20}),
 	)
 
-	It("turns away connections beyond the limit and accepts again when one ends", func() {
+	It("rejects connections beyond the limit and accepts again when one ends", func() {
 		l := serve(gnetconn.Options{MaxConns: 1}, func(c net.Conn) { _, _ = io.Copy(c, c) })
 		ping := func(c net.Conn) error {
-			_ = c.SetDeadline(time.Now().Add(limit))
+			_ = c.SetDeadline(time.Now().Add(testTimeout))
 			if _, err := c.Write([]byte("x")); err != nil {
 				return err
 			}
@@ -182,11 +181,11 @@
 		Expect(ping(dial(l))).NotTo(Succeed())
 		Expect(l.TurnedAway()).To(BeEquivalentTo(1))
 		_ = first.Close()
-		Eventually(l.Conns, limit).Should(BeZero())
+		Eventually(l.Conns, testTimeout).Should(BeZero())
 		Expect(ping(dial(l))).To(Succeed())
 	})
 
-	It("names the failure when the address is taken", func() {
+	It("reports an address that cannot be bound", func() {
 		l := serve(gnetconn.Options{}, func(net.Conn) {})
 		_, err := gnetconn.Listen("127.0.0.1:99999", gnetconn.Options{})
 		Expect(fault.CodeOf(err)).To(Equal(fault.Unavailable))
@@ -194,11 +193,11 @@
 	})
 })
 
-var _ = Describe("ends of a connection", func() {
-	// Story: a caller gives up while its request waits for an engine. Nobody
-	// reads the connection meanwhile, so that a server which learns of it by
-	// reading or writing would keep the engine busy for nothing.
-	It("tells a hang-up while nobody reads, and keeps what was sent before", func() {
+var _ = Describe("the end of a connection", func() {
+	// Guards against work for a caller that gave up while its request waits for an
+	// engine: no goroutine reads the connection then, so a read or write cannot
+	// detect it.
+	It("signals a hang-up while no goroutine reads, and keeps the bytes received before", func() {
 		got := make(chan string, 1)
 		l := serve(gnetconn.Options{}, func(c net.Conn) {
 			<-c.(*gnetconn.Conn).HangUp()
@@ -210,10 +209,10 @@
 		c := dial(l)
 		_, _ = c.Write([]byte("last words"))
 		_ = c.Close()
-		Eventually(got, limit).Should(Receive(Equal("last words")))
+		Eventually(got, testTimeout).Should(Receive(Equal("last words")))
 	})
 
-	It("tells a reset", func() {
+	It("signals a reset", func() {
 		hungUp := make(chan error, 1)
 		l := serve(gnetconn.Options{}, func(c net.Conn) {
 			<-c.(*gnetconn.Conn).HangUp()
@@ -221,13 +220,13 @@
 			hungUp <- err
 		})
 		c := dial(l)
-		Eventually(l.Conns, limit).Should(BeEquivalentTo(1))
+		Eventually(l.Conns, testTimeout).Should(BeEquivalentTo(1))
 		_ = c.(*net.TCPConn).SetLinger(0)
 		_ = c.Close()
-		Eventually(hungUp, limit).Should(Receive(HaveOccurred()))
+		Eventually(hungUp, testTimeout).Should(Receive(HaveOccurred()))
 	})
 
-	It("ends a read by its deadline and goes on afterwards", func() {
+	It("ends a read at its deadline and stays usable", func() {
 		results := make(chan error, 3)
 		l := serve(gnetconn.Options{}, func(c net.Conn) {
 			b := make([]byte, 1)
@@ -241,15 +240,15 @@
 		})
 		c := dial(l)
 		var err error
-		Eventually(results, limit).Should(Receive(&err))
+		Eventually(results, testTimeout).Should(Receive(&err))
 		Expect(errors.Is(err, os.ErrDeadlineExceeded)).To(BeTrue())
 		_, err = io.ReadFull(c, make([]byte, 1))
 		Expect(err).NotTo(HaveOccurred())
 		_, _ = c.Write([]byte("x"))
-		Eventually(results, limit).Should(Receive(BeNil()))
+		Eventually(results, testTimeout).Should(Receive(BeNil()))
 	})
 
-	DescribeTable("frees a blocked reader and writer", func(end func(server, client net.Conn)) {
+	DescribeTable("unblocks a reader and a writer", func(end func(server, client net.Conn)) {
 		conns := make(chan net.Conn, 1)
 		results := make(chan error, 2)
 		l := serve(gnetconn.Options{}, func(c net.Conn) {
@@ -266,18 +265,18 @@
 		_, err := io.ReadFull(client, make([]byte, 1<<20))
 		Expect(err).NotTo(HaveOccurred())
 		end(server, client)
-		Eventually(results, limit).Should(Receive(HaveOccurred()))
-		Eventually(results, limit).Should(Receive(HaveOccurred()))
-		Eventually(l.Conns, limit).Should(BeZero())
+		Eventually(results, testTimeout).Should(Receive(HaveOccurred()))
+		Eventually(results, testTimeout).Should(Receive(HaveOccurred()))
+		Eventually(l.Conns, testTimeout).Should(BeZero())
 	},
 		Entry("by a local close", func(server, _ net.Conn) { _ = server.Close() }),
 		Entry("by the peer's close", func(_, client net.Conn) { _ = client.Close() }),
 	)
 })
 
-// An operator starts a second daemon on an address that is taken. The failure
-// has to say so; gnet's own went on about a bad file descriptor.
-func TestAddressInUseIsTold(t *testing.T) {
+// Guards against an unhelpful error when a second daemon is started on an address in use: gnet's
+// own error was a bad file descriptor.
+func TestListenReportsAddressInUse(t *testing.T) {
 	g := NewWithT(t)
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -287,14 +286,14 @@
 }
 
 var _ = Describe("a read deadline", func() {
-	// Guards against a read that gives up on bytes which came before it was called.
-	It("hides nothing that has arrived", func() {
+	// Guards against a read that fails by its deadline although bytes arrived before the call.
+	It("does not hide bytes that have arrived", func() {
 		got := make(chan string, 1)
 		l := serve(gnetconn.Options{}, func(c net.Conn) {
 			b := make([]byte, 8)
 			_, _ = io.ReadFull(c, b[:1])
 			Expect(c.SetReadDeadline(time.Now().Add(-time.Second))).To(Succeed())
-			for begun := time.Now(); time.Since(begun) < limit; time.Sleep(time.Millisecond) {
+			for start := time.Now(); time.Since(start) < testTimeout; time.Sleep(time.Millisecond) {
 				n, err := c.Read(b)
 				if err == nil {
 					got <- string(b[:n])
@@ -312,6 +311,6 @@
 		time.Sleep(20 * time.Millisecond)
 		_, err = io.WriteString(c, "late")
 		Expect(err).NotTo(HaveOccurred())
-		Eventually(got, limit).Should(Receive(Equal("late")))
+		Eventually(got, testTimeout).Should(Receive(Equal("late")))
 	})
 })
--- a/instance/gnetconn/listener.go
+++ b/instance/gnetconn/listener.go
@@ -1,11 +1,11 @@
-// Package gnetconn joins gnet with libraries that want a net.Conn: gnet's event
-// loops own, accept and read the sockets, and each connection is handed to a
-// goroutine as a net.Conn, on which fasthttp, crypto/tls and gobwas/ws run.
+// Package gnetconn serves net.Conn connections on gnet: gnet's event loops own, accept and read
+// the sockets, and each connection is passed to a goroutine as a net.Conn, which fasthttp,
+// crypto/tls and gobwas/ws can use.
 //
-// The event loop sees a peer hang up at once, also while nobody reads; see
-// Conn.HangUp. Writes go from the caller's goroutine straight to the socket and
-// block while the peer does not read, so that nothing is buffered outbound in
-// user space and no event loop is woken for an answer.
+// The event loop detects at once that a peer has closed the connection, even while no goroutine
+// reads; see Conn.HangUp. Writes go directly from the caller's goroutine to the socket and block
+// while the peer does not read, so nothing is buffered outbound in user space and no response has
+// to wake an event loop.
 package gnetconn
 
 import (
@@ -23,32 +23,32 @@
 
 // Defaults of Options.
 const (
-	// DefaultEventLoops is few, as an event loop only reads and copies; more
-	// of them brought nothing: medians of four runs of BenchmarkHTTP with 64
-	// connections, on 12 cores that others used too, were 0.89 and 0.98 of a
-	// plain listener with two event loops, and 0.94 and 0.82 with four.
+	// DefaultEventLoops is low because an event loop only reads and copies, and more of them did
+	// not help: in BenchmarkHTTP with 64 connections, on 12 shared cores, the medians of four runs
+	// were 0.89 and 0.98 of the throughput of a plain listener with two event loops, and 0.94 and
+	// 0.82 with four.
 	DefaultEventLoops = 2
-	// DefaultMaxConns stays below the usual limit of file descriptors, as a
-	// connection with a slow reader takes two.
+	// DefaultMaxConns stays below the usual limit of file descriptors, as a connection whose peer
+	// reads slowly uses two.
 	DefaultMaxConns = 16_384
-	// DefaultMaxInbound holds one body of 8 MiB with its headers.
+	// DefaultMaxInbound is enough for a body of 8 MiB with its headers.
 	DefaultMaxInbound = 8<<20 + 64<<10
-	// DefaultMaxInboundTotal bounds the memory that all peers together can
-	// make a process hold before handlers read it.
+	// DefaultMaxInboundTotal limits the memory that all peers together can make a process use for
+	// bytes that handlers have not read.
 	DefaultMaxInboundTotal = 256 << 20
 )
 
-// Options of a Listener. Zero values mean the defaults above.
+// Options configures a Listener. Zero values select the defaults.
 type Options struct {
 	// EventLoops is the number of gnet event loops.
 	EventLoops int
-	// MaxConns is the number of connections served at once; one above it is
-	// closed as it is accepted.
+	// MaxConns is the maximum number of open connections; further ones are closed when they are
+	// accepted.
 	MaxConns int
-	// MaxInbound is how many bytes one connection may hold that its handler
-	// has not read; a connection that exceeds it is closed.
+	// MaxInbound is how many received bytes a connection may hold that its handler has not read; a
+	// connection that exceeds it is closed.
 	MaxInbound int
-	// MaxInboundTotal is the same bound over all connections of the listener.
+	// MaxInboundTotal is the same limit over all connections of the listener.
 	MaxInboundTotal int64
 }
 
@@ -75,23 +75,23 @@
 	addr    net.Addr
 	handler func(net.Conn)
 
-	serving     chan struct{} // closed once handler is set
-	closing     chan struct{} // closed by Close
-	stopped     chan struct{} // closed when the event loops have ended
-	serveOnce   sync.Once
-	closeOnce   sync.Once
-	handlers    sync.WaitGroup
-	conns       atomic.Int64
-	inbound     atomic.Int64
-	overflows   atomic.Uint64
-	turnedAway  atomic.Uint64
-	runFailure  error
-	bootFailure error
+	serving       chan struct{} // closed when handler is set
+	closing       chan struct{} // closed by Close
+	stopped       chan struct{} // closed when the event loops have ended
+	serveOnce     sync.Once
+	closeOnce     sync.Once
+	handlers      sync.WaitGroup
+	conns         atomic.Int64
+	inbound       atomic.Int64
+	overflows     atomic.Uint64
+	rejectedConns atomic.Uint64
+	runErr        error
+	bootErr       error
 }
 
-// Listen binds addr ("ip:port"; port 0 picks a free one) and starts the event
-// loops. Connections that arrive before Serve wait for it. It fails with
-// fault.Unavailable when the address cannot be bound.
+// Listen binds addr ("ip:port"; port 0 selects a free port) and starts the event loops.
+// Connections accepted before Serve is called wait for it. It fails with fault.Unavailable if the
+// address cannot be bound.
 func Listen(addr string, opts Options) (*Listener, error) {
 	l := &Listener{
 		opts:    opts.withDefaults(),
@@ -104,72 +104,71 @@
 	select {
 	case <-booted:
 	case <-l.stopped:
-		return nil, fault.Wrap(l.runFailure, fault.Unavailable, "listen on %s", addr)
+		return nil, fault.Wrap(l.runErr, fault.Unavailable, "listen on %s", addr)
 	}
-	if l.bootFailure != nil {
+	if l.bootErr != nil {
 		_ = l.Close(context.Background())
-		return nil, fault.Wrap(l.bootFailure, fault.Unavailable, "read the address bound for %s", addr)
+		return nil, fault.Wrap(l.bootErr, fault.Unavailable, "read the address bound for %s", addr)
 	}
 	return l, nil
 }
 
 func (l *Listener) run(addr string, booted chan struct{}) {
 	defer close(l.stopped)
-	l.runFailure = gnet.Run(&events{listener: l, booted: booted}, "tcp://"+addr,
+	l.runErr = gnet.Run(&eventHandler{listener: l, booted: booted}, "tcp://"+addr,
 		gnet.WithNumEventLoop(l.opts.EventLoops),
 		gnet.WithLoadBalancing(gnet.LeastConnections),
 		gnet.WithReuseAddr(true),
 		gnet.WithTCPNoDelay(gnet.TCPNoDelay),
-		gnet.WithLogger(quiet{}),
+		gnet.WithLogger(discardLogger{}),
 		gnet.WithLogLevel(logging.ErrorLevel),
 	)
 }
 
-// keepAlive finds peers that vanished without FIN on links that carry no
-// heartbeats of their own, such as callers' connections.
-const keepAlive = 30 * time.Second
+// keepAlivePeriod is the TCP keep-alive period. It detects peers that vanished without FIN on
+// connections without heartbeats, such as those of callers.
+const keepAlivePeriod = 30 * time.Second
 
 // Addr returns the bound address.
 func (l *Listener) Addr() net.Addr { return l.addr }
 
-// Conns returns how many connections are open.
+// Conns returns the number of open connections.
 func (l *Listener) Conns() int64 { return l.conns.Load() }
 
-// Inbound returns how many received bytes wait for handlers.
+// Inbound returns the number of received bytes that handlers have not read.
 func (l *Listener) Inbound() int64 { return l.inbound.Load() }
 
-// Overflows returns how many connections were closed because they exceeded
-// MaxInbound or MaxInboundTotal.
+// Overflows returns how many connections were closed because they exceeded MaxInbound or
+// MaxInboundTotal.
 func (l *Listener) Overflows() uint64 { return l.overflows.Load() }
 
-// TurnedAway returns how many connections were closed because of MaxConns.
-func (l *Listener) TurnedAway() uint64 { return l.turnedAway.Load() }
+// RejectedConns returns how many connections were closed because of MaxConns.
+func (l *Listener) TurnedAway() uint64 { return l.rejectedConns.Load() }
 
-// Serve runs handler in a goroutine for each connection and returns after
-// Close. A connection is closed when its handler returns. Only the first call
-// sets the handler.
+// Serve runs handler in a goroutine for each connection and returns after Close. A connection is
+// closed when its handler returns. Only the first call sets the handler.
 func (l *Listener) Serve(handler func(net.Conn)) error {
 	l.serveOnce.Do(func() {
 		l.handler = handler
 		close(l.serving)
 	})
 	<-l.stopped
-	if l.runFailure != nil {
-		return fault.Wrap(l.runFailure, fault.Internal, "event loops on %s ended", l.addr)
+	if l.runErr != nil {
+		return fault.Wrap(l.runErr, fault.Internal, "event loops on %s failed", l.addr)
 	}
 	return nil
 }
 
-// Close closes the listener and all connections, and waits until the handlers
-// have returned or ctx ends, which is fault.DeadlineExceeded. To let requests
-// in flight finish, the server on top drains them first.
+// Close closes the listener and all connections, and waits until the handlers have returned. It
+// fails with fault.DeadlineExceeded if ctx ends first. A server that lets requests in flight
+// finish has to drain them before it calls Close.
 func (l *Listener) Close(ctx context.Context) error {
 	l.closeOnce.Do(func() { close(l.closing) })
-	// Stop would look only every half second whether the loops have ended;
-	// with an ended context it just tells them to.
-	ended, end := context.WithCancel(context.Background())
-	end()
-	_ = l.engine.Stop(ended)
+	// With a live context, Stop polls for the cancel of the event loops only every
+	// half second; with a cancelled one, it only signals them to cancel.
+	canceled, cancel := context.WithCancel(context.Background())
+	cancel()
+	_ = l.engine.Stop(canceled)
 	done := make(chan struct{})
 	go func() {
 		<-l.stopped
@@ -180,7 +179,7 @@
 	case <-done:
 		return nil
 	case <-ctx.Done():
-		return fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "handlers on %s still run", l.addr)
+		return fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "handlers on %s are still running", l.addr)
 	}
 }
 
--- a/instance/gnetconn/write.go
+++ b/instance/gnetconn/write.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// Write implements net.Conn. It writes to the socket itself: gnet's AsyncWrite
-// would cost a wake-up of the event loop for each answer and buffers without
-// bound when the peer does not read. While the peer does not read, Write blocks
-// until the write deadline, and no byte is kept beyond the kernel's buffers.
+// Write implements net.Conn. It writes to the socket directly: gnet's AsyncWrite would wake the
+// event loop for each response, and buffers without limit when the peer does not read. While the
+// peer does not read, Write blocks until the write deadline, and no byte is buffered beyond the
+// kernel's buffers.
 func (c *Conn) Write(p []byte) (int, error) {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	written := 0
 	for written < len(p) {
-		n, err := c.writeNow(p[written:])
+		n, err := c.writeNonblocking(p[written:])
 		written += n
 		switch {
 		case err == nil:
 		case errors.Is(err, syscall.EINTR):
 		case errors.Is(err, syscall.EAGAIN):
-			n, err = c.writeSlowly(p[written:])
+			n, err = c.writeBlocking(p[written:])
 			return written + n, err
 		default:
 			return written, err
@@ -32,17 +32,16 @@
 	return written, nil
 }
 
-// writeNow makes one non-blocking write. It holds the socket lock meanwhile:
-// were the descriptor closed and reused between the check and the write, the
-// bytes would reach a stranger, and hangUp takes the same lock before gnet
-// closes the descriptor.
-func (c *Conn) writeNow(p []byte) (int, error) {
-	c.socket.Lock()
-	defer c.socket.Unlock()
-	if c.gone {
-		return 0, c.reason()
+// writeNonblocking makes one non-blocking write. It holds fdMu, which hangUp takes before gnet
+// closes the descriptor: if the descriptor were closed and reused between the check and the write,
+// the bytes would reach another connection.
+func (c *Conn) writeNonblocking(p []byte) (int, error) {
+	c.fdMu.Lock()
+	defer c.fdMu.Unlock()
+	if c.fdClosed {
+		return 0, c.writeError()
 	}
-	if !c.writeBy.IsZero() && !time.Now().Before(c.writeBy) {
+	if !c.writeDeadline.IsZero() && !time.Now().Before(c.writeDeadline) {
 		return 0, os.ErrDeadlineExceeded
 	}
 	n, err := syscall.Write(c.fd, p)
@@ -52,11 +51,10 @@
 	return n, nil
 }
 
-// writeSlowly waits for a full socket in the runtime's poller, on a duplicate
-// of the descriptor, because gnet tells nobody when its own outbound buffer
-// has drained.
-func (c *Conn) writeSlowly(p []byte) (int, error) {
-	f, err := c.slowFile()
+// writeBlocking waits for space in a full socket with the runtime's poller, on a duplicate of the
+// descriptor, because gnet gives no notice when its own outbound buffer has drained.
+func (c *Conn) writeBlocking(p []byte) (int, error) {
+	f, err := c.openPollFile()
 	if err != nil {
 		return 0, err
 	}
@@ -67,44 +65,44 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return n, os.ErrDeadlineExceeded
 	case errors.Is(err, os.ErrClosed):
-		return n, c.reason()
+		return n, c.writeError()
 	case errors.Is(err, io.ErrShortWrite):
 		return n, io.ErrShortWrite
 	}
-	var call *os.PathError
-	if errors.As(err, &call) {
-		return n, call.Err
+	var pathErr *os.PathError
+	if errors.As(err, &pathErr) {
+		return n, pathErr.Err
 	}
 	return n, err
 }
 
-func (c *Conn) slowFile() (*os.File, error) {
-	c.socket.Lock()
-	defer c.socket.Unlock()
-	if c.gone {
-		return nil, c.reason()
+func (c *Conn) openPollFile() (*os.File, error) {
+	c.fdMu.Lock()
+	defer c.fdMu.Unlock()
+	if c.fdClosed {
+		return nil, c.writeError()
 	}
-	if c.slow != nil {
-		return c.slow, nil
+	if c.pollFile != nil {
+		return c.pollFile, nil
 	}
 	fd, err := c.gc.Dup()
 	if err != nil {
 		return nil, err
 	}
 	f := os.NewFile(uintptr(fd), "connection")
-	if err := f.SetWriteDeadline(c.writeBy); err != nil {
+	if err := f.SetWriteDeadline(c.writeDeadline); err != nil {
 		_ = f.Close()
 		return nil, err
 	}
-	c.slow = f
+	c.pollFile = f
 	return f, nil
 }
 
-// closeSlow wakes a writer that waits for the peer; it needs the socket lock.
-func (c *Conn) closeSlow() {
-	if c.slow == nil {
+// closePollFile unblocks a writer that waits for the peer; the caller holds fdMu.
+func (c *Conn) closePollFile() {
+	if c.pollFile == nil {
 		return
 	}
-	_ = c.slow.Close()
-	c.slow = nil
+	_ = c.pollFile.Close()
+	c.pollFile = nil
 }
--- a/instance/tcpconn/tcpconn.go
+++ b/instance/tcpconn/tcpconn.go
@@ -1,7 +1,7 @@
-// Package tcpconn accepts TCP connections and ends them without cutting off what has
-// arrived: a listener is closed only when no connection waits in its queue, and a read
-// whose deadline is over still returns the bytes that are there. Both matter to a process
-// that was frozen, where deadlines pass while callers go on.
+// Package tcpconn accepts TCP connections and closes them without losing data that has arrived: a
+// listener closes only when no connection waits in its queue, and a read past its deadline still
+// returns the bytes that have arrived. Both matter to a process that was frozen, for which
+// deadlines pass while callers continue.
 package tcpconn
 
 import (
@@ -18,13 +18,13 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// Listener is a TCP listener. One goroutine calls Accept.
+// Listener is a TCP listener. Only one goroutine may call Accept.
 type Listener struct {
 	tcp     *net.TCPListener
 	closing atomic.Bool
 }
 
-// Listen binds address, "ip:port". It fails with fault.Unavailable.
+// Listen binds address ("ip:port"). It fails with fault.Unavailable.
 func Listen(address string) (*Listener, error) {
 	l, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -36,18 +36,18 @@
 // Addr implements net.Listener.
 func (l *Listener) Addr() net.Addr { return l.tcp.Addr() }
 
-// Close implements net.Listener. Connections that wait to be accepted are reset.
+// Close implements net.Listener. Connections that are not accepted yet are reset.
 func (l *Listener) Close() error { return l.tcp.Close() }
 
-// CloseWhenEmpty lets Accept return the connections that wait already, and then close the
-// listener and fail with net.ErrClosed.
+// CloseWhenEmpty makes Accept return the connections that already wait, then close the listener
+// and fail with net.ErrClosed.
 func (l *Listener) CloseWhenEmpty() {
 	l.closing.Store(true)
 	_ = l.tcp.SetDeadline(time.Now())
 }
 
-// lastAccept bounds each accept of a listener that is being closed.
-const lastAccept = time.Millisecond
+// closingAcceptTimeout limits each accept of a listener that is being closed.
+const closingAcceptTimeout = time.Millisecond
 
 // Accept implements net.Listener.
 func (l *Listener) Accept() (net.Conn, error) {
@@ -63,11 +63,12 @@
 			_ = l.tcp.Close()
 			return nil, net.ErrClosed
 		}
-		_ = l.tcp.SetDeadline(time.Now().Add(lastAccept))
+		_ = l.tcp.SetDeadline(time.Now().Add(closingAcceptTimeout))
 	}
 }
 
-// readable reports, without waiting, whether a socket has something to accept or read.
+// readable reports, without blocking, whether a socket has a connection to accept or bytes to
+// read.
 func readable(c syscall.Conn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -78,7 +79,8 @@
 	return err == nil && ready
 }
 
-// FDReadable reports, without waiting, whether a socket has something to accept or read.
+// FDReadable reports, without blocking, whether a socket has a connection to accept or bytes to
+// read.
 func FDReadable(fd int) bool {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 	for {
@@ -89,11 +91,10 @@
 	}
 }
 
-// Conn is a TCP connection whose deadlines hide nothing that has arrived.
+// Conn is a TCP connection that returns received bytes even after the read deadline.
 type Conn struct{ *net.TCPConn }
 
-// Wrap returns a connection that was dialled as a Conn; one that is not of TCP stays as it
-// is.
+// Wrap returns a dialled TCP connection as a Conn, and any other connection unchanged.
 func Wrap(c net.Conn) net.Conn {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		return &Conn{TCPConn: tcp}
@@ -101,21 +102,21 @@
 	return c
 }
 
-// Read implements net.Conn. Unlike that of net.TCPConn it returns bytes that have arrived
-// also when the deadline is over.
+// Read implements net.Conn. Unlike net.TCPConn, it returns bytes that have arrived even after the
+// deadline.
 func (c *Conn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) {
 		return n, err
 	}
-	if late, lateErr := c.readNow(p); !errors.Is(lateErr, unix.EAGAIN) {
-		return late, lateErr
+	if received, receiveErr := c.readNonblocking(p); !errors.Is(receiveErr, unix.EAGAIN) {
+		return received, receiveErr
 	}
 	return n, err
 }
 
-// readNow reads without waiting; unix.EAGAIN means that nothing is there.
-func (c *Conn) readNow(p []byte) (n int, err error) {
+// readNonblocking reads without blocking; it fails with unix.EAGAIN if no bytes have arrived.
+func (c *Conn) readNonblocking(p []byte) (n int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0, err
--- a/instance/tcpconn/tcpconn_test.go
+++ b/instance/tcpconn/tcpconn_test.go
@@ -29,16 +29,16 @@
 	return c
 }
 
-// Guards against a close that resets connections which nobody has accepted yet.
-func TestWaitingConnectionsAreAcceptedBeforeTheClose(t *testing.T) {
-	const waiting = 20
+// Guards against a close that resets connections which are not accepted yet.
+func TestPendingConnectionsAreAcceptedBeforeClose(t *testing.T) {
+	const pending = 20
 	l := listen(t)
-	callers := make([]net.Conn, waiting)
-	for i := range callers {
-		callers[i] = dial(t, l)
+	clients := make([]net.Conn, pending)
+	for i := range clients {
+		clients[i] = dial(t, l)
 	}
 	l.CloseWhenEmpty()
-	for range waiting {
+	for range pending {
 		c, err := l.Accept()
 		Expect(err).NotTo(HaveOccurred())
 		_, err = c.Write([]byte("x"))
@@ -46,7 +46,7 @@
 	}
 	_, err := l.Accept()
 	Expect(err).To(MatchError(net.ErrClosed))
-	for _, c := range callers {
+	for _, c := range clients {
 		_, err := io.ReadFull(c, make([]byte, 1))
 		Expect(err).NotTo(HaveOccurred())
 	}
@@ -54,8 +54,8 @@
 	Expect(err).To(HaveOccurred())
 }
 
-// Guards against a close that waits for the next caller.
-func TestAnEmptyListenerClosesAtOnce(t *testing.T) {
+// Guards against a close that waits for another connection.
+func TestEmptyListenerClosesImmediately(t *testing.T) {
 	l := listen(t)
 	ended := make(chan error, 1)
 	go func() {
@@ -67,23 +67,23 @@
 	Eventually(ended).Should(Receive(MatchError(net.ErrClosed)))
 }
 
-// Guards against a read that gives up on bytes which came before it was called.
-func TestAnOldDeadlineHidesNothingThatHasArrived(t *testing.T) {
+// Guards against a read that fails by its deadline although bytes arrived before the call.
+func TestReadPastDeadlineReturnsReceivedBytes(t *testing.T) {
 	l := listen(t)
-	caller := dial(t, l)
+	client := dial(t, l)
 	c, err := l.Accept()
 	Expect(err).NotTo(HaveOccurred())
 	Expect(c.SetReadDeadline(time.Now().Add(-time.Second))).To(Succeed())
 	b := make([]byte, 8)
 	_, err = c.Read(b)
 	Expect(err).To(MatchError(os.ErrDeadlineExceeded))
-	_, err = caller.Write([]byte("late"))
+	_, err = client.Write([]byte("late"))
 	Expect(err).NotTo(HaveOccurred())
 	Eventually(func() string {
 		n, _ := c.Read(b)
 		return string(b[:n])
 	}).Should(Equal("late"))
-	_ = caller.Close()
+	_ = client.Close()
 	Eventually(func() error {
 		_, err := c.Read(b)
 		return err
