--- a/instance/http1/body.go
+++ b/instance/http1/body.go
@@ -9,107 +9,107 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// ErrBodyTooLarge is returned when a body is longer than allowed.
-var ErrBodyTooLarge = fault.New(fault.TooLarge, "the body of the message is longer than allowed")
+// ErrBodyTooLarge is returned for a body that exceeds the limit.
+var ErrBodyTooLarge = fault.New(fault.TooLarge, "the message body exceeds the limit")
 
-// maxChunkLine bounds the line before a chunk, and maxTrailer all trailer lines.
+// maxChunkLine limits the size line of a chunk in bytes, and maxTrailer all trailer lines.
 const (
 	maxChunkLine = 256
 	maxTrailer   = 4096
 )
 
-// Body reads the body of one message. Read returns io.EOF only once the body came
-// whole; a connection that ends earlier is io.ErrUnexpectedEOF.
+// Body reads the body of one message. Read returns io.EOF only after the complete body; it fails
+// with io.ErrUnexpectedEOF if the connection ends before.
 type Body struct {
 	r       *bufio.Reader
 	framing Framing
-	// left counts what remains of the body, or of the current chunk.
-	left int64
-	// started says that a chunk was read, whose line end is due.
-	started bool
-	whole   bool
+	// remaining counts the unread bytes of the body, or of the current chunk.
+	remaining int64
+	// started is set once a chunk was read, whose line end precedes the next chunk.
+	started  bool
+	complete bool
 }
 
-// Reset makes b read the body that follows a head.
+// Reset makes b read the body that follows h.
 func (b *Body) Reset(r *bufio.Reader, h *Head) {
-	*b = Body{r: r, framing: h.Framing, left: h.Length, whole: h.Framing == NoBody}
+	*b = Body{r: r, framing: h.Framing, remaining: h.Length, complete: h.Framing == NoBody}
 }
 
-// Whole reports whether the body was read to its end.
-func (b *Body) Whole() bool { return b.whole }
+// Complete reports whether the body was read to its end.
+func (b *Body) Whole() bool { return b.complete }
 
 // Read implements io.Reader.
 func (b *Body) Read(p []byte) (int, error) {
-	if b.whole {
+	if b.complete {
 		return 0, io.EOF
 	}
 	switch b.framing {
 	case ByLength:
-		return b.readCounted(p)
+		return b.readFixedLength(p)
 	case ByChunks:
 		return b.readChunked(p)
 	default:
 		n, err := b.r.Read(p)
-		// A reset comes as another error; only an orderly end is the body's end.
-		b.whole = errors.Is(err, io.EOF)
+		// A connection reset is another error: only an orderly close ends the body.
+		b.complete = errors.Is(err, io.EOF)
 		return n, err
 	}
 }
 
-func (b *Body) readCounted(p []byte) (int, error) {
-	n, err := b.r.Read(p[:min(int64(len(p)), b.left)])
-	b.left -= int64(n)
-	if b.left == 0 {
-		b.whole = true
+func (b *Body) readFixedLength(p []byte) (int, error) {
+	n, err := b.r.Read(p[:min(int64(len(p)), b.remaining)])
+	b.remaining -= int64(n)
+	if b.remaining == 0 {
+		b.complete = true
 		return n, nil
 	}
-	return n, noEOF(err)
+	return n, eofToUnexpected(err)
 }
 
 func (b *Body) readChunked(p []byte) (int, error) {
-	if b.left == 0 {
-		if err := b.nextChunk(); err != nil || b.whole {
+	if b.remaining == 0 {
+		if err := b.readChunkSize(); err != nil || b.complete {
 			if err == nil {
 				err = io.EOF
 			}
 			return 0, err
 		}
 	}
-	n, err := b.r.Read(p[:min(int64(len(p)), b.left)])
-	b.left -= int64(n)
-	return n, noEOF(err)
+	n, err := b.r.Read(p[:min(int64(len(p)), b.remaining)])
+	b.remaining -= int64(n)
+	return n, eofToUnexpected(err)
 }
 
-func (b *Body) nextChunk() error {
+func (b *Body) readChunkSize() error {
 	if b.started {
-		if err := b.expectLineEnd(); err != nil {
+		if err := b.readChunkEnd(); err != nil {
 			return err
 		}
 	}
 	b.started = true
-	line, err := b.line(maxChunkLine)
+	line, err := b.readLine(maxChunkLine)
 	if err != nil {
 		return err
 	}
 	size, ok := parseChunkSize(line)
 	if !ok {
-		return malformed("size of a chunk")
+		return malformed("chunk size")
 	}
 	if size > 0 {
-		b.left = size
+		b.remaining = size
 		return nil
 	}
-	return b.trailer()
+	return b.readTrailer()
 }
 
-func (b *Body) trailer() error {
+func (b *Body) readTrailer() error {
 	for total := 0; total < maxTrailer; {
-		line, err := b.line(maxTrailer)
+		line, err := b.readLine(maxTrailer)
 		if err != nil {
 			return err
 		}
 		if len(line) == 0 {
-			b.whole = true
+			b.complete = true
 			return nil
 		}
 		total += len(line)
@@ -117,29 +117,29 @@
 	return malformed("trailer")
 }
 
-func (b *Body) expectLineEnd() error {
-	line, err := b.line(maxChunkLine)
+func (b *Body) readChunkEnd() error {
+	line, err := b.readLine(maxChunkLine)
 	if err == nil && len(line) > 0 {
-		err = malformed("end of a chunk")
+		err = malformed("chunk end")
 	}
 	return err
 }
 
-func (b *Body) line(limit int) ([]byte, error) {
+func (b *Body) readLine(limit int) ([]byte, error) {
 	line, err := b.r.ReadSlice('\n')
 	if err != nil {
 		if errors.Is(err, bufio.ErrBufferFull) {
-			return nil, malformed("line of a chunk")
+			return nil, malformed("chunk line")
 		}
-		return nil, noEOF(err)
+		return nil, eofToUnexpected(err)
 	}
 	if len(line) < 2 || len(line) > limit || line[len(line)-2] != '\r' {
-		return nil, malformed("line of a chunk")
+		return nil, malformed("chunk line")
 	}
 	return line[:len(line)-2], nil
 }
 
-// maxChunkDigits keeps the size of a chunk below 2^60.
+// maxChunkDigits keeps the chunk size below 2^60.
 const maxChunkDigits = 15
 
 func parseChunkSize(line []byte) (int64, bool) {
@@ -153,7 +153,7 @@
 		case c >= 'A' && c <= 'F':
 			c -= 'A' - 10
 		case digits > 0 && (c == ';' || c == ' ' || c == '\t'):
-			// Extensions of a chunk say nothing about its size.
+			// Chunk extensions are ignored.
 			return n, true
 		default:
 			return 0, false
@@ -166,26 +166,26 @@
 	return n, digits > 0
 }
 
-func noEOF(err error) error {
+func eofToUnexpected(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// ReadAll reads the whole body into buf, which it returns grown. It fails with
-// ErrBodyTooLarge beyond limit bytes.
+// ReadAll appends the whole body to buf and returns it. It fails with ErrBodyTooLarge if the
+// result exceeds limit bytes.
 func (b *Body) ReadAll(buf []byte, limit int64) ([]byte, error) {
 	if b.framing == ByLength {
-		if b.left > limit {
+		if b.remaining > limit {
 			return buf, ErrBodyTooLarge
 		}
-		need := len(buf) + int(b.left)
+		need := len(buf) + int(b.remaining)
 		if cap(buf) < need {
 			buf = append(make([]byte, 0, need), buf...)
 		}
 	}
-	for !b.whole {
+	for !b.complete {
 		if len(buf) == cap(buf) {
 			buf = append(buf, 0)[:len(buf)]
 		}
@@ -194,7 +194,7 @@
 		if int64(len(buf)) > limit {
 			return buf, ErrBodyTooLarge
 		}
-		if err != nil && !b.whole {
+		if err != nil && !b.complete {
 			return buf, err
 		}
 	}
--- a/instance/http1/head.go
+++ b/instance/http1/head.go
@@ -1,7 +1,7 @@
-// Package http1 reads and writes HTTP/1.1 messages for a forwarder: heads are
-// parsed strictly and kept byte for byte, and bodies are read so that it is known
-// whether one came whole. A forwarder that is lenient where the next hop is not
-// lets one message be smuggled inside another, so what is ambiguous is refused.
+// Package http1 reads HTTP/1.1 messages for a forwarder. It parses heads strictly and keeps their
+// fields byte for byte, and it detects whether a body is complete. Ambiguous messages are
+// rejected: a forwarder that is more lenient than the next hop allows one message to be smuggled
+// inside another.
 package http1
 
 import (
@@ -14,47 +14,47 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// Field is one header field as it was sent.
+// Field is a header field as it was sent.
 type Field struct{ Name, Value []byte }
 
-// Is reports whether the field has the given name; case does not count.
+// Is reports whether the field has the given name, ignoring case.
 func (f *Field) Is(name string) bool { return equalFold(f.Name, name) }
 
-// Framing says where a body ends.
+// Framing is how the end of a body is determined.
 type Framing uint8
 
 // The framings of a body.
 const (
-	// NoBody means that the message ends with its head.
+	// NoBody means that the message has no body.
 	NoBody Framing = iota
-	// ByLength means that Content-Length counts the body.
+	// ByLength means that Content-Length gives the size of the body.
 	ByLength
 	// ByChunks means the chunked transfer coding.
 	ByChunks
-	// ByClose means that the body ends with the connection (answers only).
+	// ByClose means that the body ends when the connection closes (responses only).
 	ByClose
 )
 
-// Head is the part of a message before its body. Its slices belong to the head's
-// own buffer and stay valid until the next Read into it.
+// Head is the part of a message before its body. Its slices refer to the head's own buffer and are
+// valid until the next message is read into it.
 type Head struct {
-	// Method and Target are set for requests, Status and Reason for answers.
+	// Method and Target are set for requests, Status and Reason for responses.
 	Method, Target []byte
 	Status         int
 	Reason         []byte
 	// Minor is the minor version of HTTP/1.
 	Minor  int
 	Fields []Field
-	// Framing and Length say how the body is framed.
+	// Framing is the framing of the body, and Length its size if that is ByLength.
 	Framing Framing
 	Length  int64
-	// Close says that the connection ends after this message.
+	// Close means that the connection closes after this message.
 	Close bool
 
 	raw []byte
 }
 
-// Get returns the first value of a field, or nil.
+// Get returns the value of the first field with the name, or nil.
 func (h *Head) Get(name string) []byte {
 	for i := range h.Fields {
 		if h.Fields[i].Is(name) {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// Has reports whether there is a field of that name.
+// Has reports whether a field has the name.
 func (h *Head) Has(name string) bool { return h.Count(name) > 0 }
 
 // Count returns how many fields have the name.
@@ -78,13 +78,13 @@
 	return n
 }
 
-// ErrHeadTooLarge is returned when a head is longer than allowed.
-var ErrHeadTooLarge = fault.New(fault.TooLarge, "the head of the message is longer than allowed")
+// ErrHeadTooLarge is returned for a head that exceeds the limit.
+var ErrHeadTooLarge = fault.New(fault.TooLarge, "the message head exceeds the limit")
 
 func malformed(what string) error { return fault.New(fault.Invalid, "malformed message: %s", what) }
 
-// readRaw reads up to and including the empty line that ends a head. It returns
-// io.EOF only when the connection ended before the first byte.
+// readRaw reads up to and including the empty line that ends a head. It returns io.EOF only if the
+// connection ended before the first byte.
 func (h *Head) readRaw(r *bufio.Reader, limit int) error {
 	h.raw = h.raw[:0]
 	for {
@@ -106,33 +106,32 @@
 			return nil
 		}
 		if len(h.raw) == 2 && h.raw[0] == '\r' {
-			// An empty line before a request line is allowed, and skipped.
+			// An empty line before a request line is permitted and skipped.
 			h.raw = h.raw[:0]
 		}
 	}
 }
 
-// ReadRequest reads the head of a request of at most limit bytes. It fails with
-// io.EOF when the connection ended between messages, with ErrHeadTooLarge, or
-// with fault.Invalid.
+// ReadRequest reads the head of a request, of at most limit bytes. It fails with io.EOF if the
+// connection ended between messages, with ErrHeadTooLarge, or with fault.Invalid.
 func (h *Head) ReadRequest(r *bufio.Reader, limit int) error {
 	if err := h.readRaw(r, limit); err != nil {
 		return err
 	}
-	rest, err := h.requestLine()
+	rest, err := h.parseRequestLine()
 	if err != nil {
 		return err
 	}
-	if err := h.fields(rest); err != nil {
+	if err := h.parseFields(rest); err != nil {
 		return err
 	}
 	if h.Count("Host") != 1 {
-		return malformed("exactly one Host is needed")
+		return malformed("exactly one Host field is required")
 	}
-	return h.frameRequest()
+	return h.parseRequestFraming()
 }
 
-func (h *Head) requestLine() ([]byte, error) {
+func (h *Head) parseRequestLine() ([]byte, error) {
 	line, rest, ok := cutLine(h.raw)
 	if !ok {
 		return nil, malformed("request line")
@@ -146,10 +145,10 @@
 	if !isToken(h.Method) || h.Target[0] != '/' || !isVisible(h.Target) {
 		return nil, malformed("method or target")
 	}
-	return rest, h.version(line[b+1:])
+	return rest, h.parseVersion(line[b+1:])
 }
 
-func (h *Head) version(v []byte) error {
+func (h *Head) parseVersion(v []byte) error {
 	switch string(v) {
 	case "HTTP/1.1":
 		h.Minor = 1
@@ -161,7 +160,7 @@
 	return nil
 }
 
-// ReadAnswer reads the head of an answer to a request with the given method.
+// ReadResponse reads the head of the response to a request with the given method.
 func (h *Head) ReadAnswer(r *bufio.Reader, limit int, method string) error {
 	if err := h.readRaw(r, limit); err != nil {
 		return err
@@ -170,7 +169,7 @@
 	if !ok || len(line) < len("HTTP/1.1 200") || line[8] != ' ' {
 		return malformed("status line")
 	}
-	if err := h.version(line[:8]); err != nil {
+	if err := h.parseVersion(line[:8]); err != nil {
 		return err
 	}
 	h.Status = 0
@@ -181,10 +180,10 @@
 		h.Status = h.Status*10 + int(c-'0')
 	}
 	h.Reason = bytes.TrimSpace(line[12:])
-	if err := h.fields(rest); err != nil {
+	if err := h.parseFields(rest); err != nil {
 		return err
 	}
-	return h.frameAnswer(method)
+	return h.parseResponseFraming(method)
 }
 
 func cutLine(b []byte) (line, rest []byte, ok bool) {
@@ -195,12 +194,12 @@
 	return b[:i-1], b[i+1:], true
 }
 
-func (h *Head) fields(rest []byte) error {
+func (h *Head) parseFields(rest []byte) error {
 	h.Fields = h.Fields[:0]
 	for {
 		line, next, ok := cutLine(rest)
 		if !ok {
-			return malformed("a line does not end in CR LF")
+			return malformed("line does not end in CR LF")
 		}
 		if len(line) == 0 {
 			return nil
@@ -218,8 +217,8 @@
 	}
 }
 
-func (h *Head) frameRequest() error {
-	if err := h.frame(); err != nil {
+func (h *Head) parseRequestFraming() error {
+	if err := h.parseFraming(); err != nil {
 		return err
 	}
 	if h.Framing == ByClose {
@@ -228,8 +227,8 @@
 	return nil
 }
 
-func (h *Head) frameAnswer(method string) error {
-	if err := h.frame(); err != nil {
+func (h *Head) parseResponseFraming(method string) error {
+	if err := h.parseFraming(); err != nil {
 		return err
 	}
 	if method == "HEAD" || h.Status/100 == 1 || h.Status == 204 || h.Status == 304 {
@@ -241,13 +240,13 @@
 	return nil
 }
 
-// frame sets Framing, Length and Close from the fields. A message with both a
-// length and a transfer coding, or with two lengths, is refused: another reader
-// might see its end elsewhere.
-func (h *Head) frame() error {
+// parseFraming sets Framing, Length and Close from the fields. A message with both a length and a
+// transfer coding, or with two lengths, is rejected, because another reader might see its end
+// elsewhere.
+func (h *Head) parseFraming() error {
 	h.Framing, h.Length = ByClose, 0
 	h.Close = h.Minor == 0
-	coded := false
+	chunked := false
 	for i := range h.Fields {
 		f := &h.Fields[i]
 		switch {
@@ -258,17 +257,17 @@
 			}
 			h.Framing, h.Length = ByLength, n
 		case f.Is("Transfer-Encoding"):
-			if coded || !equalFold(f.Value, "chunked") || h.Minor == 0 {
+			if chunked || !equalFold(f.Value, "chunked") || h.Minor == 0 {
 				return malformed("Transfer-Encoding")
 			}
-			coded = true
+			chunked = true
 		case f.Is("Connection"):
-			h.connection(f.Value)
+			h.parseConnection(f.Value)
 		}
 	}
-	if coded {
+	if chunked {
 		if h.Framing == ByLength {
-			return malformed("Content-Length beside Transfer-Encoding")
+			return malformed("both Content-Length and Transfer-Encoding")
 		}
 		h.Framing = ByChunks
 	}
@@ -278,12 +277,12 @@
 	return nil
 }
 
-// connection sets Close as a Connection field says.
-func (h *Head) connection(options []byte) {
+// parseConnection sets Close from the options of a Connection field.
+func (h *Head) parseConnection(options []byte) {
 	switch {
-	case hasListed(options, "close"):
+	case hasToken(options, "close"):
 		h.Close = true
-	case h.Minor == 0 && hasListed(options, "keep-alive"):
+	case h.Minor == 0 && hasToken(options, "keep-alive"):
 		h.Close = false
 	}
 }
@@ -304,11 +303,11 @@
 	return n, true
 }
 
-// ParseUint reads a decimal number of at most fifteen digits.
+// ParseUint parses a decimal number of at most 15 digits.
 func ParseUint(b []byte) (int64, bool) { return parseLength(b) }
 
-// hasListed reports whether a comma-separated list has the token.
-func hasListed(list []byte, token string) bool {
+// hasToken reports whether a comma-separated list contains the token, ignoring case.
+func hasToken(list []byte, token string) bool {
 	for len(list) > 0 {
 		var item []byte
 		item, list, _ = bytes.Cut(list, []byte{','})
@@ -319,7 +318,7 @@
 	return false
 }
 
-// EqualFold reports whether b and s are equal but for the case of ASCII letters.
+// EqualFold reports whether b and s are equal, ignoring the case of ASCII letters.
 func EqualFold(b []byte, s string) bool { return equalFold(b, s) }
 
 func equalFold(b []byte, s string) bool {
--- a/instance/http1/http1_test.go
+++ b/instance/http1/http1_test.go
@@ -14,15 +14,15 @@
 
 const limit = 1024
 
-func request(text string) (*http1.Head, *bufio.Reader, error) {
+func readRequest(text string) (*http1.Head, *bufio.Reader, error) {
 	h := &http1.Head{}
 	r := bufio.NewReader(strings.NewReader(text))
 	return h, r, h.ReadRequest(r, limit)
 }
 
-func TestRequestHeadIsKept(t *testing.T) {
+func TestRequestHeadIsUnchanged(t *testing.T) {
 	g := NewWithT(t)
-	h, r, err := request("\r\nPOST /a/b%20?c HTTP/1.1\r\nHost: x\r\nKey:  k \r\nContent-Length: 3\r\n\r\nabcGET")
+	h, r, err := readRequest("\r\nPOST /a/b%20?c HTTP/1.1\r\nHost: x\r\nKey:  k \r\nContent-Length: 3\r\n\r\nabcGET")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(string(h.Method) + " " + string(h.Target)).To(Equal("POST /a/b%20?c"))
 	g.Expect(string(h.Get("key"))).To(Equal("k"))
@@ -33,10 +33,10 @@
 	g.Expect(string(body)).To(Equal("abc"))
 }
 
-// An attacker hides a second request inside the body of a first one by framing it
-// in a way that the forwarder and the upstream read differently. The upstream would
-// then run a request that no caller sent under its own name.
-func TestAmbiguousRequestsAreRefused(t *testing.T) {
+// Guards against request smuggling: a body framed so that the forwarder and the upstream see
+// different ends hides a second request, which the upstream would run although no caller sent it
+// under its own name.
+func TestAmbiguousRequestsAreRejected(t *testing.T) {
 	for _, head := range []string{
 		"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n",
 		"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nContent-Length: 3\r\n\r\n",
@@ -54,22 +54,22 @@
 		"GET / HTTP/2.0\r\nHost: x\r\n\r\n",
 		"GET /a b HTTP/1.1\r\nHost: x\r\n\r\n",
 	} {
-		_, _, err := request(head)
+		_, _, err := readRequest(head)
 		if fault.CodeOf(err) != fault.Invalid {
 			t.Errorf("%q: %v", head, err)
 		}
 	}
 }
 
-func TestLargeHeadIsRefused(t *testing.T) {
+func TestLargeHeadIsRejected(t *testing.T) {
 	g := NewWithT(t)
-	_, _, err := request("GET / HTTP/1.1\r\nHost: x\r\nA: " + strings.Repeat("a", limit) + "\r\n\r\n")
+	_, _, err := readRequest("GET / HTTP/1.1\r\nHost: x\r\nA: " + strings.Repeat("a", limit) + "\r\n\r\n")
 	g.Expect(err).To(MatchError(http1.ErrHeadTooLarge))
 }
 
 func TestChunkedBody(t *testing.T) {
 	g := NewWithT(t)
-	h, r, err := request("POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\nA\r\n0123456789\r\n0\r\nT: u\r\n\r\nrest")
+	h, r, err := readRequest("POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\nA\r\n0123456789\r\n0\r\nT: u\r\n\r\nrest")
 	g.Expect(err).NotTo(HaveOccurred())
 	var b http1.Body
 	b.Reset(r, h)
@@ -80,10 +80,10 @@
 	g.Expect(string(rest)).To(Equal("rest"))
 }
 
-// An upstream crashes in the middle of an answer. Whatever the framing, what came
-// so far must not pass for the whole body.
-func TestBodyThatEndsEarlyIsNotWhole(t *testing.T) {
-	for _, answer := range []string{
+// Guards against an incomplete body that is taken for a complete one after an upstream crashes in
+// the middle of a response, whatever the framing.
+func TestTruncatedBodyIsNotComplete(t *testing.T) {
+	for _, response := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nabc",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n",
@@ -91,17 +91,17 @@
 	} {
 		g := NewWithT(t)
 		h := &http1.Head{}
-		r := bufio.NewReader(strings.NewReader(answer))
+		r := bufio.NewReader(strings.NewReader(response))
 		g.Expect(h.ReadAnswer(r, limit, "POST")).To(Succeed())
 		var b http1.Body
 		b.Reset(r, h)
 		_, err := b.ReadAll(nil, limit)
-		g.Expect(err).To(MatchError(io.ErrUnexpectedEOF), answer)
+		g.Expect(err).To(MatchError(io.ErrUnexpectedEOF), response)
 		g.Expect(b.Whole()).To(BeFalse())
 	}
 }
 
-func TestAnswerWithoutLengthEndsWithTheConnection(t *testing.T) {
+func TestResponseWithoutLengthEndsWithTheConnection(t *testing.T) {
 	g := NewWithT(t)
 	h := &http1.Head{}
 	r := bufio.NewReader(strings.NewReader("HTTP/1.1 200 OK\r\n\r\nabc"))
@@ -119,7 +119,7 @@
 	f.Add("GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 	f.Add("POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")
 	f.Fuzz(func(_ *testing.T, text string) {
-		h, r, err := request(text)
+		h, r, err := readRequest(text)
 		if err != nil {
 			return
 		}
