--- a/instance/chat/answer.go
+++ b/instance/chat/answer.go
@@ -7,22 +7,22 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// Chunk is one event of a stream, with the fields that the router needs.
+// Chunk is one event of a stream, with the fields that the router uses.
 type Chunk struct {
 	ID      string        `json:"id"`
 	Created int64         `json:"created"`
 	Model   string        `json:"model"`
 	Choices []ChunkChoice `json:"choices"`
 	Usage   *Usage        `json:"usage,omitempty"`
-	// Failed says that the event reports a failure in place of a chunk.
-	Failed failureMark `json:"error"`
+	// Failed is set if the event reports an error instead of a chunk.
+	Failed errorFlag `json:"error"`
 }
 
-// failureMark is set by any value but null.
-type failureMark bool
+// errorFlag is decoded as true from any value but null.
+type errorFlag bool
 
 // UnmarshalJSON implements json.Unmarshaler.
-func (f *failureMark) UnmarshalJSON(data []byte) error {
+func (f *errorFlag) UnmarshalJSON(data []byte) error {
 	*f = string(data) != "null"
 	return nil
 }
@@ -34,7 +34,7 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Delta extends a message.
+// Delta is an addition to a message.
 type Delta struct {
 	Role      string     `json:"role,omitempty"`
 	Content   string     `json:"content,omitempty"`
@@ -42,7 +42,7 @@
 	ToolCalls []ToolCall `json:"tool_calls,omitempty"`
 }
 
-// ToolCall is a call of a tool; in a delta it extends the call at its index.
+// ToolCall is a tool call; in a delta it extends the call with the same index.
 type ToolCall struct {
 	Index    int          `json:"index"`
 	ID       string       `json:"id,omitempty"`
@@ -50,20 +50,20 @@
 	Function ToolFunction `json:"function"`
 }
 
-// ToolFunction is the function of a ToolCall.
+// ToolFunction is the function that a ToolCall names, with its arguments.
 type ToolFunction struct {
 	Name      string `json:"name,omitempty"`
 	Arguments string `json:"arguments"`
 }
 
-// Usage counts tokens.
+// Usage is the token counts of a request.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// Completion is a whole answer.
+// Completion is a complete response.
 type Completion struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -73,7 +73,7 @@
 	Usage   *Usage             `json:"usage,omitempty"`
 }
 
-// CompletionChoice is one choice of a whole answer.
+// CompletionChoice is one choice of a complete response.
 type CompletionChoice struct {
 	Index        int     `json:"index"`
 	Message      Delta   `json:"message"`
@@ -84,12 +84,12 @@
 func ParseChunk(data []byte) (*Chunk, error) {
 	c := &Chunk{}
 	if err := json.Unmarshal(data, c); err != nil {
-		return nil, fault.Wrap(err, fault.Corrupt, "an event of the upstream's stream is not a chunk")
+		return nil, fault.Wrap(err, fault.Corrupt, "an event of the upstream's stream is not a valid chunk")
 	}
 	return c, nil
 }
 
-// Tokens estimates how many tokens the chunk carries: engines send one a chunk.
+// Tokens estimates the number of tokens in the chunk: engines send one per chunk.
 func (c *Chunk) Tokens() int {
 	for _, ch := range c.Choices {
 		if ch.Delta.Content != "" || ch.Delta.Refusal != "" || len(ch.Delta.ToolCalls) > 0 {
@@ -99,69 +99,69 @@
 	return 0
 }
 
-// UsageOnly reports whether the chunk carries nothing but the token counts.
+// UsageOnly reports whether the chunk contains only the token counts.
 func (c *Chunk) UsageOnly() bool { return len(c.Choices) == 0 && c.Usage != nil }
 
-// Assembler puts a whole answer together from chunks.
+// Assembler builds a complete response from chunks.
 type Assembler struct {
-	out     Completion
-	text    strings.Builder
-	refusal strings.Builder
-	calls   []ToolCall
-	role    string
-	finish  *string
+	completion   Completion
+	content      strings.Builder
+	refusal      strings.Builder
+	toolCalls    []ToolCall
+	role         string
+	finishReason *string
 }
 
-// Add takes the next chunk.
+// Add appends the next chunk.
 func (a *Assembler) Add(c *Chunk) {
 	if c.Usage != nil {
-		a.out.Usage = c.Usage
+		a.completion.Usage = c.Usage
 	}
-	if a.out.Model == "" {
-		a.out.Model = c.Model
-		a.out.Created = c.Created
+	if a.completion.Model == "" {
+		a.completion.Model = c.Model
+		a.completion.Created = c.Created
 	}
 	for _, ch := range c.Choices {
-		a.choice(ch)
+		a.addChoice(ch)
 	}
 }
 
-func (a *Assembler) choice(ch ChunkChoice) {
+func (a *Assembler) addChoice(ch ChunkChoice) {
 	if ch.Delta.Role != "" {
 		a.role = ch.Delta.Role
 	}
-	a.text.WriteString(ch.Delta.Content)
+	a.content.WriteString(ch.Delta.Content)
 	a.refusal.WriteString(ch.Delta.Refusal)
 	for _, t := range ch.Delta.ToolCalls {
-		a.toolCall(t)
+		a.addToolCall(t)
 	}
 	if ch.FinishReason != nil {
-		a.finish = ch.FinishReason
+		a.finishReason = ch.FinishReason
 	}
 }
 
-func (a *Assembler) toolCall(t ToolCall) {
-	for i := range a.calls {
-		if a.calls[i].Index == t.Index {
-			a.calls[i].Function.Name += t.Function.Name
-			a.calls[i].Function.Arguments += t.Function.Arguments
+func (a *Assembler) addToolCall(t ToolCall) {
+	for i := range a.toolCalls {
+		if a.toolCalls[i].Index == t.Index {
+			a.toolCalls[i].Function.Name += t.Function.Name
+			a.toolCalls[i].Function.Arguments += t.Function.Arguments
 			return
 		}
 	}
-	a.calls = append(a.calls, t)
+	a.toolCalls = append(a.toolCalls, t)
 }
 
-// Whole returns the answer under the given ID.
+// Completion returns the complete response with the given ID.
 func (a *Assembler) Whole(id string) *Completion {
-	a.out.ID = id
-	a.out.Object = "chat.completion"
+	a.completion.ID = id
+	a.completion.Object = "chat.completion"
 	role := a.role
 	if role == "" {
 		role = "assistant"
 	}
-	a.out.Choices = []CompletionChoice{{
-		Message:      Delta{Role: role, Content: a.text.String(), Refusal: a.refusal.String(), ToolCalls: a.calls},
-		FinishReason: a.finish,
+	a.completion.Choices = []CompletionChoice{{
+		Message:      Delta{Role: role, Content: a.content.String(), Refusal: a.refusal.String(), ToolCalls: a.toolCalls},
+		FinishReason: a.finishReason,
 	}}
-	return &a.out
+	return &a.completion
 }
--- a/instance/chat/head.go
+++ b/instance/chat/head.go
@@ -2,39 +2,39 @@
 
 import "bytes"
 
-// Head is what the router must know of each chunk of a stream that it passes on.
+// ChunkSummary is what the router needs to know of each chunk that it forwards.
 type Head struct {
-	// ID is the chunk's ID as it stands in the text.
+	// ID is the chunk's ID, in raw form.
 	ID []byte
-	// Failed says that the event reports a failure in place of a chunk.
+	// Failed is set if the event reports an error instead of a chunk.
 	Failed bool
-	// Tokens estimates how many tokens the chunk carries: engines send one each.
+	// Tokens estimates the number of tokens in the chunk: engines send one per chunk.
 	Tokens int
-	// UsageOnly says that it carries nothing but the token counts.
+	// UsageOnly is set if the chunk contains only the token counts.
 	UsageOnly bool
 }
 
-// ScanHead reads the head of a chunk without decoding it, which costs a fraction
-// of ParseChunk at each token. False means that the text isn't plain enough to
-// be sure, such as an ID with escapes; ParseChunk decides then.
+// ScanChunk reads the summary of a chunk without decoding it, at a fraction of the cost of
+// ParseChunk for each token. It returns false for text that it cannot interpret with certainty,
+// such as an ID with escapes; the caller then has to use ParseChunk.
 func ScanHead(data []byte) (Head, bool) {
 	var h Head
 	usage, choices := false, false
-	rest, ok := opened(data, '{')
+	rest, ok := skipDelimiter(data, '{')
 	for ok {
 		var key, value []byte
-		if key, rest, ok = plainString(rest); !ok {
+		if key, rest, ok = scanPlainString(rest); !ok {
 			break
 		}
-		if rest, ok = opened(rest, ':'); !ok {
+		if rest, ok = skipDelimiter(rest, ':'); !ok {
 			break
 		}
-		if value, rest, ok = anyValue(rest); !ok {
+		if value, rest, ok = scanValue(rest); !ok {
 			break
 		}
 		switch string(key) {
 		case "id":
-			if h.ID, _, ok = plainString(value); !ok {
+			if h.ID, _, ok = scanPlainString(value); !ok {
 				return h, false
 			}
 		case "error":
@@ -43,28 +43,28 @@
 			usage = string(value) != "null"
 		case "choices":
 			choices = string(value) != "[]" && string(value) != "null"
-			h.Tokens = carried(value)
+			h.Tokens = estimateTokens(value)
 		}
-		next := trim(rest)
+		next := trimSpace(rest)
 		if len(next) > 0 && next[0] == '}' {
 			h.UsageOnly = usage && !choices
-			return h, len(trim(next[1:])) == 0
+			return h, len(trimSpace(next[1:])) == 0
 		}
-		rest, ok = opened(rest, ',')
+		rest, ok = skipDelimiter(rest, ',')
 	}
 	return h, false
 }
 
-// texts are the fields of a delta that carry tokens.
-var texts = [][]byte{[]byte(`"content":`), []byte(`"refusal":`), []byte(`"tool_calls":`)}
+// tokenFields are the fields of a delta that contain tokens.
+var tokenFields = [][]byte{[]byte(`"content":`), []byte(`"refusal":`), []byte(`"tool_calls":`)}
 
-func carried(choices []byte) int {
-	for _, name := range texts {
+func estimateTokens(choices []byte) int {
+	for _, name := range tokenFields {
 		i := bytes.Index(choices, name)
 		if i < 0 {
 			continue
 		}
-		value := trim(choices[i+len(name):])
+		value := trimSpace(choices[i+len(name):])
 		switch {
 		case len(value) < 2:
 		case value[0] == '"' && value[1] != '"', value[0] == '[' && value[1] != ']':
@@ -74,25 +74,25 @@
 	return 0
 }
 
-func trim(b []byte) []byte {
+func trimSpace(b []byte) []byte {
 	for len(b) > 0 && (b[0] == ' ' || b[0] == '\t' || b[0] == '\n' || b[0] == '\r') {
 		b = b[1:]
 	}
 	return b
 }
 
-// opened skips blanks and the given mark.
-func opened(b []byte, mark byte) ([]byte, bool) {
-	b = trim(b)
-	if len(b) == 0 || b[0] != mark {
+// skipDelimiter skips whitespace and the given delimiter.
+func skipDelimiter(b []byte, delimiter byte) ([]byte, bool) {
+	b = trimSpace(b)
+	if len(b) == 0 || b[0] != delimiter {
 		return b, false
 	}
 	return b[1:], true
 }
 
-// plainString reads a string without escapes.
-func plainString(b []byte) (text, rest []byte, ok bool) {
-	if b, ok = opened(b, '"'); !ok {
+// scanPlainString reads a string without escapes.
+func scanPlainString(b []byte) (text, rest []byte, ok bool) {
+	if b, ok = skipDelimiter(b, '"'); !ok {
 		return nil, nil, false
 	}
 	end := bytes.IndexByte(b, '"')
@@ -102,9 +102,9 @@
 	return b[:end], b[end+1:], true
 }
 
-// anyValue skips one value: a string, a number or word, or a nest of brackets.
-func anyValue(b []byte) (value, rest []byte, ok bool) {
-	b = trim(b)
+// scanValue reads one value: a string, a number or literal, an object or an array.
+func scanValue(b []byte) (value, rest []byte, ok bool) {
+	b = trimSpace(b)
 	depth := 0
 	for i := 0; i < len(b); i++ {
 		switch b[i] {
@@ -128,7 +128,7 @@
 	return nil, nil, false
 }
 
-// stringEnd returns the place of the quote that ends the string at b[0], or -1.
+// stringEnd returns the index of the quote that ends the string that starts at b[0], or -1.
 func stringEnd(b []byte) int {
 	for i := 1; i < len(b); i++ {
 		switch b[i] {
@@ -141,7 +141,7 @@
 	return -1
 }
 
-// HeadOf returns the head of a chunk, or a failure with code Corrupt.
+// SummarizeChunk returns the summary of a chunk. It fails with fault.Corrupt.
 func HeadOf(data []byte) (Head, error) {
 	if h, ok := ScanHead(data); ok {
 		return h, nil
--- a/instance/chat/head_test.go
+++ b/instance/chat/head_test.go
@@ -21,7 +21,7 @@
 	`{"id":"chatcmpl-\u0061-1","choices":[]}`,
 }
 
-func TestTheHeadIsThatOfTheWholeChunk(t *testing.T) {
+func TestSummaryMatchesTheDecodedChunk(t *testing.T) {
 	g := NewWithT(t)
 	for _, text := range chunks {
 		head, err := chat.HeadOf([]byte(text))
@@ -35,16 +35,16 @@
 	}
 }
 
-// A chunk's ID decides whose answer it is. Whatever an engine sends, a scan that
-// is sure must find the ID that a decoder finds.
-func FuzzScanHead(f *testing.F) {
+// A chunk's ID determines which request its response belongs to. Whatever an engine sends, a
+// successful scan must find the same ID as a decoder.
+func FuzzScanChunk(f *testing.F) {
 	for _, text := range chunks {
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		head, sure := chat.ScanHead(data)
+		head, ok := chat.ScanHead(data)
 		exact := map[string]json.RawMessage{}
-		if !sure || json.Unmarshal(data, &exact) != nil {
+		if !ok || json.Unmarshal(data, &exact) != nil {
 			return
 		}
 		var id string
--- a/instance/chat/request.go
+++ b/instance/chat/request.go
@@ -1,6 +1,5 @@
-// Package chat reads and writes the published chat completions format: the
-// caller's request, the chunks of an engine's stream, and the whole answer that
-// is put together from them.
+// Package chat reads and writes the public chat completions format: the caller's request, the
+// chunks of an engine's stream, and the complete response built from them.
 package chat
 
 import (
@@ -12,25 +11,25 @@
 )
 
 const (
-	// bytesPerToken estimates the prompt's tokens; engines count exactly.
+	// bytesPerToken is used to estimate the length of a prompt; engines count exactly.
 	bytesPerToken = 4
 	maxMessages   = 4096
 	maxModelName  = 128
 )
 
-// Request is a caller's request with the fields that the router needs. All
-// other fields are passed on as they came.
+// Request is a caller's request with the fields that the router uses. All other fields are
+// forwarded unchanged.
 type Request struct {
 	Model        string
 	ServiceTier  string
 	Stream       bool
 	IncludeUsage bool
-	// MaxTokens is 0 when the caller set no bound.
+	// MaxTokens is 0 if the caller set no limit.
 	MaxTokens int
-	// Contents holds the text of each message, for prefix hashes and the estimate.
+	// Contents holds the text of each message, for prefix hashes and the token estimate.
 	Contents []string
 	fields   map[string]json.RawMessage
-	size     int
+	bodySize int
 }
 
 type message struct {
@@ -47,29 +46,28 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// ParseRequest checks a request body. Failures have code Invalid and name the
-// field.
+// ParseRequest parses and checks a request body. It fails with fault.Invalid and names the field.
 func ParseRequest(body []byte) (*Request, error) {
-	r := &Request{size: len(body)}
+	r := &Request{bodySize: len(body)}
 	if err := json.Unmarshal(body, &r.fields); err != nil {
 		return nil, fault.Wrap(err, fault.Invalid, "the body is not a JSON object")
 	}
-	if err := r.scalars(); err != nil {
+	if err := r.parseScalars(); err != nil {
 		return nil, err
 	}
-	return r, r.messages()
+	return r, r.parseMessages()
 }
 
-func (r *Request) scalars() error {
+func (r *Request) parseScalars() error {
 	var options streamOptions
-	var completion int
+	var maxCompletionTokens int
 	var choices int
 	for _, f := range []struct {
 		name string
 		into any
 	}{
 		{"model", &r.Model}, {"service_tier", &r.ServiceTier}, {"stream", &r.Stream},
-		{"max_tokens", &r.MaxTokens}, {"max_completion_tokens", &completion},
+		{"max_tokens", &r.MaxTokens}, {"max_completion_tokens", &maxCompletionTokens},
 		{"stream_options", &options}, {"n", &choices},
 	} {
 		raw, ok := r.fields[f.name]
@@ -81,32 +79,32 @@
 		}
 	}
 	r.IncludeUsage = options.IncludeUsage
-	least := min(r.MaxTokens, completion)
-	r.MaxTokens = max(r.MaxTokens, completion)
+	lowest := min(r.MaxTokens, maxCompletionTokens)
+	r.MaxTokens = max(r.MaxTokens, maxCompletionTokens)
 	switch {
 	case r.Model == "" || len(r.Model) > maxModelName:
-		return fault.New(fault.Invalid, "model: 1 to %d characters are needed", maxModelName)
-	case least < 0:
-		return fault.New(fault.Invalid, "max_tokens: %d is negative", least)
+		return fault.New(fault.Invalid, "model: must have 1 to %d characters", maxModelName)
+	case lowest < 0:
+		return fault.New(fault.Invalid, "max_tokens: %d is negative", lowest)
 	case choices > 1, choices < 0:
-		return fault.New(fault.Invalid, "n: one choice per request is served")
+		return fault.New(fault.Invalid, "n: only one choice per request is supported")
 	}
 	return nil
 }
 
-func (r *Request) messages() error {
+func (r *Request) parseMessages() error {
 	var list []message
 	raw, ok := r.fields["messages"]
 	if !ok || json.Unmarshal(raw, &list) != nil || len(list) == 0 || len(list) > maxMessages {
-		return fault.New(fault.Invalid, "messages: a list of 1 to %d messages is needed", maxMessages)
+		return fault.New(fault.Invalid, "messages: must be a list of 1 to %d messages", maxMessages)
 	}
 	for i, m := range list {
 		if m.Role == "" {
-			return fault.New(fault.Invalid, "messages[%d].role is needed", i)
+			return fault.New(fault.Invalid, "messages[%d].role is required", i)
 		}
 		text, err := contentText(m.Content)
 		if err != nil {
-			return fault.Wrap(err, fault.Invalid, "messages[%d].content is neither text nor a list of parts", i)
+			return fault.Wrap(err, fault.Invalid, "messages[%d].content is neither a string nor a list of parts", i)
 		}
 		r.Contents = append(r.Contents, text)
 	}
@@ -132,8 +130,8 @@
 	return text.String(), nil
 }
 
-// PromptText returns the contents of the messages, each with a newline after it,
-// as engines do when they name cached prefixes.
+// PromptText returns the contents of the messages, each followed by a newline, as engines do to
+// identify cached prefixes.
 func (r *Request) PromptText() []byte {
 	var text strings.Builder
 	for _, c := range r.Contents {
@@ -152,15 +150,15 @@
 	return n/bytesPerToken + 1
 }
 
-// decided lists the fields that the router sets itself or keeps to itself. They
-// are left out in any case of letters: many engines read field names without
-// regard to it, and a caller's "PRIORITY" would overrule the scheduler's.
-var decided = []string{"stream", "stream_options", "priority", "service_tier", "max_tokens", "max_completion_tokens"}
+// routerFields lists the fields that the router sets itself or does not forward. They are removed
+// in any letter case: many engines ignore the case of field names, so that a caller's "PRIORITY"
+// would override the scheduler's.
+var routerFields = []string{"stream", "stream_options", "priority", "service_tier", "max_tokens", "max_completion_tokens"}
 
-// Upstream returns the body for an engine: always streamed, with usage, the
-// scheduler's priority and a bound on the answer.
+// Upstream returns the request body for an engine: always streamed, with usage, the scheduler's
+// priority and, if maxTokens is above zero, that limit.
 func (r *Request) Upstream(priority, maxTokens int) ([]byte, error) {
-	out := make([]byte, 0, r.size+bodyMargin)
+	out := make([]byte, 0, r.bodySize+bodyMargin)
 	out = append(out, `{"stream":true,"stream_options":{"include_usage":true},"priority":`...)
 	out = strconv.AppendInt(out, int64(priority), 10)
 	if maxTokens > 0 {
@@ -168,7 +166,7 @@
 		out = strconv.AppendInt(out, int64(maxTokens), 10)
 	}
 	for name, value := range r.fields {
-		if isDecided(name) {
+		if isRouterField(name) {
 			continue
 		}
 		key, err := json.Marshal(name)
@@ -183,11 +181,11 @@
 	return append(out, '}'), nil
 }
 
-// bodyMargin is what the router adds to a body at most.
+// bodyMargin is an upper bound of the bytes that the router adds to a body.
 const bodyMargin = 128
 
-func isDecided(name string) bool {
-	for _, d := range decided {
+func isRouterField(name string) bool {
+	for _, d := range routerFields {
 		if strings.EqualFold(d, name) {
 			return true
 		}
--- a/instance/chat/request_test.go
+++ b/instance/chat/request_test.go
@@ -11,16 +11,16 @@
 	"github.com/comfreyladder/comfreyladder/instance/chat"
 )
 
-const ask = `"messages":[{"role":"user","content":"how steep is the dish"}]`
+const messagesField = `"messages":[{"role":"user","content":"how steep is the dish"}]`
 
-func TestBadRequestsAreRefusedAsInvalid(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	g := NewWithT(t)
 	for _, body := range []string{
-		``, `{`, `[]`, `null`, `{"model":"m"}`, `{"model":7,` + ask + `}`, `{"model":"",` + ask + `}`,
-		`{"model":"` + strings.Repeat("m", 200) + `",` + ask + `}`, `{"model":"m","messages":[]}`,
+		``, `{`, `[]`, `null`, `{"model":"m"}`, `{"model":7,` + messagesField + `}`, `{"model":"",` + messagesField + `}`,
+		`{"model":"` + strings.Repeat("m", 200) + `",` + messagesField + `}`, `{"model":"m","messages":[]}`,
 		`{"model":"m","messages":[{"content":"x"}]}`, `{"model":"m","messages":[{"role":"user","content":7}]}`,
-		`{"model":"m","max_tokens":-1,` + ask + `}`, `{"model":"m","max_tokens":99999999999999999999,` + ask + `}`,
-		`{"model":"m","n":2,` + ask + `}`, `{"model":"m","stream":"yes",` + ask + `}`,
+		`{"model":"m","max_tokens":-1,` + messagesField + `}`, `{"model":"m","max_tokens":99999999999999999999,` + messagesField + `}`,
+		`{"model":"m","n":2,` + messagesField + `}`, `{"model":"m","stream":"yes",` + messagesField + `}`,
 		strings.Repeat(`{"a":`, 100_000),
 	} {
 		_, err := chat.ParseRequest([]byte(body))
@@ -28,21 +28,20 @@
 	}
 }
 
-// A caller writes "PRIORITY" or "Stream" in its body. An engine that reads field
-// names without regard to case would take it in place of the router's: a band
-// app would overtake the nurses.
-func TestNoCallerOverrulesTheRouter(t *testing.T) {
+// Guards against a caller's "PRIORITY" or "Stream" that overrides the router's field in an engine
+// that ignores the case of field names: a low-priority request would overtake urgent ones.
+func TestCallerCannotOverrideRouterFields(t *testing.T) {
 	g := NewWithT(t)
-	r, err := chat.ParseRequest([]byte(`{"model":"m","PRIORITY":-9,"priority":-8,"Stream":false,"MAX_tokens":9000,"top_p":0.5,` + ask + `}`))
+	r, err := chat.ParseRequest([]byte(`{"model":"m","PRIORITY":-9,"priority":-8,"Stream":false,"MAX_tokens":9000,"top_p":0.5,` + messagesField + `}`))
 	g.Expect(err).NotTo(HaveOccurred())
 	body, err := r.Upstream(3, 50)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(body).To(MatchJSON(`{"model":"m","priority":3,"stream":true,"stream_options":{"include_usage":true},"max_tokens":50,"top_p":0.5,` + ask + `}`))
+	g.Expect(body).To(MatchJSON(`{"model":"m","priority":3,"stream":true,"stream_options":{"include_usage":true},"max_tokens":50,"top_p":0.5,` + messagesField + `}`))
 }
 
 func FuzzParseRequest(f *testing.F) {
-	f.Add([]byte(`{"model":"m",` + ask + `}`))
-	f.Add([]byte(`{"model":"m","stream":true,"n":1,"a\"b":[1, 2],` + ask + `}`))
+	f.Add([]byte(`{"model":"m",` + messagesField + `}`))
+	f.Add([]byte(`{"model":"m","stream":true,"n":1,"a\"b":[1, 2],` + messagesField + `}`))
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":[{"type":"text","text":"x"}]}]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		r, err := chat.ParseRequest(body)
