--- a/instance/httpapi/httpapi.go
+++ b/instance/httpapi/httpapi.go
@@ -1,5 +1,5 @@
-// Package httpapi holds what all HTTP listeners share: the mapping of typed
-// failures to answers, request IDs and JSON bodies.
+// Package httpapi contains what all HTTP listeners share: the mapping of typed errors to
+// responses, request IDs and JSON bodies.
 package httpapi
 
 import (
@@ -25,7 +25,7 @@
 	HeaderRetryAfter     = "Retry-After"
 )
 
-// statusCanceled tells in logs that the caller went away; nobody reads it.
+// statusCanceled marks requests whose caller disconnected. It appears only in logs.
 const statusCanceled = 499
 
 var statuses = map[fault.Code]int{
@@ -48,13 +48,13 @@
 	fault.Canceled:         statusCanceled,
 }
 
-// notRun lists the codes that say, besides what is wrong, that nothing was run.
-var notRun = map[fault.Code]bool{
+// notRunCodes are the error codes that imply that the request did not run.
+var notRunCodes = map[fault.Code]bool{
 	fault.Invalid: true, fault.Unauthenticated: true, fault.Forbidden: true, fault.NotFound: true,
 	fault.TooLarge: true, fault.KeyReused: true, fault.Overloaded: true, fault.Draining: true, fault.NotRun: true,
 }
 
-// Status returns the HTTP status for a failure's code.
+// Status returns the HTTP status of an error code.
 func Status(code fault.Code) int {
 	if s, ok := statuses[code]; ok {
 		return s
@@ -62,23 +62,23 @@
 	return fasthttp.StatusInternalServerError
 }
 
-// ErrorBody is the published format of a failure.
+// ErrorBody is the public format of an error response.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail is the inside of an ErrorBody.
+// ErrorDetail describes the error of an ErrorBody.
 type ErrorDetail struct {
 	Message   string `json:"message"`
 	Type      string `json:"type"`
 	Code      string `json:"code"`
 	RequestID string `json:"request_id,omitempty"`
-	// Problems lists all that is wrong with an intent.
+	// Problems lists all errors of an invalid intent or INI file.
 	Problems []string `json:"problems,omitempty"`
 }
 
-// Body returns the body that tells a caller about a failure. Causes stay in the
-// logs: they name addresses that are no business of callers.
+// Body returns the body of an error response. Causes are only logged, as they contain addresses
+// that callers must not see.
 func Body(err error, requestID string) ErrorBody {
 	f := fault.From(err)
 	return ErrorBody{Error: ErrorDetail{
@@ -119,34 +119,33 @@
 	return out
 }
 
-// WriteError answers with a failure.
+// WriteError writes an error response.
 func WriteError(ctx *fasthttp.RequestCtx, err error, requestID string) {
 	f := fault.From(err)
 	ctx.Response.ResetBody()
 	WriteJSON(ctx, Status(f.Code), Body(err, requestID))
 	SetRetryAfter(&ctx.Response.Header, f.RetryAfter)
-	if notRun[f.Code] && !mayHaveRun(err) {
+	if notRunCodes[f.Code] && !mayHaveRun(err) {
 		ctx.Response.Header.Set(HeaderNotRun, "true")
 	}
 }
 
-// mayHaveRun reports whether an attempt at an upstream stands behind the failure
-// of which it is not proved that nothing ran. An engine's 400, for example, has a
-// code that otherwise means "refused before it ran", yet proves nothing.
+// mayHaveRun reports whether the error comes from an attempt at an upstream that may have run the
+// request. An engine's status 400, for example, has a code that otherwise means that the request
+// was rejected before it ran, but does not prove it.
 func mayHaveRun(err error) bool {
 	var attempt interface{ NotRun() bool }
 	return errors.As(err, &attempt) && !attempt.NotRun()
 }
 
-// SetRetryAfter sets the Retry-After header, in whole seconds rounded up, when
-// d is above zero.
+// SetRetryAfter sets the Retry-After header, in whole seconds rounded up, if d is above zero.
 func SetRetryAfter(h *fasthttp.ResponseHeader, d time.Duration) {
 	if d > 0 {
 		h.Set(HeaderRetryAfter, strconv.Itoa(int(math.Ceil(d.Seconds()))))
 	}
 }
 
-// WriteJSON answers with a status and a JSON body.
+// WriteJSON writes a response with a status and a JSON body.
 func WriteJSON(ctx *fasthttp.RequestCtx, status int, body any) {
 	ctx.SetStatusCode(status)
 	ctx.SetContentType("application/json")
@@ -155,10 +154,10 @@
 	}
 }
 
-// ReadJSON decodes the request's body.
+// ReadJSON decodes the body of the request. It fails with fault.Invalid.
 func ReadJSON(ctx *fasthttp.RequestCtx, into any) error {
 	if err := json.Unmarshal(ctx.PostBody(), into); err != nil {
-		return fault.Wrap(err, fault.Invalid, "the body is not the JSON that is expected here")
+		return fault.Wrap(err, fault.Invalid, "the body is not valid JSON of the expected form")
 	}
 	return nil
 }
--- a/instance/httpserver/conn.go
+++ b/instance/httpserver/conn.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// conn is one caller's connection.
+// conn is the connection of a caller.
 type conn struct {
 	net.Conn
 	// raw is the connection below TLS.
 	raw net.Conn
-	// writeTimeout, if above zero, bounds each single write.
+	// writeTimeout limits each write if it is above zero.
 	writeTimeout time.Duration
-	// active says that a request is on its way; only the goroutine that serves
-	// the connection uses it.
-	active bool
+	// requestActive is set while a request is in progress. Only the goroutine that serves the connection
+	// uses it.
+	requestActive bool
 }
 
-// Write implements net.Conn. Each write has a time limit of its own: with one for
-// the whole answer, as fasthttp sets it, a stream that runs longer is cut though
-// its caller reads, and that caller sees a part of its answer. A caller that
-// doesn't read is still cut off, by the first write that finds no room.
+// Write implements net.Conn. Each write has its own timeout. With a single one for the whole
+// response, as fasthttp sets it, a longer stream would be cut off while its caller reads, and that
+// caller would get a truncated response. A caller that does not read is still cut off, at the
+// first write for which the send buffer has no space.
 func (c *conn) Write(p []byte) (int, error) {
 	if c.writeTimeout > 0 {
 		if err := c.SetWriteDeadline(time.Now().Add(c.writeTimeout)); err != nil {
@@ -30,8 +30,8 @@
 	return c.Conn.Write(p)
 }
 
-// HangUp returns the raw connection's notice that its peer is gone, or nil when
-// it gives none.
+// HangUp returns the raw connection's channel that signals the end of its peer, or nil if it has
+// none.
 func (c *conn) HangUp() <-chan struct{} {
 	h, ok := c.raw.(interface{ HangUp() <-chan struct{} })
 	if !ok {
--- a/instance/httpserver/httpserver.go
+++ b/instance/httpserver/httpserver.go
@@ -1,6 +1,5 @@
-// Package httpserver runs fasthttp on sockets that gnet owns, with TLS by
-// settings and with limits that keep a slow or malicious peer from harming
-// others.
+// Package httpserver runs fasthttp on sockets owned by gnet, with optional TLS and with limits
+// that keep a slow or malicious peer from affecting others.
 package httpserver
 
 import (
@@ -22,35 +21,35 @@
 	"github.com/comfreyladder/comfreyladder/instance/shutdown"
 )
 
-// inboundMargin is what a connection may hold unread beyond one largest request.
+// inboundMargin is how many unread bytes a connection may hold beyond one request of maximum size.
 const inboundMargin = 64 << 10
 
-// Config describes one listener.
+// Config configures a Server.
 type Config struct {
 	Address    string
 	EventLoops int
 	Limits     settings.Limits
-	// TLS, if set, is used for all connections.
+	// TLS, if set, applies to all connections.
 	TLS     *tls.Config
 	Handler fasthttp.RequestHandler
 }
 
-// Server is one listener with its handler.
+// Server is an HTTP listener with its handler.
 type Server struct {
-	cfg      Config
-	listener *gnetconn.Listener
-	server   *fasthttp.Server
-	closing  atomic.Bool
-	busy     atomic.Int64
-	served   chan struct{}
+	cfg            Config
+	listener       *gnetconn.Listener
+	server         *fasthttp.Server
+	closing        atomic.Bool
+	activeRequests atomic.Int64
+	serveDone      chan struct{}
 }
 
 // New returns a server that does not listen yet.
 func New(cfg Config) *Server {
-	s := &Server{cfg: cfg, served: make(chan struct{})}
+	s := &Server{cfg: cfg, serveDone: make(chan struct{})}
 	s.server = &fasthttp.Server{
 		Handler:                      s.handle,
-		ErrorHandler:                 badRequest,
+		ErrorHandler:                 writeReadError,
 		Name:                         "comfreyladder",
 		ReadBufferSize:               cfg.Limits.MaxHeader,
 		MaxRequestBodySize:           cfg.Limits.MaxBody,
@@ -60,14 +59,14 @@
 		NoDefaultServerHeader:        true,
 		NoDefaultDate:                true,
 		DisablePreParseMultipartForm: true,
-		// Malformed requests are answered and counted; a line for each would
-		// let anybody flood the log.
+		// Malformed requests get an error response; a log line for each would
+		// let anyone flood the log.
 		Logger: log.New(io.Discard, "", 0),
 	}
 	return s
 }
 
-// Start listens and serves.
+// Start binds the listener and begins to serve. It fails with fault.Unavailable.
 func (s *Server) Start(context.Context) error {
 	l, err := gnetconn.Listen(s.cfg.Address, gnetconn.Options{
 		EventLoops: s.cfg.EventLoops,
@@ -79,33 +78,33 @@
 	}
 	s.listener = l
 	go func() {
-		defer close(s.served)
+		defer close(s.serveDone)
 		_ = l.Serve(s.serveConn)
 	}()
 	return nil
 }
 
 const (
-	// lastAnswers bounds the wait of a stop for answers that are on their way, and lastQuiet
-	// is for how long none may be.
-	lastAnswers = 5 * time.Second
-	lastQuiet   = 100 * time.Millisecond
+	// drainTimeout limits how long Stop waits for responses in progress, and
+	// drainQuietPeriod is how long there must be none before Stop goes on.
+	drainTimeout     = 5 * time.Second
+	drainQuietPeriod = 100 * time.Millisecond
 )
 
-// Stop closes the listener and all connections. After CloseAfterAnswer it first waits for
-// the answers that are on their way.
+// Stop closes the listener and all connections. After CloseAfterResponse it first waits for the
+// responses in progress.
 func (s *Server) Stop(ctx context.Context) error {
 	if s.listener == nil {
 		return nil
 	}
 	if s.closing.Load() {
-		last, cancel := context.WithTimeout(ctx, lastAnswers)
+		drainCtx, cancel := context.WithTimeout(ctx, drainTimeout)
 		defer cancel()
-		// What takes longer is cut off by the close.
-		_ = shutdown.AwaitQuiet(last, lastQuiet, func() bool { return s.busy.Load() > 0 })
+		// Responses that take longer are cut off by the close.
+		_ = shutdown.AwaitQuiet(drainCtx, drainQuietPeriod, func() bool { return s.activeRequests.Load() > 0 })
 	}
 	err := s.listener.Close(ctx)
-	<-s.served
+	<-s.serveDone
 	return err
 }
 
@@ -117,14 +116,14 @@
 	return s.listener.Addr()
 }
 
-// CloseAfterAnswer makes every further answer end its connection, so that
-// clients move elsewhere without losing a request.
+// CloseAfterResponse makes every further response close its connection, so that clients reconnect
+// elsewhere without losing a request.
 func (s *Server) CloseAfterAnswer() { s.closing.Store(true) }
 
-// Busy returns how many connections have a request on its way: from its first
-// byte on until the last byte of its answer was handed to the system. A slow
-// reader's answer is on its way long after its handler has returned.
-func (s *Server) Busy() int64 { return s.busy.Load() }
+// Busy returns the number of connections with a request in progress: from its first byte until the
+// last byte of its response was passed to the kernel. The response to a slow reader is in progress
+// long after its handler has returned.
+func (s *Server) Busy() int64 { return s.activeRequests.Load() }
 
 func (s *Server) serveConn(c net.Conn) {
 	limited := &conn{Conn: c, raw: c, writeTimeout: s.cfg.Limits.WriteTimeout}
@@ -132,13 +131,13 @@
 		_ = s.server.ServeConn(limited)
 		return
 	}
-	secure := tls.Server(limited, s.cfg.TLS)
+	tlsConn := tls.Server(limited, s.cfg.TLS)
 	_ = c.SetReadDeadline(time.Now().Add(s.cfg.Limits.ReadTimeout))
-	if secure.Handshake() != nil {
+	if tlsConn.Handshake() != nil {
 		return
 	}
 	_ = c.SetReadDeadline(time.Time{})
-	_ = s.server.ServeConn(&conn{Conn: secure, raw: c})
+	_ = s.server.ServeConn(&conn{Conn: tlsConn, raw: c})
 }
 
 func (s *Server) connState(nc net.Conn, state fasthttp.ConnState) {
@@ -147,15 +146,15 @@
 		return
 	}
 	active := state == fasthttp.StateActive
-	if active == c.active {
+	if active == c.requestActive {
 		return
 	}
-	c.active = active
+	c.requestActive = active
 	if active {
-		s.busy.Add(1)
+		s.activeRequests.Add(1)
 		return
 	}
-	s.busy.Add(-1)
+	s.activeRequests.Add(-1)
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
@@ -165,8 +164,8 @@
 	}
 }
 
-// badRequest answers what could not be read as a request.
-func badRequest(ctx *fasthttp.RequestCtx, err error) {
+// writeReadError responds to input that could not be read as a request.
+func writeReadError(ctx *fasthttp.RequestCtx, err error) {
 	f := fault.New(fault.Invalid, "the request could not be read: %v", err)
 	var small *fasthttp.ErrSmallBuffer
 	if errors.As(err, &small) {
--- a/instance/tlsconf/tlsconf.go
+++ b/instance/tlsconf/tlsconf.go
@@ -1,5 +1,5 @@
-// Package tlsconf makes TLS configurations from files and reads the certificate
-// again when its files change, so that a renewal needs no restart.
+// Package tlsconf creates TLS configurations from files. It reloads the certificate when its files
+// change, so that a renewal needs no restart.
 package tlsconf
 
 import (
@@ -13,27 +13,26 @@
 	"github.com/comfreyladder/comfreyladder/instance/settings"
 )
 
-// checkEvery bounds how often handshakes look at the files' times.
-const checkEvery = 5 * time.Second
+// checkInterval is the minimum time between two checks of the files by handshakes.
+const checkInterval = 5 * time.Second
 
-// reloader holds a certificate and what the files looked like that it came from.
+// reloader holds a certificate and the versions of the files from which it was loaded.
 type reloader struct {
 	certFile, keyFile string
 	mu                sync.Mutex
 	cert              *tls.Certificate
-	seen              [2]stamp
-	checked           time.Time
+	loaded            [2]fileVersion
+	lastCheck         time.Time
 }
 
-// stamp tells versions of a file apart. Any difference counts: a file that is
-// put in place by a rename may be older than the one before it.
-type stamp struct {
-	changed time.Time
+// fileVersion identifies a version of a file. Any difference counts as a change, as a file that a
+// rename puts in place may be older than its predecessor.
+type fileVersion struct {
+	modTime time.Time
 	size    int64
 }
 
-// Server returns the configuration of the listeners, or nil when the settings
-// name no certificate.
+// Server returns the configuration of the listeners, or nil if the settings name no certificate.
 func Server(s settings.TLS) (*tls.Config, error) {
 	if s.Certificate == "" {
 		return nil, nil
@@ -42,12 +41,12 @@
 	if err := r.load(time.Now()); err != nil {
 		return nil, err
 	}
-	get := func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return r.current(time.Now()), nil }
-	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: get}, nil
+	getCertificate := func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return r.current(time.Now()), nil }
+	return &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: getCertificate}, nil
 }
 
-// Peer returns the configuration for links to other instances, or nil when the
-// settings name no certificate: either all instances use TLS or none does.
+// Peer returns the configuration for links to other instances, or nil if the settings name no
+// certificate: either all instances use TLS or none does.
 func Peer(s settings.TLS) (*tls.Config, error) {
 	if s.Certificate == "" {
 		return nil, nil
@@ -55,8 +54,8 @@
 	return Authority(s.PeerAuthority)
 }
 
-// Authority returns a client's configuration that trusts the certificate
-// authority in a file, or the system's authorities when the name is empty.
+// Authority returns a client configuration that trusts the certificate authority in a file, or the
+// system's authorities if file is empty.
 func Authority(file string) (*tls.Config, error) {
 	c := &tls.Config{MinVersion: tls.VersionTLS12}
 	if file == "" {
@@ -68,20 +67,20 @@
 	}
 	c.RootCAs = x509.NewCertPool()
 	if !c.RootCAs.AppendCertsFromPEM(pem) {
-		return nil, fault.New(fault.Invalid, "%s holds no certificate", file)
+		return nil, fault.New(fault.Invalid, "%s contains no certificate", file)
 	}
 	return c, nil
 }
 
-// current returns the certificate, after a look at the files if the last one is
-// old. A pair that cannot be read, such as one that is half written, leaves the
-// one in use in place: the next look tries again.
+// current returns the certificate, and checks the files before if the last check is old. If the
+// files cannot be loaded, for example while they are being written, the current certificate stays
+// in use and the next check tries again.
 func (r *reloader) current(now time.Time) *tls.Certificate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now.Sub(r.checked) >= checkEvery {
-		r.checked = now
-		if r.changed() {
+	if now.Sub(r.lastCheck) >= checkInterval {
+		r.lastCheck = now
+		if r.filesChanged() {
 			_ = r.read()
 		}
 	}
@@ -91,28 +90,28 @@
 func (r *reloader) load(now time.Time) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.checked = now
+	r.lastCheck = now
 	return r.read()
 }
 
 func (r *reloader) read() error {
-	// The stamps are taken first: a change during the read is seen next time.
-	seen := r.stamps()
+	// The versions are read first, so that the next check sees a change during the load.
+	versions := r.fileVersions()
 	cert, err := tls.LoadX509KeyPair(r.certFile, r.keyFile)
 	if err != nil {
 		return fault.Wrap(err, fault.Invalid, "read the certificate %s with its key", r.certFile)
 	}
 	r.cert = &cert
-	r.seen = seen
+	r.loaded = versions
 	return nil
 }
 
-func (r *reloader) changed() bool { return r.stamps() != r.seen }
+func (r *reloader) filesChanged() bool { return r.fileVersions() != r.loaded }
 
-func (r *reloader) stamps() (s [2]stamp) {
+func (r *reloader) fileVersions() (s [2]fileVersion) {
 	for i, name := range []string{r.certFile, r.keyFile} {
 		if info, err := os.Stat(name); err == nil {
-			s[i] = stamp{changed: info.ModTime(), size: info.Size()}
+			s[i] = fileVersion{modTime: info.ModTime(), size: info.Size()}
 		}
 	}
 	return s
--- a/instance/tlsconf/tlsconf_test.go
+++ b/instance/tlsconf/tlsconf_test.go
@@ -19,8 +19,8 @@
 	"github.com/comfreyladder/comfreyladder/instance/settings"
 )
 
-// pair writes a certificate with the given serial number, and its key.
-func pair(g Gomega, dir string, serial int64) settings.TLS {
+// writeKeyPair writes a certificate with the given serial number, and its key.
+func writeKeyPair(g Gomega, dir string, serial int64) settings.TLS {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	g.Expect(err).NotTo(HaveOccurred())
 	t := &x509.Certificate{SerialNumber: big.NewInt(serial), Subject: pkix.Name{CommonName: "i"}, NotAfter: time.Now().Add(time.Hour)}
@@ -40,13 +40,12 @@
 	return c.SerialNumber.Int64()
 }
 
-// The certificate is renewed while the daemon runs. A renewal that is half
-// written, or whose files carry an older date, must neither stop handshakes nor
-// go unseen until a restart.
-func TestRenewedCertificatesAreReadAgain(t *testing.T) {
+// Guards against a renewed certificate that breaks handshakes or is ignored until a restart: files
+// may be partly written, or carry an older date than their predecessors.
+func TestRenewedCertificateIsReloaded(t *testing.T) {
 	g := NewWithT(t)
 	dir := t.TempDir()
-	s := pair(g, dir, 1)
+	s := writeKeyPair(g, dir, 1)
 	now := time.Now()
 	r := &reloader{certFile: s.Certificate, keyFile: s.Key}
 	g.Expect(r.load(now)).To(Succeed())
@@ -54,24 +53,24 @@
 
 	old, err := os.ReadFile(s.Key)
 	g.Expect(err).NotTo(HaveOccurred())
-	pair(g, dir, 2)
+	writeKeyPair(g, dir, 2)
 	renewed, err := os.ReadFile(s.Key)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(os.WriteFile(s.Key, old, 0o600)).To(Succeed())
-	g.Expect(serial(g, r, now.Add(checkEvery/2))).To(Equal(int64(1)), "not looked at yet")
-	g.Expect(serial(g, r, now.Add(checkEvery))).To(Equal(int64(1)), "the key is still the old one")
+	g.Expect(serial(g, r, now.Add(checkInterval/2))).To(Equal(int64(1)), "the files must not be checked before the interval has passed")
+	g.Expect(serial(g, r, now.Add(checkInterval))).To(Equal(int64(1)), "the old certificate must stay while its key is still the old one")
 
 	g.Expect(os.WriteFile(s.Key, renewed, 0o600)).To(Succeed())
 	past := now.Add(-24 * time.Hour)
 	g.Expect(os.Chtimes(s.Certificate, past, past)).To(Succeed())
 	g.Expect(os.Chtimes(s.Key, past, past)).To(Succeed())
-	g.Expect(serial(g, r, now.Add(2*checkEvery))).To(Equal(int64(2)))
+	g.Expect(serial(g, r, now.Add(2*checkInterval))).To(Equal(int64(2)))
 }
 
-func TestAPairThatDoesNotFitStopsTheStart(t *testing.T) {
+func TestMismatchedKeyPairIsRejected(t *testing.T) {
 	g := NewWithT(t)
-	s := pair(g, t.TempDir(), 1)
-	s.Key = pair(g, t.TempDir(), 2).Key
+	s := writeKeyPair(g, t.TempDir(), 1)
+	s.Key = writeKeyPair(g, t.TempDir(), 2).Key
 	_, err := Server(s)
 	g.Expect(fault.CodeOf(err)).To(Equal(fault.Invalid))
 	g.Expect(Server(settings.TLS{})).To(BeNil())
