--- a/instance/link/accept.go
+++ b/instance/link/accept.go
@@ -55,7 +55,7 @@
 		s.log.Warn().Err(err).Str("remote", conn.RemoteAddr().String()).Msg("link rejected")
 		return
 	}
-	w := s.newWire(conn, name, newQueue(s.cfg.QueueItems, s.cfg.QueueBytes, &s.sendBudget), nil)
+	w := s.newConnection(conn, name, newQueue(s.cfg.QueueItems, s.cfg.QueueBytes, &s.sendBudget), nil)
 	defer w.sendQueue.close()
 	w.in = bufio.NewReaderSize(deadlineReader{w}, bufferSize)
 	in := newInbound(s, w)
@@ -74,7 +74,7 @@
 		return "", fault.Wrap(err, fault.Unavailable, "handshake")
 	}
 	var name string
-	authenticated := s.cfg.Open
+	allowed := s.cfg.Open
 	upgrader := ws.Upgrader{
 		OnRequest: func(uri []byte) error {
 			if string(uri) != Path {
@@ -85,14 +85,14 @@
 		OnHeader: func(key, value []byte) error {
 			switch {
 			case bytes.EqualFold(key, []byte(authHeader)):
-				authenticated = s.cfg.Open || s.validCredential(value)
+				allowed = s.cfg.Open || s.validCredential(value)
 			case bytes.EqualFold(key, []byte(instanceHeader)):
 				name = string(value)
 			}
 			return nil
 		},
 		OnBeforeUpgrade: func() (ws.HandshakeHeader, error) {
-			if !authenticated || name == "" {
+			if !allowed || name == "" {
 				return nil, ws.RejectConnectionError(ws.RejectionStatus(statusUnauthorized))
 			}
 			return nil, nil
@@ -100,7 +100,7 @@
 	}
 	if _, err := upgrader.Upgrade(conn); err != nil {
 		code := fault.Unavailable
-		if !authenticated {
+		if !allowed {
 			code = fault.Unauthenticated
 		}
 		return "", fault.Wrap(errors.WithStack(err), code, "handshake")
--- a/instance/link/bench_test.go
+++ b/instance/link/bench_test.go
@@ -56,9 +56,9 @@
 	var running sync.WaitGroup
 	for range callers {
 		running.Go(func() {
-			var answer benchMessage
+			var response benchMessage
 			for range max(1, b.N/callers) {
-				if err := services[0].Call(context.Background(), "1", "grant", benchMessage{"request-1234567890", "nurse-review", 700}, &answer); err != nil {
+				if err := services[0].Call(context.Background(), "1", "grant", benchMessage{"request-1234567890", "nurse-review", 700}, &response); err != nil {
 					b.Error(err)
 					return
 				}
--- a/instance/link/call.go
+++ b/instance/link/call.go
@@ -14,7 +14,7 @@
 	done    chan struct{}
 
 	mu       sync.Mutex
-	sentOn   *connection // nil until the request is written
+	sentOn   *connection // nil until the request is about to be written
 	ended    bool
 	response *envelope
 	err      error
@@ -60,7 +60,7 @@
 	close(c.done)
 }
 
-func (c *call) wire() *connection {
+func (c *call) connection() *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.sentOn
--- a/instance/link/helpers_test.go
+++ b/instance/link/helpers_test.go
@@ -33,8 +33,8 @@
 	return &tls.Config{Certificates: []tls.Certificate{{Certificate: [][]byte{der}, PrivateKey: key}}}, &tls.Config{RootCAs: roots}
 }
 
-// proxy forwards connections. After dropTraffic, the connections open by then stay open but lose
-// all data, while new ones work.
+// proxy forwards connections. dropTraffic makes all open connections lose their data without
+// closing them, while new connections work.
 type proxy struct {
 	net.Listener
 	mu       sync.Mutex
@@ -64,12 +64,12 @@
 			continue
 		}
 		p.conns.Add(1)
-		muted := &atomic.Bool{}
+		dropping := &atomic.Bool{}
 		p.mu.Lock()
-		p.dropping = append(p.dropping, muted)
+		p.dropping = append(p.dropping, dropping)
 		p.mu.Unlock()
-		go pipe(c, up, muted)
-		go pipe(up, c, muted)
+		go pipe(c, up, dropping)
+		go pipe(up, c, dropping)
 	}
 }
 
@@ -81,7 +81,7 @@
 	}
 }
 
-func pipe(dst, src net.Conn, muted *atomic.Bool) {
+func pipe(dst, src net.Conn, dropping *atomic.Bool) {
 	defer func() { _ = src.Close() }()
 	defer func() { _ = dst.Close() }()
 	buf := make([]byte, 32<<10)
@@ -90,7 +90,7 @@
 		if err != nil {
 			return
 		}
-		if muted.Load() {
+		if dropping.Load() {
 			continue
 		}
 		if _, err := dst.Write(buf[:n]); err != nil {
--- a/instance/link/inbound.go
+++ b/instance/link/inbound.go
@@ -10,7 +10,8 @@
 // Limits of one accepted connection.
 const (
 	// maxInboundMessages is how many one-way messages of each priority may wait for their
-	// handlers; further ones are dropped and counted. The two channels take 8 bytes per message.
+	// handlers; further ones are dropped and counted. The two channels of a
+	// connection take 8 bytes per slot.
 	maxInboundMessages = 1024
 	// maxInboundCalls is how many calls run concurrently; further ones are rejected.
 	maxInboundCalls = 256
@@ -21,7 +22,7 @@
 // blocks the reader and thereby the detection of heartbeats.
 type inbound struct {
 	service *Service
-	w       *connection
+	conn    *connection
 	control chan *envelope
 	bulk    chan *envelope
 	calls   chan struct{}
@@ -33,7 +34,7 @@
 func newInbound(s *Service, w *connection) *inbound {
 	return &inbound{
 		service: s,
-		w:       w,
+		conn:    w,
 		control: make(chan *envelope, maxInboundMessages),
 		bulk:    make(chan *envelope, maxInboundMessages),
 		calls:   make(chan struct{}, maxInboundCalls),
@@ -61,7 +62,7 @@
 		select {
 		case e := <-messages:
 			if _, err := in.callHandler(e); err != nil {
-				in.service.log.Debug().Err(err).Str("peer", in.w.peer).Str("channel", e.Channel).Msg("message handler failed")
+				in.service.log.Debug().Err(err).Str("peer", in.conn.peer).Str("channel", e.Channel).Msg("message handler failed")
 			}
 			in.release(e)
 		case <-in.ctx.Done():
@@ -120,7 +121,7 @@
 }
 
 func (in *inbound) rejectCall(e *envelope) {
-	in.respond(errorEnvelope(e.ID, e.Channel, fault.New(fault.NotRun, "%s already runs too many calls, or holds too many unhandled messages, to accept a call from %s", in.service.cfg.Self, in.w.peer)))
+	in.respond(errorEnvelope(e.ID, e.Channel, fault.New(fault.NotRun, "%s already runs too many calls, or holds too many unhandled messages, to accept a call from %s", in.service.cfg.Self, in.conn.peer)))
 }
 
 func (in *inbound) handleCall(e *envelope) {
@@ -144,7 +145,7 @@
 	if h == nil {
 		return nil, fault.New(fault.NotRun, "channel %q has no handler on instance %s", e.Channel, in.service.cfg.Self)
 	}
-	return h(in.ctx, in.w.peer, Message{body: e.Body})
+	return h(in.ctx, in.conn.peer, Message{body: e.Body})
 }
 
 // respond queues a response. If it cannot be queued, the connection is closed, so that the caller
@@ -157,10 +158,10 @@
 		err = nil
 	}
 	if err == nil {
-		_, err = in.w.sendQueue.push(&queuedMessage{channel: e.Channel, bulk: in.service.channel(e.Channel).bulk, data: data})
+		_, err = in.conn.sendQueue.push(&queuedMessage{channel: e.Channel, bulk: in.service.channel(e.Channel).bulk, data: data})
 	}
 	if err != nil {
-		in.service.log.Warn().Err(err).Str("peer", in.w.peer).Msg("response could not be queued, link closed")
-		in.w.close()
+		in.service.log.Warn().Err(err).Str("peer", in.conn.peer).Msg("response could not be queued, link closed")
+		in.conn.close()
 	}
 }
--- a/instance/link/link.go
+++ b/instance/link/link.go
@@ -151,8 +151,8 @@
 // New returns a service that is not started. It fails with fault.Invalid if the configuration is
 // incomplete.
 func New(cfg Config) (*Service, error) {
-	authenticated := cfg.Credential != "" && len(cfg.Accept) > 0
-	if cfg.Self == "" || cfg.Book == nil || !authenticated && !cfg.Open {
+	hasCredentials := cfg.Credential != "" && len(cfg.Accept) > 0
+	if cfg.Self == "" || cfg.Book == nil || !hasCredentials && !cfg.Open {
 		return nil, fault.New(fault.Invalid, "links require the name of the instance, an address book, a credential and the hashes of accepted credentials")
 	}
 	cfg.setDefaults()
@@ -319,6 +319,6 @@
 	return err
 }
 
-func (s *Service) newWire(conn net.Conn, name string, out *queue, handle func(*connection, *envelope)) *connection {
+func (s *Service) newConnection(conn net.Conn, name string, out *queue, handle func(*connection, *envelope)) *connection {
 	return &connection{service: s, peer: name, conn: conn, sendQueue: out, handle: handle, stop: make(chan struct{})}
 }
--- a/instance/link/peer.go
+++ b/instance/link/peer.go
@@ -100,7 +100,7 @@
 	defer p.mu.Unlock()
 	var calls []*call
 	for _, c := range p.calls {
-		if c.wire() == w {
+		if c.connection() == w {
 			calls = append(calls, c)
 		}
 	}
@@ -159,7 +159,7 @@
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Unavailable, "dial %s at %s", p.name, addr)
 	}
-	w := p.service.newWire(tcpconn.Wrap(conn), p.name, p.sendQueue, p.receive)
+	w := p.service.newConnection(tcpconn.Wrap(conn), p.name, p.sendQueue, p.receive)
 	w.dialer = true
 	w.idleAfter = p.service.cfg.IdleAfter
 	w.hasPendingCalls = p.hasPendingCalls
--- a/instance/link/queue.go
+++ b/instance/link/queue.go
@@ -56,9 +56,9 @@
 	q.shared.used.Add(int64(size))
 }
 
-// push adds a message without blocking. If the queue is full, a lossy message replaces the oldest
-// one of its channel, or is dropped itself if there is none, and any other message fails with
-// fault.Overloaded. The first result reports whether a message was dropped.
+// push adds a message without blocking. If the queue is full and the message is lossy, push drops
+// the oldest message of its channel, and the new one if there is still no room. Any other message
+// fails with fault.Overloaded. The first result reports whether a message was dropped.
 func (q *queue) push(it *queuedMessage) (bool, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/instance/link/wire.go
+++ b/instance/link/wire.go
@@ -26,8 +26,8 @@
 	dialer    bool // this side dialled, so it masks its frames (RFC 6455, section 5.3)
 	sendQueue *queue
 	handle    func(*connection, *envelope)
-	// idleAfter closes the connection after this long without any frame but heartbeats; zero
-	// disables it.
+	// idleAfter closes the connection once nothing but heartbeats was written for this long and no
+	// call is pending; zero disables it.
 	idleAfter       time.Duration
 	hasPendingCalls func() bool // set together with idleAfter
 	stop            chan struct{}
@@ -82,14 +82,14 @@
 // deadlineReader sets a new read deadline before each read. When a router or NAT between the two
 // ends loses the connection's state, the connection stays open without an error on either side;
 // the deadline closes it, because a live peer sends heartbeats.
-type deadlineReader struct{ w *connection }
+type deadlineReader struct{ conn *connection }
 
 func (h deadlineReader) Read(p []byte) (int, error) {
-	if err := h.w.conn.SetReadDeadline(time.Now().Add(h.w.readTimeout())); err != nil {
+	if err := h.conn.conn.SetReadDeadline(time.Now().Add(h.conn.readTimeout())); err != nil {
 		return 0, err
 	}
-	h.w.service.stats.reads.Add(1)
-	return h.w.conn.Read(p)
+	h.conn.service.stats.reads.Add(1)
+	return h.conn.conn.Read(p)
 }
 
 func (w *connection) readLoop() error {
