--- a/instance/link/accept.go
+++ b/instance/link/accept.go
@@ -74,7 +74,7 @@
 		return "", fault.Wrap(err, fault.Unavailable, "handshake")
 	}
 	var name string
-	allowed := s.cfg.Open
+	allowed := s.cfg.AllowUnauthenticated
 	upgrader := ws.Upgrader{
 		OnRequest: func(uri []byte) error {
 			if string(uri) != Path {
@@ -85,7 +85,7 @@
 		OnHeader: func(key, value []byte) error {
 			switch {
 			case bytes.EqualFold(key, []byte(authHeader)):
-				allowed = s.cfg.Open || s.validCredential(value)
+				allowed = s.cfg.AllowUnauthenticated || s.validCredential(value)
 			case bytes.EqualFold(key, []byte(instanceHeader)):
 				name = string(value)
 			}
--- a/instance/link/link.go
+++ b/instance/link/link.go
@@ -65,10 +65,10 @@
 	// from peers: more than one while a credential is being replaced.
 	Credential string
 	Accept     [][sha256.Size]byte
-	// Open accepts peers without a credential. Anyone who can reach the peer listener can then act
+	// AllowUnauthenticated accepts peers without a credential. Anyone who can reach the peer listener can then act
 	// as an instance, so it is only for networks that are closed to others.
-	Open bool
-	Book AddressBook
+	AllowUnauthenticated bool
+	Book                 AddressBook
 	// ServerTLS and ClientTLS enable TLS for accepted and dialled links.
 	ServerTLS *tls.Config
 	ClientTLS *tls.Config
@@ -152,7 +152,7 @@
 // incomplete.
 func New(cfg Config) (*Service, error) {
 	hasCredentials := cfg.Credential != "" && len(cfg.Accept) > 0
-	if cfg.Self == "" || cfg.Book == nil || !hasCredentials && !cfg.Open {
+	if cfg.Self == "" || cfg.Book == nil || !hasCredentials && !cfg.AllowUnauthenticated {
 		return nil, fault.New(fault.Invalid, "links require the name of the instance, an address book, a credential and the hashes of accepted credentials")
 	}
 	cfg.setDefaults()
@@ -193,7 +193,7 @@
 
 // Start binds the peer listener. It fails with fault.Unavailable.
 func (s *Service) Start(context.Context) error {
-	if s.cfg.Open {
+	if s.cfg.AllowUnauthenticated {
 		s.log.Warn().Str("event", "links_open").Msg("the settings allow links without a credential")
 	}
 	if s.cfg.Listen == "" {
--- a/instance/quarantine/service_test.go
+++ b/instance/quarantine/service_test.go
@@ -57,7 +57,7 @@
 	RegisterTestingT(t)
 	m := &member{}
 	var err error
-	m.links, err = link.New(link.Config{Self: "m", Listen: "127.0.0.1:0", Open: true, Book: m, Log: zerolog.Nop()})
+	m.links, err = link.New(link.Config{Self: "m", Listen: "127.0.0.1:0", AllowUnauthenticated: true, Book: m, Log: zerolog.Nop()})
 	Expect(err).NotTo(HaveOccurred())
 	m.service = quarantine.New(quarantine.Config{
 		Replica: func() *consensus.Service { return m.control.Replica() }, Links: m.links, Log: zerolog.New(&m.log),
--- a/instance/ratelimit/service_test.go
+++ b/instance/ratelimit/service_test.go
@@ -60,7 +60,7 @@
 	for _, name := range g.names {
 		n := &node{}
 		var err error
-		n.links, err = link.New(link.Config{Self: name, Listen: "127.0.0.1:0", Open: true, Book: g, Log: zerolog.Nop()})
+		n.links, err = link.New(link.Config{Self: name, Listen: "127.0.0.1:0", AllowUnauthenticated: true, Book: g, Log: zerolog.Nop()})
 		Expect(err).NotTo(HaveOccurred())
 		ratelimit.New(ratelimit.Config{Replica: func() *consensus.Service { return n.control.Replica() }, Links: n.links, Limits: known})
 		n.control = control.New(control.Config{
--- a/instance/roles/process.go
+++ b/instance/roles/process.go
@@ -160,7 +160,7 @@
 
 func (p *Process) links() kernel.Module {
 	return kernel.Module{Name: nameLinks, New: func(*kernel.Kernel) (kernel.Service, error) {
-		cfg := link.Config{Self: p.cfg.Peer, Book: names{}, Open: true, Log: p.log}
+		cfg := link.Config{Self: p.cfg.Peer, Book: names{}, AllowUnauthenticated: true, Log: p.log}
 		if p.cfg.Control != "" {
 			cfg.Listen = p.cfg.Peer
 		}
--- a/instance/serving/group_test.go
+++ b/instance/serving/group_test.go
@@ -101,7 +101,7 @@
 
 func (n *node) start(bootstrap bool) {
 	g := n.g
-	links, err := link.New(link.Config{Self: n.name, Listen: "127.0.0.1:0", Open: true, Book: g, Log: zerolog.Nop()})
+	links, err := link.New(link.Config{Self: n.name, Listen: "127.0.0.1:0", AllowUnauthenticated: true, Book: g, Log: zerolog.Nop()})
 	g.Expect(err).NotTo(HaveOccurred())
 	n.links = links
 	wire := splitLinks{links, n}
