--- a/instance/daemon/cluster.go
+++ b/instance/daemon/cluster.go
@@ -59,7 +59,7 @@
 			return nil, err
 		}
 		return link.New(link.Config{
-			Self: d.cfg.Instance.Name, Listen: d.cfg.Listen.Peers, Credential: key, Accept: [][sha256.Size]byte{sha256.Sum256([]byte(key))},
+			Self: d.cfg.Instance.Name, Listen: d.cfg.Listen.Peers, Credential: key, AcceptedHashes: [][sha256.Size]byte{sha256.Sum256([]byte(key))},
 			Book: d.book, ServerTLS: server, ClientTLS: client, Log: d.log,
 		})
 	}}
--- a/instance/link/accept.go
+++ b/instance/link/accept.go
@@ -120,8 +120,8 @@
 	}
 	sum := sha256.Sum256(credential)
 	match := 0
-	for i := range s.cfg.Accept {
-		match |= subtle.ConstantTimeCompare(sum[:], s.cfg.Accept[i][:])
+	for i := range s.cfg.AcceptedHashes {
+		match |= subtle.ConstantTimeCompare(sum[:], s.cfg.AcceptedHashes[i][:])
 	}
 	return match == 1
 }
--- a/instance/link/bench_test.go
+++ b/instance/link/bench_test.go
@@ -34,7 +34,7 @@
 	for i := range services {
 		s, err := link.New(link.Config{
 			Self: strconv.Itoa(i), Listen: "127.0.0.1:0", Credential: "secret", Book: addresses, Log: zerolog.Nop(),
-			Accept: [][sha256.Size]byte{sha256.Sum256([]byte("secret"))},
+			AcceptedHashes: [][sha256.Size]byte{sha256.Sum256([]byte("secret"))},
 		})
 		if err != nil {
 			b.Fatal(err)
--- a/instance/link/link.go
+++ b/instance/link/link.go
@@ -63,8 +63,8 @@
 	Listen string
 	// Credential is sent to peers. Accept holds the SHA-256 hashes of the credentials accepted
 	// from peers: more than one while a credential is being replaced.
-	Credential string
-	Accept     [][sha256.Size]byte
+	Credential     string
+	AcceptedHashes [][sha256.Size]byte
 	// AllowUnauthenticated accepts peers without a credential. Anyone who can reach the peer listener can then act
 	// as an instance, so it is only for networks that are closed to others.
 	AllowUnauthenticated bool
@@ -151,7 +151,7 @@
 // New returns a service that is not started. It fails with fault.Invalid if the configuration is
 // incomplete.
 func New(cfg Config) (*Service, error) {
-	hasCredentials := cfg.Credential != "" && len(cfg.Accept) > 0
+	hasCredentials := cfg.Credential != "" && len(cfg.AcceptedHashes) > 0
 	if cfg.Self == "" || cfg.Book == nil || !hasCredentials && !cfg.AllowUnauthenticated {
 		return nil, fault.New(fault.Invalid, "links require the name of the instance, an address book, a credential and the hashes of accepted credentials")
 	}
--- a/instance/link/link_test.go
+++ b/instance/link/link_test.go
@@ -47,8 +47,8 @@
 func startService(name string, b *addressBook, modify func(*link.Config)) *link.Service {
 	cfg := link.Config{
 		Self: name, Listen: "127.0.0.1:0", Credential: "secret", Book: b,
-		Accept: [][sha256.Size]byte{sha256.Sum256([]byte("older")), sha256.Sum256([]byte("secret"))},
-		Log:    zerolog.Nop(),
+		AcceptedHashes: [][sha256.Size]byte{sha256.Sum256([]byte("older")), sha256.Sum256([]byte("secret"))},
+		Log:            zerolog.Nop(),
 	}
 	if modify != nil {
 		modify(&cfg)
@@ -113,7 +113,7 @@
 		one := startService("one", b, nil)
 		two, err := link.New(link.Config{
 			Self: "two", Listen: "127.0.0.1:0", Credential: "secret", Book: b, Log: zerolog.Nop(),
-			Accept: [][sha256.Size]byte{sha256.Sum256([]byte("secret"))},
+			AcceptedHashes: [][sha256.Size]byte{sha256.Sum256([]byte("secret"))},
 		})
 		Expect(err).NotTo(HaveOccurred())
 		got := make(chan int, 1000)
--- a/instance/member/member_test.go
+++ b/instance/member/member_test.go
@@ -27,7 +27,7 @@
 	book := member.NewBook(seeds)
 	links, err := link.New(link.Config{
 		Self: name, Listen: "127.0.0.1:0", Credential: "secret", Book: book, Log: zerolog.Nop(),
-		Accept: [][sha256.Size]byte{sha256.Sum256([]byte("secret"))},
+		AcceptedHashes: [][sha256.Size]byte{sha256.Sum256([]byte("secret"))},
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	n := &node{links: links}
--- a/instance/registry/bench_test.go
+++ b/instance/registry/bench_test.go
@@ -78,7 +78,7 @@
 	book := member.NewBook(seeds)
 	links, err := link.New(link.Config{
 		Self: name, Listen: "127.0.0.1:0", Credential: "secret", Book: book, Log: zerolog.Nop(),
-		Accept: [][sha256.Size]byte{sha256.Sum256([]byte("secret"))},
+		AcceptedHashes: [][sha256.Size]byte{sha256.Sum256([]byte("secret"))},
 	})
 	if err != nil {
 		b.Fatal(err)
--- a/instance/registry/registry_test.go
+++ b/instance/registry/registry_test.go
@@ -33,7 +33,7 @@
 	g := NewWithT(t)
 	links, err := link.New(link.Config{
 		Self: name, Listen: "127.0.0.1:0", Credential: "secret", Book: b, Log: zerolog.Nop(),
-		Accept: [][sha256.Size]byte{sha256.Sum256([]byte("secret"))},
+		AcceptedHashes: [][sha256.Size]byte{sha256.Sum256([]byte("secret"))},
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	s := registry.New(registry.Config{Domain: "hall", Links: links, Log: zerolog.Nop(), Peers: func() []string { return peers }})
--- a/instance/spread/spread_test.go
+++ b/instance/spread/spread_test.go
@@ -57,7 +57,7 @@
 	g := NewWithT(t)
 	links, err := link.New(link.Config{
 		Self: self.Name, Listen: "127.0.0.1:0", Credential: "secret", Book: &w.book, Log: zerolog.Nop(),
-		Accept: [][sha256.Size]byte{sha256.Sum256([]byte("secret"))},
+		AcceptedHashes: [][sha256.Size]byte{sha256.Sum256([]byte("secret"))},
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	n := &node{links: links}
