--- a/instance/link/queue_test.go
+++ b/instance/link/queue_test.go
@@ -58,12 +58,12 @@
 	p.receive(nil, &envelope{Kind: kindResponse, ID: 7, Channel: "beats"})
 	p.receive(nil, &envelope{Kind: kindRequest, ID: 7, Channel: "votes"})
 	g.Expect(c.done).NotTo(BeClosed())
-	g.Expect(p.service.UnmatchedAnswers()).To(BeEquivalentTo(2))
+	g.Expect(p.service.UnmatchedResponses()).To(BeEquivalentTo(2))
 	p.receive(nil, &envelope{Kind: kindResponse, ID: 7, Channel: "votes", Body: []byte{1}})
 	g.Expect(c.done).To(BeClosed())
 	p.removeCall(c)
 	p.receive(nil, &envelope{Kind: kindResponse, ID: 7, Channel: "votes"})
-	g.Expect(p.service.UnmatchedAnswers()).To(BeEquivalentTo(3))
+	g.Expect(p.service.UnmatchedResponses()).To(BeEquivalentTo(3))
 	g.Expect(c.response.Body).To(Equal([]byte{1}))
 }
 
--- a/instance/link/stats.go
+++ b/instance/link/stats.go
@@ -91,8 +91,8 @@
 	return s.stats.writes.Load(), s.stats.reads.Load()
 }
 
-// UnmatchedAnswers returns how many responses were late or matched no call.
-func (s *Service) UnmatchedAnswers() uint64 { return s.stats.unmatchedResponses.Load() }
+// UnmatchedResponses returns how many responses were late or matched no call.
+func (s *Service) UnmatchedResponses() uint64 { return s.stats.unmatchedResponses.Load() }
 
 // RefusedLinks returns how many connections failed the handshake.
 func (s *Service) RefusedLinks() uint64 { return s.stats.rejectedLinks.Load() }
