--- a/instance/link/link_test.go
+++ b/instance/link/link_test.go
@@ -140,7 +140,7 @@
 		two := startService("two", b, nil)
 		_, err := call(one, "two", "echo", "x")
 		Expect(fault.CodeOf(err)).To(Equal(fault.NotRun))
-		Eventually(two.RefusedLinks, testTimeout).Should(BeNumerically(">=", 1))
+		Eventually(two.RejectedLinks, testTimeout).Should(BeNumerically(">=", 1))
 		Expect(two.Stats()).To(BeEmpty())
 	})
 
--- a/instance/link/stats.go
+++ b/instance/link/stats.go
@@ -94,5 +94,5 @@
 // UnmatchedResponses returns how many responses were late or matched no call.
 func (s *Service) UnmatchedResponses() uint64 { return s.stats.unmatchedResponses.Load() }
 
-// RefusedLinks returns how many connections failed the handshake.
-func (s *Service) RefusedLinks() uint64 { return s.stats.rejectedLinks.Load() }
+// RejectedLinks returns how many connections failed the handshake.
+func (s *Service) RejectedLinks() uint64 { return s.stats.rejectedLinks.Load() }
