--- a/instance/gnetconn/gnetconn_test.go
+++ b/instance/gnetconn/gnetconn_test.go
@@ -179,7 +179,7 @@
 		first := dial(l)
 		Expect(ping(first)).To(Succeed())
 		Expect(ping(dial(l))).NotTo(Succeed())
-		Expect(l.TurnedAway()).To(BeEquivalentTo(1))
+		Expect(l.RejectedConns()).To(BeEquivalentTo(1))
 		_ = first.Close()
 		Eventually(l.Conns, testTimeout).Should(BeZero())
 		Expect(ping(dial(l))).To(Succeed())
--- a/instance/gnetconn/listener.go
+++ b/instance/gnetconn/listener.go
@@ -143,7 +143,7 @@
 func (l *Listener) Overflows() uint64 { return l.overflows.Load() }
 
 // RejectedConns returns how many connections were closed because of MaxConns.
-func (l *Listener) TurnedAway() uint64 { return l.rejectedConns.Load() }
+func (l *Listener) RejectedConns() uint64 { return l.rejectedConns.Load() }
 
 // Serve runs handler in a goroutine for each connection and returns after Close. A connection is
 // closed when its handler returns. Only the first call sets the handler.
