--- a/instance/http1/head.go
+++ b/instance/http1/head.go
@@ -161,7 +161,7 @@
 }
 
 // ReadResponse reads the head of the response to a request with the given method.
-func (h *Head) ReadAnswer(r *bufio.Reader, limit int, method string) error {
+func (h *Head) ReadResponse(r *bufio.Reader, limit int, method string) error {
 	if err := h.readRaw(r, limit); err != nil {
 		return err
 	}
--- a/instance/http1/http1_test.go
+++ b/instance/http1/http1_test.go
@@ -92,7 +92,7 @@
 		g := NewWithT(t)
 		h := &http1.Head{}
 		r := bufio.NewReader(strings.NewReader(response))
-		g.Expect(h.ReadAnswer(r, limit, "POST")).To(Succeed())
+		g.Expect(h.ReadResponse(r, limit, "POST")).To(Succeed())
 		var b http1.Body
 		b.Reset(r, h)
 		_, err := b.ReadAll(nil, limit)
@@ -105,7 +105,7 @@
 	g := NewWithT(t)
 	h := &http1.Head{}
 	r := bufio.NewReader(strings.NewReader("HTTP/1.1 200 OK\r\n\r\nabc"))
-	g.Expect(h.ReadAnswer(r, limit, "POST")).To(Succeed())
+	g.Expect(h.ReadResponse(r, limit, "POST")).To(Succeed())
 	g.Expect(h.Framing).To(Equal(http1.ByClose))
 	g.Expect(h.Close).To(BeTrue())
 	var b http1.Body
--- a/instance/relay/attempt.go
+++ b/instance/relay/attempt.go
@@ -161,7 +161,7 @@
 // earlier request may stand before it; it belongs to nobody any more.
 func (a *attempt) readHead() error {
 	for {
-		if err := a.head.ReadAnswer(a.conn.in, maxAnswerHead, string(a.r.head.Method)); err != nil {
+		if err := a.head.ReadResponse(a.conn.in, maxAnswerHead, string(a.r.head.Method)); err != nil {
 			return err
 		}
 		if a.head.Status/100 == 1 {
