--- a/instance/http1/body.go
+++ b/instance/http1/body.go
@@ -36,7 +36,7 @@
 }
 
 // Complete reports whether the body was read to its end.
-func (b *Body) Whole() bool { return b.complete }
+func (b *Body) Complete() bool { return b.complete }
 
 // Read implements io.Reader.
 func (b *Body) Read(p []byte) (int, error) {
--- a/instance/http1/http1_test.go
+++ b/instance/http1/http1_test.go
@@ -97,7 +97,7 @@
 		b.Reset(r, h)
 		_, err := b.ReadAll(nil, limit)
 		g.Expect(err).To(MatchError(io.ErrUnexpectedEOF), response)
-		g.Expect(b.Whole()).To(BeFalse())
+		g.Expect(b.Complete()).To(BeFalse())
 	}
 }
 
--- a/instance/relay/attempt.go
+++ b/instance/relay/attempt.go
@@ -220,7 +220,7 @@
 	if a.conn == nil {
 		return
 	}
-	if a.dirty || !a.written() || !a.body.Whole() || a.r.isGone() {
+	if a.dirty || !a.written() || !a.body.Complete() || a.r.isGone() {
 		_ = a.conn.nc.Close()
 		return
 	}
--- a/instance/relay/plain.go
+++ b/instance/relay/plain.go
@@ -92,7 +92,7 @@
 		}
 		n, err := a.body.Read(piece[:])
 		b = appendChunk(b[:0], piece[:n])
-		if a.body.Whole() {
+		if a.body.Complete() {
 			s.completed(a)
 			break
 		}
--- a/instance/relay/stream.go
+++ b/instance/relay/stream.go
@@ -72,7 +72,7 @@
 		a.setStreamDeadline()
 		n, err := a.body.Read(piece[:])
 		st.pending = append(st.pending, piece[:n]...)
-		whole := a.body.Whole()
+		whole := a.body.Complete()
 		if werr := st.send(a, whole); werr != nil {
 			return werr
 		}
