--- a/instance/chat/answer.go
+++ b/instance/chat/answer.go
@@ -152,7 +152,7 @@
 }
 
 // Completion returns the complete response with the given ID.
-func (a *Assembler) Whole(id string) *Completion {
+func (a *Assembler) Completion(id string) *Completion {
 	a.completion.ID = id
 	a.completion.Object = "chat.completion"
 	role := a.role
--- a/instance/gateway/chat.go
+++ b/instance/gateway/chat.go
@@ -161,7 +161,7 @@
 	for {
 		ev, err := x.next()
 		if errors.Is(err, io.EOF) {
-			return asm.Whole(answerIDPrefix + x.id), nil
+			return asm.Completion(answerIDPrefix + x.id), nil
 		}
 		if err != nil {
 			return nil, err
