--- a/instance/chat/head.go
+++ b/instance/chat/head.go
@@ -3,7 +3,7 @@
 import "bytes"
 
 // ChunkSummary is what the router needs to know of each chunk that it forwards.
-type Head struct {
+type ChunkSummary struct {
 	// ID is the chunk's ID, in raw form.
 	ID []byte
 	// Failed is set if the event reports an error instead of a chunk.
@@ -17,8 +17,8 @@
 // ScanChunk reads the summary of a chunk without decoding it, at a fraction of the cost of
 // ParseChunk for each token. It returns false for text that it cannot interpret with certainty,
 // such as an ID with escapes; the caller then has to use ParseChunk.
-func ScanHead(data []byte) (Head, bool) {
-	var h Head
+func ScanHead(data []byte) (ChunkSummary, bool) {
+	var h ChunkSummary
 	usage, choices := false, false
 	rest, ok := skipDelimiter(data, '{')
 	for ok {
@@ -142,13 +142,13 @@
 }
 
 // SummarizeChunk returns the summary of a chunk. It fails with fault.Corrupt.
-func HeadOf(data []byte) (Head, error) {
+func HeadOf(data []byte) (ChunkSummary, error) {
 	if h, ok := ScanHead(data); ok {
 		return h, nil
 	}
 	c, err := ParseChunk(data)
 	if err != nil {
-		return Head{}, err
+		return ChunkSummary{}, err
 	}
-	return Head{ID: []byte(c.ID), Failed: bool(c.Failed), Tokens: c.Tokens(), UsageOnly: c.UsageOnly()}, nil
+	return ChunkSummary{ID: []byte(c.ID), Failed: bool(c.Failed), Tokens: c.Tokens(), UsageOnly: c.UsageOnly()}, nil
 }
--- a/instance/dispatch/dispatch.go
+++ b/instance/dispatch/dispatch.go
@@ -89,7 +89,7 @@
 	// Data is one chunk, carrying the ID "chatcmpl-" + AttemptID; Head is what it
 	// says at a glance.
 	Data      []byte
-	Head      chat.Head
+	Head      chat.ChunkSummary
 	AttemptID string
 }
 
--- a/instance/upstream/stream.go
+++ b/instance/upstream/stream.go
@@ -32,7 +32,7 @@
 	// Data is one JSON chunk of the answer, and Head what it says at a glance.
 	// Both are valid until the next call of Next.
 	Data []byte
-	Head chat.Head
+	Head chat.ChunkSummary
 }
 
 // Option changes how a stream is asked for.
@@ -201,7 +201,7 @@
 	return Event{Seq: raw.id, Data: raw.data, Head: head}, err
 }
 
-func (s *Stream) head(data []byte) (chat.Head, error) {
+func (s *Stream) head(data []byte) (chat.ChunkSummary, error) {
 	head, err := chat.HeadOf(data)
 	if err != nil {
 		return head, fault.Wrap(err, fault.StreamBroken, "an event is no chunk")
