--- a/instance/chat/head.go
+++ b/instance/chat/head.go
@@ -142,7 +142,7 @@
 }
 
 // SummarizeChunk returns the summary of a chunk. It fails with fault.Corrupt.
-func HeadOf(data []byte) (ChunkSummary, error) {
+func SummarizeChunk(data []byte) (ChunkSummary, error) {
 	if h, ok := ScanHead(data); ok {
 		return h, nil
 	}
--- a/instance/chat/head_test.go
+++ b/instance/chat/head_test.go
@@ -24,7 +24,7 @@
 func TestSummaryMatchesTheDecodedChunk(t *testing.T) {
 	g := NewWithT(t)
 	for _, text := range chunks {
-		head, err := chat.HeadOf([]byte(text))
+		head, err := chat.SummarizeChunk([]byte(text))
 		g.Expect(err).NotTo(HaveOccurred(), text)
 		c, err := chat.ParseChunk([]byte(text))
 		g.Expect(err).NotTo(HaveOccurred(), text)
--- a/instance/upstream/stream.go
+++ b/instance/upstream/stream.go
@@ -202,7 +202,7 @@
 }
 
 func (s *Stream) head(data []byte) (chat.ChunkSummary, error) {
-	head, err := chat.HeadOf(data)
+	head, err := chat.SummarizeChunk(data)
 	if err != nil {
 		return head, fault.Wrap(err, fault.StreamBroken, "an event is no chunk")
 	}
