--- a/instance/chat/head.go
+++ b/instance/chat/head.go
@@ -17,7 +17,7 @@
 // ScanChunk reads the summary of a chunk without decoding it, at a fraction of the cost of
 // ParseChunk for each token. It returns false for text that it cannot interpret with certainty,
 // such as an ID with escapes; the caller then has to use ParseChunk.
-func ScanHead(data []byte) (ChunkSummary, bool) {
+func ScanChunk(data []byte) (ChunkSummary, bool) {
 	var h ChunkSummary
 	usage, choices := false, false
 	rest, ok := skipDelimiter(data, '{')
@@ -143,7 +143,7 @@
 
 // SummarizeChunk returns the summary of a chunk. It fails with fault.Corrupt.
 func SummarizeChunk(data []byte) (ChunkSummary, error) {
-	if h, ok := ScanHead(data); ok {
+	if h, ok := ScanChunk(data); ok {
 		return h, nil
 	}
 	c, err := ParseChunk(data)
--- a/instance/chat/head_test.go
+++ b/instance/chat/head_test.go
@@ -42,7 +42,7 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		head, ok := chat.ScanHead(data)
+		head, ok := chat.ScanChunk(data)
 		exact := map[string]json.RawMessage{}
 		if !ok || json.Unmarshal(data, &exact) != nil {
 			return
