--- a/instance/daemon/http.go
+++ b/instance/daemon/http.go
@@ -129,9 +129,9 @@
 	if err != nil {
 		return err
 	}
-	listener.CloseAfterAnswer()
+	listener.CloseAfterResponse()
 	if operators, err := kernel.Lookup[*httpserver.Server](g.kernel, nameOperators); err == nil {
-		operators.CloseAfterAnswer()
+		operators.CloseAfterResponse()
 	}
 	return shutdown.AwaitQuiet(ctx, quiet, func() bool { return g.InFlight() > 0 || listener.Busy() > 0 })
 }
--- a/instance/httpserver/httpserver.go
+++ b/instance/httpserver/httpserver.go
@@ -118,7 +118,7 @@
 
 // CloseAfterResponse makes every further response close its connection, so that clients reconnect
 // elsewhere without losing a request.
-func (s *Server) CloseAfterAnswer() { s.closing.Store(true) }
+func (s *Server) CloseAfterResponse() { s.closing.Store(true) }
 
 // Busy returns the number of connections with a request in progress: from its first byte until the
 // last byte of its response was passed to the kernel. The response to a slow reader is in progress
