--- a/instance/gnetconn/conn.go
+++ b/instance/gnetconn/conn.go
@@ -30,7 +30,7 @@
 	// mu guards the inbound side and the error that ended it.
 	mu           sync.Mutex
 	readCond     sync.Cond
-	inbound      []byte // received bytes, of which those before off were read
+	buf          []byte // received bytes, of which those before off were read
 	off          int
 	readErr      error // set once no more bytes can arrive
 	closed       bool  // closed by this side
@@ -83,18 +83,18 @@
 	if c.closed || c.readErr != nil {
 		return true
 	}
-	if len(c.inbound)-c.off+len(data) > l.opts.MaxInbound {
+	if len(c.buf)-c.off+len(data) > l.opts.MaxInbound {
 		return false
 	}
 	if l.inbound.Add(int64(len(data))) > l.opts.MaxInboundTotal {
 		l.inbound.Add(-int64(len(data)))
 		return false
 	}
-	if c.off > 0 && len(c.inbound)+len(data) > cap(c.inbound) {
-		c.inbound = c.inbound[:copy(c.inbound, c.inbound[c.off:])]
+	if c.off > 0 && len(c.buf)+len(data) > cap(c.buf) {
+		c.buf = c.buf[:copy(c.buf, c.buf[c.off:])]
 		c.off = 0
 	}
-	c.inbound = append(c.inbound, data...)
+	c.buf = append(c.buf, data...)
 	c.readCond.Broadcast()
 	return true
 }
@@ -108,7 +108,7 @@
 		switch {
 		case c.closed:
 			return 0, net.ErrClosed
-		case c.off < len(c.inbound):
+		case c.off < len(c.buf):
 			return c.consume(p), nil
 		case c.readErr != nil:
 			return 0, c.readErr
@@ -123,14 +123,14 @@
 }
 
 func (c *Conn) consume(p []byte) int {
-	n := copy(p, c.inbound[c.off:])
+	n := copy(p, c.buf[c.off:])
 	c.off += n
 	c.listener.inbound.Add(-int64(n))
-	if c.off == len(c.inbound) {
+	if c.off == len(c.buf) {
 		c.off = 0
-		c.inbound = c.inbound[:0]
-		if cap(c.inbound) > maxIdleBuffer {
-			c.inbound = nil
+		c.buf = c.buf[:0]
+		if cap(c.buf) > maxIdleBuffer {
+			c.buf = nil
 		}
 	}
 	return n
@@ -197,8 +197,8 @@
 		c.readTimer.Stop()
 	}
 	if c.closed {
-		c.listener.inbound.Add(-int64(len(c.inbound) - c.off))
-		c.inbound, c.off = nil, 0
+		c.listener.inbound.Add(-int64(len(c.buf) - c.off))
+		c.buf, c.off = nil, 0
 	}
 	c.readCond.Broadcast()
 }
