--- a/instance/link/link.go
+++ b/instance/link/link.go
@@ -61,8 +61,8 @@
 	Self string
 	// Listen is the "ip:port" of the peer listener; empty for an instance that only dials.
 	Listen string
-	// Credential is sent to peers. Accept holds the SHA-256 hashes of the credentials accepted
-	// from peers: more than one while a credential is being replaced.
+	// Credential is sent to peers. AcceptedHashes holds the SHA-256 hashes of the credentials
+	// accepted from peers: more than one while a credential is being replaced.
 	Credential     string
 	AcceptedHashes [][sha256.Size]byte
 	// AllowUnauthenticated accepts peers without a credential. Anyone who can reach the peer listener can then act
