--- a/instance/link/link.go
+++ b/instance/link/link.go
@@ -65,8 +65,8 @@
 	// accepted from peers: more than one while a credential is being replaced.
 	Credential     string
 	AcceptedHashes [][sha256.Size]byte
-	// AllowUnauthenticated accepts peers without a credential. Anyone who can reach the peer listener can then act
-	// as an instance, so it is only for networks that are closed to others.
+	// AllowUnauthenticated accepts peers without a credential. Anyone who can reach the peer
+	// listener can then act as an instance, so it is only for networks that are closed to others.
 	AllowUnauthenticated bool
 	Book                 AddressBook
 	// ServerTLS and ClientTLS enable TLS for accepted and dialled links.
