--- a/instance/link/helpers_test.go
+++ b/instance/link/helpers_test.go
@@ -16,8 +16,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// certificate returns the configurations of a server and a client that trusts it.
-func certificate() (server, client *tls.Config) {
+// newTLSConfigs returns the TLS configurations of a server and of a client that trusts it.
+func newTLSConfigs() (server, client *tls.Config) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	Expect(err).NotTo(HaveOccurred())
 	template := &x509.Certificate{
@@ -33,14 +33,14 @@
 	return &tls.Config{Certificates: []tls.Certificate{{Certificate: [][]byte{der}, PrivateKey: key}}}, &tls.Config{RootCAs: roots}
 }
 
-// proxy forwards connections until they are muted; a muted connection stays open
-// and swallows everything, while new ones work.
+// proxy forwards connections. dropTraffic makes all open connections lose their data without
+// closing them, while new connections work.
 type proxy struct {
 	net.Listener
-	mu     sync.Mutex
-	muted  []*atomic.Bool
-	conns  atomic.Int64
-	target string
+	mu       sync.Mutex
+	dropping []*atomic.Bool
+	conns    atomic.Int64
+	target   string
 }
 
 func newProxy(target string) *proxy {
@@ -64,24 +64,24 @@
 			continue
 		}
 		p.conns.Add(1)
-		muted := &atomic.Bool{}
+		dropping := &atomic.Bool{}
 		p.mu.Lock()
-		p.muted = append(p.muted, muted)
+		p.dropping = append(p.dropping, dropping)
 		p.mu.Unlock()
-		go pipe(c, up, muted)
-		go pipe(up, c, muted)
+		go pipe(c, up, dropping)
+		go pipe(up, c, dropping)
 	}
 }
 
-func (p *proxy) mute() {
+func (p *proxy) dropTraffic() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, m := range p.muted {
+	for _, m := range p.dropping {
 		m.Store(true)
 	}
 }
 
-func pipe(dst, src net.Conn, muted *atomic.Bool) {
+func pipe(dst, src net.Conn, dropping *atomic.Bool) {
 	defer func() { _ = src.Close() }()
 	defer func() { _ = dst.Close() }()
 	buf := make([]byte, 32<<10)
@@ -90,7 +90,7 @@
 		if err != nil {
 			return
 		}
-		if muted.Load() {
+		if dropping.Load() {
 			continue
 		}
 		if _, err := dst.Write(buf[:n]); err != nil {
