--- a/instance/consensus/apply.go
+++ b/instance/consensus/apply.go
@@ -8,7 +8,7 @@
 	"github.com/comfreyladder/comfreyladder/core/raft"
 )
 
-// apply carries out what is committed and answers who waits for it.
+// apply applies the committed entries and completes the calls that wait for them.
 func (s *Service) apply(r *raft.Ready) error {
 	if r.Snapshot != nil {
 		if err := s.install(r.Snapshot); err != nil {
@@ -23,10 +23,10 @@
 	for _, rd := range r.Reads {
 		if c := s.reads[rd.Context]; c != nil {
 			s.forgetRead(c)
-			s.due = append(s.due, dueRead{index: rd.Index, call: c})
+			s.readyReads = append(s.readyReads, readyRead{index: rd.Index, call: c})
 		}
 	}
-	s.answerReads()
+	s.finishReads()
 	return nil
 }
 
@@ -41,7 +41,7 @@
 	s.appliedTerm = snapshot.Term
 	for _, c := range s.waiting {
 		if c.appended {
-			s.finish(c, reply{err: unknown("a snapshot has replaced the log, which may hold the command")})
+			s.finish(c, reply{err: outcomeUnknown("a snapshot replaced the log, which may contain the command")})
 		}
 	}
 	s.notify(snapshot.Index, control.Entry{Index: snapshot.Index, At: time.Unix(0, snapshot.Timestamp).UTC()})
@@ -67,24 +67,25 @@
 	if c := s.proposals[command.Request]; c != nil && e.Kind == raft.EntryCommand {
 		s.finish(c, reply{result: result, index: e.Index})
 	}
-	s.settle(e)
+	s.resolveCalls(e)
 	if e.Kind == raft.EntryCommand {
 		s.notify(e.Index, command)
 	}
 	return nil
 }
 
-// settle ends the attempts of earlier terms when an entry of a later term is
-// applied. A command is appended in one term only, by that term's leader, and
-// terms never decrease along the log: what has not come up to now never will, so
-// it is proved not to have run. A log that was cut here would not prove it, since
-// the entry may lie on another member's disk and be committed by a later leader.
-func (s *Service) settle(e *raft.Entry) {
+// resolveCalls fails the proposals of earlier terms when an entry of a later term is
+// applied, and completes the membership change at the entry's index. A command is
+// appended in one term only, by that term's leader, and terms never decrease along
+// the log: a command of an earlier term that has not been applied by now never will
+// be. A truncation of the local log would not prove that, since the entry may be on
+// another member's disk and be committed by a later leader.
+func (s *Service) resolveCalls(e *raft.Entry) {
 	if e.Term > s.appliedTerm {
 		s.appliedTerm = e.Term
 		for _, c := range s.waiting {
 			if c.appended && c.term < e.Term {
-				s.retry(c, fault.New(fault.NotRun, "the leader was lost before the command was committed").After(s.cfg.Heartbeat))
+				s.retry(c, fault.New(fault.NotRun, "the leader changed before the command was committed").After(s.cfg.Heartbeat))
 			}
 		}
 	}
@@ -99,14 +100,14 @@
 	}
 }
 
-func (s *Service) answerReads() {
-	kept := s.due[:0]
-	for _, d := range s.due {
+func (s *Service) finishReads() {
+	kept := s.readyReads[:0]
+	for _, d := range s.readyReads {
 		if d.index > s.applied {
 			kept = append(kept, d)
 			continue
 		}
 		s.finish(d.call, reply{index: s.applied})
 	}
-	s.due = kept
+	s.readyReads = kept
 }
--- a/instance/consensus/bench_test.go
+++ b/instance/consensus/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/comfreyladder/comfreyladder/instance/disk"
 )
 
-// BenchmarkCommit measures commits through three members with real files in one
-// process, for several counts of clients that propose at the leader.
+// BenchmarkCommit measures the commit rate of three members with real files in one
+// process, for several numbers of clients that propose at the leader.
 func BenchmarkCommit(b *testing.B) {
 	for _, parallel := range []int{1, 8, 64} {
 		b.Run(map[int]string{1: "clients=1", 8: "clients=8", 64: "clients=64"}[parallel], func(b *testing.B) { benchCommit(b, parallel) })
@@ -21,7 +21,7 @@
 }
 
 func benchCommit(b *testing.B, clients int) {
-	g := newGroupOn(b, nil, func(name string) (disk.FS, string) { return disk.OS{}, b.TempDir() + "/" + name }, trio...)
+	g := newGroupOn(b, nil, func(name string) (disk.FS, string) { return disk.OS{}, b.TempDir() + "/" + name }, memberNames...)
 	s := g.running(g.awaitLeader())
 	data, _ := control.Marshal(&fence.Request{Verb: fence.Acquire, Subject: "teku-hall", Holder: "h", TTL: time.Second})
 	work := make(chan struct{}, b.N)
@@ -50,17 +50,17 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "commits/s")
 }
 
-// BenchmarkLeaderCrash measures how long no change can be confirmed after the
-// leader's death, as a multiple of the election timeout.
+// BenchmarkLeaderCrash measures how long no change can be confirmed after a crash of
+// the leader, as a multiple of the election timeout.
 func BenchmarkLeaderCrash(b *testing.B) {
-	g := newGroup(b, func(c *consensus.Config) { c.Seed = rand.Int63() }, trio...)
+	g := newGroup(b, func(c *consensus.Config) { c.Seed = rand.Int63() }, memberNames...)
 	data, _ := control.Marshal(&fence.Request{Verb: fence.Acquire, Subject: "teku-hall", Holder: "h", TTL: time.Second})
 	var total time.Duration
 	for range b.N {
 		old := g.awaitLeader()
-		next := trio[0]
+		next := memberNames[0]
 		if next == old {
-			next = trio[1]
+			next = memberNames[1]
 		}
 		begin := time.Now()
 		g.crash(old)
--- a/instance/consensus/calls.go
+++ b/instance/consensus/calls.go
@@ -27,14 +27,14 @@
 	change   func(*raft.Node, time.Time) (uint64, error)
 	deadline time.Time
 	canceled <-chan struct{}
-	// appended is set once the command may be in somebody's log, with the only
-	// term in which it may have been put there.
+	// appended is set once the command may be in some member's log; term is the
+	// only term in which it can have been appended.
 	appended bool
 	term     uint64
-	// index is where the entry of a change is.
+	// index is the log index of a membership change.
 	index uint64
-	// last is why the latest attempt proved not to have run.
-	last     error
+	// lastErr is why the latest attempt certainly did not run.
+	lastErr  error
 	contexts []uint64
 	finished bool
 	reply    chan reply
@@ -46,27 +46,27 @@
 	err    error
 }
 
-type dueRead struct {
+type readyRead struct {
 	index uint64
 	call  *call
 }
 
-func unknown(why string) error {
+func outcomeUnknown(why string) error {
 	return fault.New(fault.OutcomeUnknown, "%s; the command may or may not take effect", why)
 }
 
-// Propose has a command carried out by the sub-machine of the given name, and
-// returns its result and its index in the log. A follower hands it to the leader.
-// The command is in the state of this member when Propose returns.
+// Propose replicates a command for the sub-machine of the given name, and returns
+// its result and its log index. A follower forwards it to the leader. When Propose
+// returns, this member has applied the command.
 //
-// It fails with fault.NotRun or fault.Overloaded when it is proved that the
-// command is in no log and never will be, and with fault.OutcomeUnknown when it
-// may be. It is never appended twice by one Propose.
+// It fails with fault.NotRun or fault.Overloaded when the command is certainly in
+// no log and never will be, and with fault.OutcomeUnknown when it may be. One
+// Propose never appends the command twice.
 func (s *Service) Propose(ctx context.Context, machine string, data []byte) ([]byte, uint64, error) {
 	if !s.cfg.Mux.Knows(machine) {
-		return nil, 0, fault.New(fault.Invalid, "no machine %q", machine)
+		return nil, 0, fault.New(fault.Invalid, "no state machine %q", machine)
 	}
-	number := s.context.Add(1)
+	number := s.lastContext.Add(1)
 	request := strconv.FormatUint(uint64(s.cfg.Identity.ID), 36) + "-" + strconv.FormatUint(number, 36)
 	payload, err := control.Marshal(&control.Command{Machine: machine, Request: request, Data: data})
 	if err != nil {
@@ -76,33 +76,35 @@
 	return r.result, r.index, r.err
 }
 
-// Read waits until this member's state holds everything that was committed
-// before Read was called, and returns its index: View then gives a linearizable
-// read. It fails with fault.Unavailable when no leader confirms it in time.
+// Read waits until this member has applied everything that was committed before
+// Read was called, and returns the applied index: a View after it is a
+// linearizable read. It fails with fault.Unavailable when no leader confirms the
+// read index in time.
 func (s *Service) Read(ctx context.Context) (uint64, error) {
 	r := s.call(ctx, &call{kind: callRead})
 	return r.index, r.err
 }
 
-// AddLearner adds a member without a vote. This and the other changes of members
+// AddLearner adds a member without a vote. This and the other membership changes
 // work on the leader only and return once they are committed; they fail like
 // raft.Node's methods, or with fault.OutcomeUnknown.
 func (s *Service) AddLearner(ctx context.Context, id raft.MemberID, name string) error {
 	return s.change(ctx, func(n *raft.Node, now time.Time) (uint64, error) { return n.AddLearner(now, id, name) })
 }
 
-// Promote gives a learner a vote once it has synced all that is committed.
+// Promote makes a learner a voter, provided that it has stored all committed
+// entries.
 func (s *Service) Promote(ctx context.Context, id raft.MemberID) error {
 	return s.change(ctx, func(n *raft.Node, now time.Time) (uint64, error) { return n.Promote(now, id) })
 }
 
-// Remove removes a member.
+// Remove removes a member from the group.
 func (s *Service) Remove(ctx context.Context, id raft.MemberID) error {
 	return s.change(ctx, func(n *raft.Node, now time.Time) (uint64, error) { return n.Remove(now, id) })
 }
 
-// Transfer asks the leader, which this member must be, to hand over to another
-// voter. It returns when the handover has begun.
+// Transfer starts a transfer of the leadership from this member to another voter.
+// It returns when the transfer has started.
 func (s *Service) Transfer(ctx context.Context, to raft.MemberID) error {
 	return s.change(ctx, func(n *raft.Node, now time.Time) (uint64, error) { return 0, n.Transfer(now, to) })
 }
@@ -123,42 +125,42 @@
 		return reply{err: fault.New(fault.NotRun, "the control member has stopped")}
 	case s.calls <- c:
 	case <-ctx.Done():
-		return reply{err: fault.New(fault.NotRun, "the control member is busy").After(s.cfg.Heartbeat)}
+		return reply{err: fault.New(fault.NotRun, "the control member's queue is full").After(s.cfg.Heartbeat)}
 	}
 	return s.await(ctx, c)
 }
 
-// keptFor is for how long after its deadline a call waits for its answer.
-const keptFor = 300 * time.Millisecond
+// replyGrace is how long after its deadline a call waits for its reply.
+const replyGrace = 300 * time.Millisecond
 
-// await returns the answer to a call that the goroutine took. It answers every one at its
-// deadline at the latest: only it knows whether the command was appended. While a disk
-// keeps it, it answers nothing.
+// await returns the reply to a call that was passed to the goroutine. The goroutine replies
+// to every call by its deadline, since only it knows whether the command was appended; it
+// does not while a disk write blocks it.
 func (s *Service) await(ctx context.Context, c *call) reply {
 	select {
 	case r := <-c.reply:
 		return r
 	case <-s.done:
-		return ended(c)
+		return replyAfterStop(c)
 	case <-ctx.Done():
 	}
-	kept := time.NewTimer(keptFor)
+	kept := time.NewTimer(replyGrace)
 	defer kept.Stop()
 	select {
 	case r := <-c.reply:
 		return r
 	case <-s.done:
-		return ended(c)
+		return replyAfterStop(c)
 	case <-kept.C:
 	}
 	if c.kind == callRead {
-		return reply{err: fault.New(fault.Unavailable, "the disk keeps the control member")}
+		return reply{err: fault.New(fault.Unavailable, "a disk write blocks the control member")}
 	}
-	return reply{err: unknown("the disk keeps the control member")}
+	return reply{err: outcomeUnknown("a disk write blocks the control member")}
 }
 
-// ended returns the answer to a call when the goroutine has ended.
-func ended(c *call) reply {
+// replyAfterStop returns the reply to a call after the goroutine has ended.
+func replyAfterStop(c *call) reply {
 	select {
 	case r := <-c.reply:
 		return r
@@ -187,8 +189,8 @@
 	c.contexts = nil
 }
 
-// begin makes the first or another attempt at a call.
-func (s *Service) begin(c *call) {
+// startCall makes the first attempt at a call.
+func (s *Service) startCall(c *call) {
 	now := clock.Now()
 	switch c.kind {
 	case callPropose:
@@ -209,22 +211,22 @@
 	}
 }
 
-// propose appends the command here or hands it to the leader.
+// propose appends the command locally on the leader, or forwards it to the leader.
 func (s *Service) propose(now time.Time, c *call) {
 	s.waiting = append(s.waiting, c)
 	if s.node.Leader() == s.cfg.Identity.ID {
 		_, term, err := s.node.Propose(now, c.payload)
-		c.appended, c.term, c.last = err == nil, term, err
+		c.appended, c.term, c.lastErr = err == nil, term, err
 		if fault.CodeOf(err) == fault.Overloaded {
 			s.finish(c, reply{err: err})
 		}
 		return
 	}
 	if s.node.Leader() == 0 {
-		c.last = fault.New(fault.NotRun, "no leader is known").After(s.cfg.Heartbeat)
+		c.lastErr = fault.New(fault.NotRun, "no leader is known").After(s.cfg.Heartbeat)
 		return
 	}
-	number := s.context.Add(1)
+	number := s.lastContext.Add(1)
 	c.contexts = append(c.contexts, number)
 	s.reads[number] = c
 	c.appended, c.term = true, s.node.Term()
@@ -232,8 +234,8 @@
 		From: s.cfg.Identity.ID, To: s.node.Leader(), Term: s.node.Term(), Context: number, Data: c.payload})
 }
 
-// retry lets a proposal be tried again after one attempt is proved not to have
-// run; it is its only attempt so far.
+// retry lets tick propose a command again once its only attempt that may have
+// appended it is known not to have run. A membership change fails instead.
 func (s *Service) retry(c *call, why error) {
 	if c.finished {
 		return
@@ -243,11 +245,11 @@
 		return
 	}
 	s.forgetRead(c)
-	c.appended, c.last = false, why
+	c.appended, c.lastErr = false, why
 }
 
 func (s *Service) read(now time.Time, c *call) {
-	number := s.context.Add(1)
+	number := s.lastContext.Add(1)
 	if s.node.ReadIndex(now, number) != nil {
 		return
 	}
@@ -255,7 +257,7 @@
 	s.reads[number] = c
 }
 
-// tick lets time pass for the node and for the calls that wait.
+// tick advances the node's clock, and expires or retries the waiting calls.
 func (s *Service) tick(now time.Time) {
 	s.node.Tick(now)
 	again := !now.Before(s.retryAt)
@@ -292,30 +294,30 @@
 func (s *Service) expire(c *call) {
 	switch {
 	case c.kind == callRead:
-		s.finish(c, reply{err: fault.New(fault.Unavailable, "no leader has confirmed the read in time").After(s.cfg.Heartbeat)})
+		s.finish(c, reply{err: fault.New(fault.Unavailable, "no leader confirmed the read in time").After(s.cfg.Heartbeat)})
 	case c.appended:
-		s.finish(c, reply{err: unknown("the leader has not confirmed the command in time")})
-	case c.last != nil:
-		s.finish(c, reply{err: c.last})
+		s.finish(c, reply{err: outcomeUnknown("the command was not committed in time")})
+	case c.lastErr != nil:
+		s.finish(c, reply{err: c.lastErr})
 	default:
 		s.finish(c, reply{err: fault.New(fault.NotRun, "no leader is known").After(s.cfg.Heartbeat)})
 	}
 }
 
-// abandon answers all calls when the service ends.
-func (s *Service) abandon() {
+// failPending fails all pending calls when the service ends.
+func (s *Service) failPending() {
 	for _, c := range s.waiting {
 		if !c.finished {
 			s.expire(c)
 		}
 	}
-	for _, d := range s.due {
+	for _, d := range s.readyReads {
 		s.expire(d.call)
 	}
 	for {
 		select {
 		case c := <-s.calls:
-			s.finish(c, reply{err: fault.New(fault.NotRun, "the control member stops")})
+			s.finish(c, reply{err: fault.New(fault.NotRun, "the control member is stopping")})
 		default:
 			return
 		}
--- a/instance/consensus/cluster_test.go
+++ b/instance/consensus/cluster_test.go
@@ -25,11 +25,11 @@
 const (
 	testHeartbeat = 10 * time.Millisecond
 	testElection  = 100 * time.Millisecond
-	patience      = 30 * time.Second
+	testTimeout   = 30 * time.Second
 )
 
-// group is a control group in one process over a network that can lose, delay
-// and double messages.
+// group is a control group in one process, over a simulated network that can lose,
+// delay and duplicate messages.
 type group struct {
 	tb      testing.TB
 	mu      sync.Mutex
@@ -41,8 +41,8 @@
 	nextID  raft.MemberID
 	cluster raft.ClusterID
 	options func(*consensus.Config)
-	// tamper, if set, may change a message; it returns false to drop it.
-	tamper func(*raft.Message) bool
+	// intercept, if set, may modify a message; it returns false to drop it.
+	intercept func(*raft.Message) bool
 }
 
 type member struct {
@@ -96,7 +96,7 @@
 		NewWithT(g.tb).Expect(err).NotTo(HaveOccurred())
 		founders[name] = f
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for _, f := range founders {
 		_ = f.Start(ctx)
@@ -143,7 +143,7 @@
 	}
 }
 
-// crash stops a member and drops what it had not synced.
+// crash stops a member and discards its unsynced data.
 func (g *group) crash(name string) {
 	g.stop(name)
 	if m, ok := g.members[name].fs.(*disktest.Memory); ok {
@@ -151,7 +151,7 @@
 	}
 }
 
-// replaceDisk loses a member for good and starts a newcomer under its name.
+// replaceDisk discards a member with its disk and starts a new one under its name.
 func (g *group) replaceDisk(name string) (lost, fresh raft.MemberID) {
 	g.stop(name)
 	old := g.members[name]
@@ -182,11 +182,11 @@
 }
 
 func (g *group) awaitLeader() string {
-	NewWithT(g.tb).Eventually(g.leader).WithTimeout(patience).WithPolling(time.Millisecond).ShouldNot(BeEmpty())
+	NewWithT(g.tb).Eventually(g.leader).WithTimeout(testTimeout).WithPolling(time.Millisecond).ShouldNot(BeEmpty())
 	return g.leader()
 }
 
-// sender is the network as one member sees it.
+// sender is one member's transport over the simulated network.
 type sender struct {
 	g    *group
 	from string
@@ -197,7 +197,7 @@
 	g.mu.Lock()
 	target := g.byID[to]
 	lost := target == nil || g.members[target.name] != target || target.service == nil || g.cut[s.from+">"+target.name] || g.rnd.Float64() < g.loss
-	if g.tamper != nil && !g.tamper(&m) {
+	if g.intercept != nil && !g.intercept(&m) {
 		lost = true
 	}
 	double := g.rnd.Float64() < g.loss
@@ -242,7 +242,7 @@
 	return d
 }
 
-// confirm sends one confirm through a member.
+// confirm proposes one confirm through a member.
 func (g *group) confirm(name string, c revision.Confirm) (revision.Answer, error) {
 	var a revision.Answer
 	s := g.running(name)
@@ -260,8 +260,8 @@
 	return a, control.Unmarshal(result, &a)
 }
 
-// insist confirms until there is an answer.
-func (g *group) insist(names []string, c revision.Confirm) revision.Answer {
+// confirmUntilAnswered repeats a confirm through the named members until one answers.
+func (g *group) confirmUntilAnswered(names []string, c revision.Confirm) revision.Answer {
 	var a revision.Answer
 	i := 0
 	NewWithT(g.tb).Eventually(func() error {
@@ -269,7 +269,7 @@
 		a, err = g.confirm(names[i%len(names)], c)
 		i++
 		return err
-	}).WithTimeout(patience).WithPolling(5 * time.Millisecond).Should(Succeed())
+	}).WithTimeout(testTimeout).WithPolling(5 * time.Millisecond).Should(Succeed())
 	return a
 }
 
--- a/instance/consensus/config.go
+++ b/instance/consensus/config.go
@@ -9,41 +9,40 @@
 	"github.com/comfreyladder/comfreyladder/instance/disk"
 )
 
-// Defaults of a Config.
+// Defaults for Config, and internal limits.
 const (
-	// DefaultSnapshotEvery is the count of entries after which a snapshot is
-	// taken. It bounds the replay at a start.
+	// DefaultSnapshotEvery is the number of entries after which a snapshot is
+	// taken. It bounds the replay at startup.
 	DefaultSnapshotEvery = 4096
-	// DefaultTail is the count of entries that stay in the log behind a
-	// snapshot, so that a member that was away for a little needs no snapshot.
+	// DefaultTail is the number of entries kept in the log before a snapshot, so
+	// that a member that lags briefly does not need a snapshot.
 	DefaultTail = 1024
-	// DefaultSnapshotBytes is the size of applied commands after which a
+	// DefaultSnapshotBytes is the total size of applied commands after which a
 	// snapshot is taken even before DefaultSnapshotEvery. It bounds the log in
-	// memory and on disk, since one intent can be large; the tail is bounded
-	// by half of it.
+	// memory and on disk, since a single intent can be large. The kept tail is
+	// limited to half of it.
 	DefaultSnapshotBytes = 8 << 20
-	// partLen is how much of a snapshot one message carries; links between
-	// instances refuse messages above some megabytes.
-	partLen = 1 << 20
-	// DefaultTimeout ends a proposal or read whose context has no deadline.
+	// snapshotPartLen is the size of the snapshot data in one message, in bytes; links
+	// between instances reject messages above some megabytes.
+	snapshotPartLen = 1 << 20
+	// DefaultTimeout bounds a proposal, read or membership change.
 	DefaultTimeout = 5 * time.Second
-	// inboxLen bounds messages that wait for the goroutine; more are dropped,
-	// as a network may do.
+	// inboxLen is the capacity of the queues to the goroutine. Messages beyond it
+	// are dropped, which the protocol tolerates as message loss.
 	inboxLen = 4096
-	// maxGather bounds the messages and calls that share one sync.
-	maxGather = 1024
-	// ticksPerHeartbeat is how often time passes for the node.
+	// maxQueueDrain limits the messages and calls that share one sync.
+	maxQueueDrain = 1024
+	// ticksPerHeartbeat is the number of clock ticks per heartbeat interval.
 	ticksPerHeartbeat = 4
 )
 
 // Transport sends messages to other members.
 type Transport interface {
-	// Send queues a message or drops it; it must not block. The message must
-	// not be changed.
+	// Send queues a message or drops it; it must not block or modify the message.
 	Send(to raft.MemberID, m raft.Message)
 }
 
-// Config holds what a Service needs.
+// Config configures a Service. Zero durations, counts and sizes take defaults.
 type Config struct {
 	FS       disk.FS
 	Dir      string
@@ -59,23 +58,24 @@
 	SnapshotBytes   int
 	Tail            uint64
 	Timeout         time.Duration
-	// Seed spreads the election timeouts; members need different ones.
+	// Seed randomises the election timeouts; it must differ between members.
 	Seed int64
-	// OnFatal, if set, is told once when the member had to stop.
+	// OnFatal, if set, is called once when a fatal error stops the member.
 	OnFatal func(error)
-	// OnRole, if set, is told each change of role or leader, from the service's goroutine:
-	// it must not block.
+	// OnRole, if set, is called on each change of role or leader, from the service's
+	// goroutine: it must not block.
 	OnRole func(raft.Status)
-	// OnSlowDisk, if set, is told each write that kept the member for long, likewise.
+	// OnSlowDisk, if set, is called with the duration of each slow write, from the
+	// service's goroutine: it must not block.
 	OnSlowDisk func(time.Duration)
 }
 
-// slowDisk is how long a write may keep a member before it is told.
-const slowDisk = 300 * time.Millisecond
+// slowWriteThreshold is the duration above which a write is reported as slow.
+const slowWriteThreshold = 300 * time.Millisecond
 
-func (c *Config) complete() error {
+func (c *Config) validate() error {
 	if c.Identity.Cluster == "" {
-		return fault.New(fault.Invalid, "the disk in %s has neither founded nor joined a cluster", c.Dir)
+		return fault.New(fault.Invalid, "the data folder %s has neither founded nor joined a cluster", c.Dir)
 	}
 	setDefault(&c.Heartbeat, raft.DefaultHeartbeat)
 	setDefault(&c.ElectionTimeout, raft.DefaultElectionTimeout)
--- a/instance/consensus/forward.go
+++ b/instance/consensus/forward.go
@@ -8,18 +8,18 @@
 	"github.com/comfreyladder/comfreyladder/instance/clock"
 )
 
-// seenWindow is how many numbers of a sender are remembered. Older messages are
-// dropped as duplicates.
+// seenWindow is the number of most recent contexts remembered per sender. Messages
+// with older ones are dropped as duplicates.
 const seenWindow = 8192
 
-// seenContexts recognises proposals that the network delivers twice.
-type seenContexts struct {
+// contextWindow detects proposals that the network delivered more than once.
+type contextWindow struct {
 	top  uint64
 	seen map[uint64]bool
 }
 
-// fresh reports whether a number comes for the first time.
-func (w *seenContexts) fresh(number uint64) bool {
+// addIfNew records a number and reports whether it was new.
+func (w *contextWindow) addIfNew(number uint64) bool {
 	if w.seen[number] || number+seenWindow <= w.top {
 		return false
 	}
@@ -35,7 +35,7 @@
 	return true
 }
 
-// step handles a message from another member.
+// step processes a message from another member.
 func (s *Service) step(m raft.Message) error {
 	switch m.Kind {
 	case raft.MsgPropose:
@@ -58,18 +58,18 @@
 	return s.node.Step(clock.Now(), m)
 }
 
-// handleForward appends another member's proposal if this one leads the term in
-// which it was sent, and else says that it did not; that it did, the sender sees
-// when the command is applied. A "not run" must stay true
-// when the network delivers the proposal again: a doubled message is recognised
-// by its number, and one that comes in a later term by its term.
+// handleForward appends another member's proposal if this member leads the term in
+// which it was sent, and otherwise replies that it did not. The sender learns of
+// success by applying the command. A "not run" reply must stay true when the network
+// delivers the proposal again: a duplicate is detected by its context number, and a
+// message that arrives in a later term by its term.
 func (s *Service) handleForward(m raft.Message) {
-	w := s.seen[m.From]
+	w := s.seenBySender[m.From]
 	if w == nil {
-		w = &seenContexts{seen: map[uint64]bool{}}
-		s.seen[m.From] = w
+		w = &contextWindow{seen: map[uint64]bool{}}
+		s.seenBySender[m.From] = w
 	}
-	if !w.fresh(m.Context) {
+	if !w.addIfNew(m.Context) {
 		return
 	}
 	reply := raft.Message{Kind: raft.MsgProposeReply, Cluster: m.Cluster, From: m.To, To: m.From, Term: m.Term, Context: m.Context, Reject: true}
@@ -92,8 +92,8 @@
 	}
 	switch {
 	case m.Reject && m.Hint > 0:
-		s.finish(c, reply{err: fault.New(fault.Overloaded, "the leader has too much uncommitted").After(time.Duration(m.Hint))})
+		s.finish(c, reply{err: fault.New(fault.Overloaded, "the leader has too many uncommitted entries").After(time.Duration(m.Hint))})
 	case m.Reject:
-		s.retry(c, fault.New(fault.NotRun, "the instance that was asked does not lead").After(s.cfg.Heartbeat))
+		s.retry(c, fault.New(fault.NotRun, "the instance that received the command is not the leader").After(s.cfg.Heartbeat))
 	}
 }
--- a/instance/consensus/founder.go
+++ b/instance/consensus/founder.go
@@ -11,21 +11,21 @@
 	"github.com/comfreyladder/comfreyladder/instance/disk"
 )
 
-// FounderConfig holds what a Founder needs.
+// FounderConfig configures a Founder.
 type FounderConfig struct {
 	FS       disk.FS
 	Dir      string
 	Identity Identity
-	// Founders lists the names that the operator gave to all founders.
+	// Founders lists the names of all founders, as configured by the operator.
 	Founders []string
-	// Cluster is a random ID; it counts if this founder makes the charter.
+	// Cluster is a random ID; it is used if this founder issues the charter.
 	Cluster raft.ClusterID
 	// Send queues a message to the named instance or drops it; it must not block.
 	Send func(to string, m founding.Message)
 }
 
-// Founder runs the founding exchange of one disk. It goes on answering the other
-// founders after its own founding is done, until it is stopped. It is safe for
+// Founder runs the founding protocol for one disk. It keeps answering the other
+// founders after its own founding is complete, until it is stopped. It is safe for
 // concurrent use.
 type Founder struct {
 	cfg     FounderConfig
@@ -37,12 +37,12 @@
 	err     error
 }
 
-// NewFounder returns a founder that is not started. It fails with fault.Invalid
-// for an impossible list of founders, and with fault.Conflict when the disk has
-// joined a cluster that it did not found.
+// NewFounder returns a founder that has not been started. It fails with
+// fault.Invalid for an invalid list of founders, and with fault.Conflict when the
+// disk has joined a cluster that it did not found.
 func NewFounder(cfg FounderConfig) (*Founder, error) {
 	if cfg.Identity.Cluster != "" && cfg.Identity.Founding.Phase == founding.Empty {
-		return nil, fault.New(fault.Conflict, "the disk in %s has joined cluster %q", cfg.Dir, cfg.Identity.Cluster)
+		return nil, fault.New(fault.Conflict, "the data folder %s has already joined cluster %q", cfg.Dir, cfg.Identity.Cluster)
 	}
 	f, err := founding.New(cfg.Identity.Name, cfg.Identity.ID, cfg.Founders, cfg.Cluster, cfg.Identity.Founding)
 	if err != nil {
@@ -52,24 +52,25 @@
 		stop: make(chan struct{}), done: make(chan struct{})}, nil
 }
 
-// Start begins the exchange.
+// Start starts the protocol.
 func (f *Founder) Start(context.Context) error {
 	go f.run()
 	return nil
 }
 
-// Stop ends the exchange; it is taken up again at the next start.
+// Stop stops the protocol. It resumes from the persisted state when a founder is
+// started again.
 func (f *Founder) Stop(ctx context.Context) error {
 	close(f.stop)
 	select {
 	case <-f.done:
 		return nil
 	case <-ctx.Done():
-		return fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "stop of the founder")
+		return fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "stop the founder")
 	}
 }
 
-// Deliver hands over a message from another founder, or drops it when too many wait.
+// Deliver queues a message from another founder, or drops it when the queue is full.
 func (f *Founder) Deliver(m founding.Message) {
 	select {
 	case f.inbox <- m:
@@ -78,7 +79,8 @@
 }
 
 // Wait returns the disk's identity once the group is founded. It fails with
-// fault.DeadlineExceeded, or with what made the disk unusable.
+// fault.DeadlineExceeded when ctx ends, with fault.Draining after Stop, or with the
+// disk error that ended the protocol.
 func (f *Founder) Wait(ctx context.Context) (Identity, error) {
 	select {
 	case id := <-f.founded:
@@ -90,7 +92,7 @@
 		}
 		return Identity{}, fault.New(fault.Draining, "the founder was stopped")
 	case <-ctx.Done():
-		return Identity{}, fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "not all founders have answered")
+		return Identity{}, fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "not all founders have responded")
 	}
 }
 
--- a/instance/consensus/history_test.go
+++ b/instance/consensus/history_test.go
@@ -27,8 +27,8 @@
 }
 
 type historyOutput struct {
-	// notRun: it must not have had an effect. unknown: it may have one, from
-	// its call on.
+	// notRun means that the operation must not have taken effect, unknown that it
+	// may take effect at any time after its call.
 	notRun, unknown bool
 	outcome         revision.Outcome
 	operator        string
@@ -46,7 +46,7 @@
 	numbers  map[uint64]accepted
 }
 
-// confirmModel is confirm as one member without failures would do it.
+// confirmModel is the sequential specification of confirm.
 var confirmModel = porcupine.Model{
 	Init: func() any { return historyState{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -91,13 +91,13 @@
 
 // history records concurrent operations.
 type history struct {
-	mu  sync.Mutex
-	ops []porcupine.Operation
-	at  time.Time
+	mu        sync.Mutex
+	ops       []porcupine.Operation
+	startedAt time.Time
 }
 
 func (h *history) add(client int, call time.Duration, in historyInput, out historyOutput) {
-	op := porcupine.Operation{ClientId: client, Input: in, Output: out, Call: int64(call), Return: int64(time.Since(h.at))}
+	op := porcupine.Operation{ClientId: client, Input: in, Output: out, Call: int64(call), Return: int64(time.Since(h.startedAt))}
 	if out.unknown {
 		op.Return = math.MaxInt64
 	}
@@ -106,8 +106,8 @@
 	h.mu.Unlock()
 }
 
-// operate is one operator: it reads, confirms on what it read with a number that
-// others choose as well, and now and then sends an old confirm again.
+// operate simulates one operator: it reads, confirms on top of the revision it read
+// with a number that others also choose, and sometimes repeats an earlier confirm.
 func (h *history) operate(g *group, client int, done <-chan struct{}) {
 	rnd := rand.New(rand.NewSource(int64(client)))
 	operator := []string{"ada", "bo", "cy", "dee"}[client]
@@ -115,8 +115,8 @@
 	var base uint64
 	for !closed(done) {
 		time.Sleep(time.Duration(rnd.Intn(20)) * time.Millisecond)
-		name := trio[rnd.Intn(len(trio))]
-		call := time.Since(h.at)
+		name := memberNames[rnd.Intn(len(memberNames))]
+		call := time.Since(h.startedAt)
 		if rnd.Intn(3) == 0 {
 			out := readRevision(g, name)
 			if !out.unknown {
@@ -159,15 +159,15 @@
 	return out
 }
 
-// What a user would see: two operators are both told that they won, a resend
-// counts twice, a change that was "not run" is in force, or a confirmed one is
-// gone. What happens: four operators race with equal numbers and send again,
-// through all members, while messages are lost, late and doubled and members
-// crash and are cut off. Cause, if it fails: confirm is not one atomic step.
+// Guards against a confirm that is not linearizable: two operators both succeed with
+// one number, a repeated confirm is applied twice, a change reported as not run takes
+// effect, or a confirmed one is lost. Four operators race with equal numbers through
+// all members, while messages are lost, delayed and duplicated, and members crash and
+// are partitioned.
 func TestRacingOperatorsAreLinearizable(t *testing.T) {
 	gm := NewWithT(t)
-	g := newGroup(t, func(c *consensus.Config) { smallSnapshots(c); c.Timeout = 300 * time.Millisecond }, trio...)
-	h := &history{at: time.Now()}
+	g := newGroup(t, func(c *consensus.Config) { smallSnapshots(c); c.Timeout = 300 * time.Millisecond }, memberNames...)
+	h := &history{startedAt: time.Now()}
 	done := make(chan struct{})
 	var clients sync.WaitGroup
 	for client := range 4 {
@@ -177,7 +177,7 @@
 			h.operate(g, client, done)
 		}()
 	}
-	g.torment(30)
+	g.injectFaults(30)
 	close(done)
 	clients.Wait()
 	g.setNetwork(0)
@@ -207,8 +207,8 @@
 	}
 }
 
-// torment crashes, restarts and cuts members a number of times.
-func (g *group) torment(steps int) {
+// injectFaults performs random fault steps: it crashes, restarts and partitions members.
+func (g *group) injectFaults(steps int) {
 	rnd := rand.New(rand.NewSource(3))
 	down := ""
 	for range steps {
@@ -216,7 +216,7 @@
 		switch rnd.Intn(5) {
 		case 0:
 			if down == "" {
-				down = trio[rnd.Intn(3)]
+				down = memberNames[rnd.Intn(3)]
 				if leader := g.leader(); leader != "" {
 					down = leader
 				}
@@ -228,7 +228,7 @@
 				down = ""
 			}
 		case 2:
-			g.setNetwork(0.1, trio[rnd.Intn(3)]+">"+trio[rnd.Intn(3)])
+			g.setNetwork(0.1, memberNames[rnd.Intn(3)]+">"+memberNames[rnd.Intn(3)])
 		case 3:
 			g.setNetwork(0.2)
 		case 4:
--- a/instance/consensus/identity.go
+++ b/instance/consensus/identity.go
@@ -16,26 +16,26 @@
 	snapDir      = "snap"
 )
 
-// Identity is what a disk is: written once when it is initialised, with a member
-// ID drawn at random then, and completed when its cluster is known.
+// Identity identifies a disk. It is written when the disk is initialised, with a
+// random member ID, and updated when the disk founds or joins a cluster.
 type Identity struct {
 	ID   raft.MemberID `codec:"i"`
 	Name string        `codec:"n"`
 	// Cluster is empty until the disk has founded or joined a cluster.
 	Cluster raft.ClusterID `codec:"c"`
-	// Founding is how far the founding is, for a founder.
+	// Founding is the persisted state of the founding protocol, on a founder.
 	Founding founding.State `codec:"f"`
 }
 
-// Initialise returns the identity of the disk in dir, and makes one with the
-// given ID and name if the folder is empty. A wiped disk has no identity left and
-// so gets another ID: it cannot vote under the one it had, whose votes it has
-// forgotten. A folder with a log but without an identity is refused with
-// fault.Corrupt for the same reason.
+// Initialise returns the identity of the disk in dir, and creates one with the
+// given ID and name if the folder is empty. A wiped disk has no identity and gets a
+// new ID: it must not vote under its old ID, whose votes are lost. For the same
+// reason, a folder with log or snapshot files but no identity is rejected with
+// fault.Corrupt.
 func Initialise(fs disk.FS, dir string, fresh raft.MemberID, name string) (Identity, error) {
 	var id Identity
 	if err := fs.MkdirAll(dir); err != nil {
-		return id, fault.Wrap(err, fault.Unavailable, "make the folder %s", dir)
+		return id, fault.Wrap(err, fault.Unavailable, "create folder %s", dir)
 	}
 	b, err := disk.ReadSealed(fs, filepath.Join(dir, identityFile))
 	if err == nil {
@@ -44,18 +44,18 @@
 	if fault.CodeOf(err) != fault.NotFound {
 		return id, err
 	}
-	if err := refuseRemains(fs, dir); err != nil {
+	if err := checkNoLeftovers(fs, dir); err != nil {
 		return id, err
 	}
 	id = Identity{ID: fresh, Name: name}
 	return id, id.save(fs, dir)
 }
 
-func refuseRemains(fs disk.FS, dir string) error {
+func checkNoLeftovers(fs disk.FS, dir string) error {
 	for _, sub := range []string{walDir, snapDir} {
 		names, err := fs.List(filepath.Join(dir, sub))
 		if err == nil && len(names) > 0 {
-			return fault.New(fault.Corrupt, "%s has files in %s but no identity; empty it to make a new member of it", dir, sub)
+			return fault.New(fault.Corrupt, "%s has files in %s but no identity file; empty it to use it for a new member", dir, sub)
 		}
 	}
 	return nil
@@ -69,9 +69,9 @@
 	return disk.WriteSealed(fs, filepath.Join(dir, identityFile), b)
 }
 
-// Join makes the disk a member-to-be of a cluster: it waits until the cluster's
-// leader adds it as a learner and sends the log. It fails with fault.Conflict when
-// the disk belongs to another cluster.
+// Join records that the disk belongs to a cluster. The member then waits until the
+// cluster's leader adds it as a learner and sends the log. Join fails with
+// fault.Conflict when the disk belongs to another cluster.
 func Join(fs disk.FS, dir string, id *Identity, cluster raft.ClusterID) error {
 	if id.Cluster == cluster {
 		return nil
@@ -83,7 +83,8 @@
 	return id.save(fs, dir)
 }
 
-// RecordFounding persists how far the founding is; see founding.Ready.State.
+// RecordFounding persists the state of the founding protocol; see
+// founding.Ready.State.
 func RecordFounding(fs disk.FS, dir string, id *Identity, s founding.State) error {
 	if id.Cluster != "" && id.Cluster != s.Charter.Cluster {
 		return fault.New(fault.Conflict, "the disk in %s belongs to cluster %q", dir, id.Cluster)
@@ -95,8 +96,8 @@
 	return id.save(fs, dir)
 }
 
-// genesis is the snapshot that a founder's history begins with; it is the same
-// at all founders. A disk that joined has none.
+// genesis returns the initial hard state and snapshot of a founder, which are the
+// same on all founders. A disk that joined a cluster has none.
 func (i *Identity) genesis() (raft.HardState, raft.Snapshot) {
 	if i.Founding.Phase != founding.Founded {
 		return raft.HardState{}, raft.Snapshot{}
--- a/instance/consensus/once_test.go
+++ b/instance/consensus/once_test.go
@@ -19,7 +19,7 @@
 
 const tallyName = "tally"
 
-// tally counts how often each command was applied.
+// tally is a state machine that counts how often each command was applied.
 type tally struct{ counts map[string]int }
 
 func (c *tally) Apply(_ uint64, _ time.Time, data []byte) []byte {
@@ -50,13 +50,13 @@
 	return out
 }
 
-// What a user would see: a command that was reported as not run has run, or one
-// has run twice. What happens: proposals go through all members while messages
-// are lost, late and doubled and leaders change. Cause: a doubled or late
-// proposal is appended again, or an attempt is repeated that may still commit.
+// Guards against a command that runs although it was reported as not run, or that runs
+// twice, while messages are lost, delayed and duplicated and leaders change: a duplicated
+// or delayed proposal is appended again, or an attempt that may still be committed is
+// repeated.
 func TestProposalsAreAppliedAtMostOnce(t *testing.T) {
 	gm := NewWithT(t)
-	g := newGroup(t, withTally, trio...)
+	g := newGroup(t, withTally, memberNames...)
 	var mu sync.Mutex
 	codes := map[string]fault.Code{}
 	done := make(chan struct{})
@@ -66,7 +66,7 @@
 		go func() {
 			defer clients.Done()
 			for i := 0; !closed(done); i++ {
-				s := g.running(trio[(client+i)%3])
+				s := g.running(memberNames[(client+i)%3])
 				if s == nil {
 					time.Sleep(time.Millisecond)
 					continue
@@ -79,14 +79,14 @@
 			}
 		}()
 	}
-	g.torment(30)
+	g.injectFaults(30)
 	close(done)
 	clients.Wait()
 	g.setNetwork(0)
 	gm.Eventually(func() error {
 		_, err := g.running("a").Read(context.Background())
 		return err
-	}).WithTimeout(patience).Should(Succeed())
+	}).WithTimeout(testTimeout).Should(Succeed())
 	counts := g.tallyAt("a")
 	seen := map[fault.Code]int{}
 	for key, code := range codes {
@@ -103,7 +103,8 @@
 	gm.Expect(seen[""]).To(BeNumerically(">", 50))
 }
 
-// The same with messages made by hand: a doubled proposal, and one of another term.
+// Covers the same failure with crafted messages: a duplicated proposal, and one of
+// another term.
 func TestForwardedProposalCountsOnceAndInItsTermOnly(t *testing.T) {
 	gm := NewWithT(t)
 	g := newGroup(t, withTally, "a")
@@ -119,20 +120,20 @@
 	s.Deliver(m)
 	m.Context, m.Term, m.Data = 1001, st.Term-1, payload("late")
 	s.Deliver(m)
-	gm.Eventually(func() map[string]int { return g.tallyAt("a") }).WithTimeout(patience).Should(HaveKey("twice"))
+	gm.Eventually(func() map[string]int { return g.tallyAt("a") }).WithTimeout(testTimeout).Should(HaveKey("twice"))
 	_, _, err := s.Propose(context.Background(), tallyName, []byte("last"))
 	gm.Expect(err).NotTo(HaveOccurred())
 	gm.Expect(g.tallyAt("a")).To(Equal(map[string]int{"twice": 1, "last": 1}))
 }
 
-// What a user would see: a confirmed change is gone after a power failure. What
-// happens: a follower acknowledges an entry and loses power before its sync.
+// Guards against the loss of a confirmed change when a follower acknowledges an entry
+// and loses power before it has synced the entry.
 func TestFollowerAcknowledgesOnlyWhatIsSynced(t *testing.T) {
 	gm := NewWithT(t)
-	g := newGroup(t, withTally, trio...)
+	g := newGroup(t, withTally, memberNames...)
 	leader := g.awaitLeader()
 	var rest []string
-	for _, n := range trio {
+	for _, n := range memberNames {
 		if n != leader {
 			rest = append(rest, n)
 		}
@@ -145,15 +146,15 @@
 	gm.Expect(fault.CodeOf(err)).To(BeElementOf(fault.OutcomeUnknown, fault.NotRun), "two of three have not stored it")
 }
 
-// What a user would see: a command has run twice. What happens: a new leader takes
-// proposals before its first entry is committed; that entry is committed alone, the
-// proposals later. Cause: they are taken for attempts of an earlier term.
+// Guards against a command that runs twice: a new leader accepts proposals before its
+// first entry is committed, and that entry is committed alone, the proposals later. They
+// must not be mistaken for proposals of an earlier term.
 func TestProposalsOfANewLeaderAreNotRepeated(t *testing.T) {
 	gm := NewWithT(t)
-	g := newGroup(t, func(c *consensus.Config) { withTally(c); c.Timeout, c.ElectionTimeout = patience, time.Second }, trio...)
+	g := newGroup(t, func(c *consensus.Config) { withTally(c); c.Timeout, c.ElectionTimeout = testTimeout, time.Second }, memberNames...)
 	old := g.awaitLeader()
 	var limit uint64
-	g.setTamper(func(m *raft.Message) bool {
+	g.setIntercept(func(m *raft.Message) bool {
 		m.Index = min(m.Index, limit)
 		return limit > 0
 	}, raft.MsgAppendReply)
@@ -161,7 +162,7 @@
 	leader := g.awaitLeader()
 	first := g.running(leader).Status().Last
 	done := make(chan error, 2)
-	for _, name := range trio {
+	for _, name := range memberNames {
 		if s := g.running(name); s != nil {
 			go func() {
 				_, _, err := s.Propose(context.Background(), tallyName, []byte(name))
@@ -170,15 +171,15 @@
 		}
 	}
 	status := func() raft.Status { return g.running(leader).Status().Status }
-	gm.Eventually(func() uint64 { return status().Last }).WithTimeout(patience).Should(Equal(first + 2))
+	gm.Eventually(func() uint64 { return status().Last }).WithTimeout(testTimeout).Should(Equal(first + 2))
 	g.mu.Lock()
 	limit = first
 	g.mu.Unlock()
-	gm.Eventually(func() uint64 { return status().Commit }).WithTimeout(patience).Should(Equal(first))
-	time.Sleep(5 * testHeartbeat) // time enough for a wrong repetition
-	g.setTamper(nil)
-	gm.Eventually(done).WithTimeout(patience).Should(Receive(BeNil()))
-	gm.Eventually(done).WithTimeout(patience).Should(Receive(BeNil()))
+	gm.Eventually(func() uint64 { return status().Commit }).WithTimeout(testTimeout).Should(Equal(first))
+	time.Sleep(5 * testHeartbeat) // long enough for an erroneous retry
+	g.setIntercept(nil)
+	gm.Eventually(done).WithTimeout(testTimeout).Should(Receive(BeNil()))
+	gm.Eventually(done).WithTimeout(testTimeout).Should(Receive(BeNil()))
 	_, _, err := g.running(leader).Propose(context.Background(), tallyName, []byte("last"))
 	gm.Expect(err).NotTo(HaveOccurred())
 	for _, count := range g.tallyAt(leader) {
@@ -186,13 +187,13 @@
 	}
 }
 
-// setTamper has f see the messages of some kinds.
-func (g *group) setTamper(f func(*raft.Message) bool, only ...raft.MessageKind) {
+// setIntercept passes the messages of the given kinds to f; a nil f stops it.
+func (g *group) setIntercept(f func(*raft.Message) bool, only ...raft.MessageKind) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.tamper = nil
+	g.intercept = nil
 	if f != nil {
-		g.tamper = func(m *raft.Message) bool { return !slices.Contains(only, m.Kind) || f(m) }
+		g.intercept = func(m *raft.Message) bool { return !slices.Contains(only, m.Kind) || f(m) }
 	}
 }
 
@@ -204,8 +205,8 @@
 		_, _, err := g.running("a").Propose(context.Background(), tallyName, fmt.Appendf(nil, "%0300d", i))
 		gm.Expect(err).NotTo(HaveOccurred())
 	}
-	gm.Eventually(func() uint64 { return g.running("a").Status().Snapshot }).WithTimeout(patience).Should(BeNumerically(">", 2))
+	gm.Eventually(func() uint64 { return g.running("a").Status().Snapshot }).WithTimeout(testTimeout).Should(BeNumerically(">", 2))
 	g.crash("a")
 	g.start("a")
-	gm.Eventually(func() map[string]int { return g.tallyAt("a") }).WithTimeout(patience).Should(HaveLen(8))
+	gm.Eventually(func() map[string]int { return g.tallyAt("a") }).WithTimeout(testTimeout).Should(HaveLen(8))
 }
--- a/instance/consensus/parts_test.go
+++ b/instance/consensus/parts_test.go
@@ -15,9 +15,9 @@
 
 func (r *recorder) Send(_ raft.MemberID, m raft.Message) { r.sent = append(r.sent, m) }
 
-// What a user would see: a repaired instance never catches up. What happens: the
-// state is larger than a message between instances may be; its parts come late,
-// twice and crossed, and those of an older snapshot come between.
+// Guards against a repaired instance that never catches up because its snapshot exceeds
+// the message size: the parts arrive late, duplicated and reordered, with parts of an
+// older snapshot in between.
 func TestSnapshotGoesInParts(t *testing.T) {
 	g := NewWithT(t)
 	s := &Service{store: openOn(t, disktest.NewMemory())}
@@ -25,7 +25,7 @@
 	var data []byte
 	rnd := rand.New(rand.NewSource(1))
 	for i := range sent {
-		data = make([]byte, 3*partLen+17)
+		data = make([]byte, 3*snapshotPartLen+17)
 		_, _ = rnd.Read(data)
 		g.Expect(s.store.saveSnapshot(raft.Snapshot{Index: uint64(10 + i), Term: 1, Data: data})).To(Succeed())
 		out := &recorder{}
@@ -34,7 +34,7 @@
 		sent[i] = out.sent
 	}
 	g.Expect(sent[1]).To(HaveLen(4))
-	var p parts
+	var p snapshotAssembler
 	feed := append([]raft.Message{sent[1][2], sent[0][0], sent[0][3]}, sent[1][3], sent[1][0], sent[1][0], sent[1][2])
 	for _, m := range feed {
 		_, complete := p.add(overTheWire(t, m))
--- a/instance/consensus/service.go
+++ b/instance/consensus/service.go
@@ -1,6 +1,6 @@
-// Package consensus drives a member of the control group: one goroutine owns the
-// raft node, persists what it wants persisted, sends its messages, applies what
-// is committed to the control state machine, and takes snapshots.
+// Package consensus runs a member of the control group: one goroutine owns the
+// raft node, persists its state, sends its messages, applies committed entries to
+// the control state machine, and takes snapshots.
 package consensus
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/comfreyladder/comfreyladder/instance/clock"
 )
 
-// Service is one member. It is safe for concurrent use.
+// Service is one member of the control group. It is safe for concurrent use.
 type Service struct {
 	cfg   Config
 	node  *raft.Node
@@ -25,46 +25,47 @@
 	calls chan *call
 	stop  chan struct{}
 	done  chan struct{}
-	// context numbers proposals and reads; it begins at the start time so
-	// that a restarted member does not use a number again.
-	context atomic.Uint64
+	// lastContext is the last number given to a proposal or read. It starts at the
+	// wall-clock time, so that a restarted member does not reuse a number.
+	lastContext atomic.Uint64
 
-	// mu guards the state machine and what follows.
+	// mu guards the state machine and the fields of this block.
 	mu       sync.RWMutex
 	applied  uint64
 	status   raft.Status
 	watchers []func(uint64, control.Entry)
-	failed   error
+	fatalErr error
 
-	// The rest belongs to the goroutine.
-	proposals map[string]*call
-	changes   map[uint64]*call
-	reads     map[uint64]*call
-	waiting   []*call
-	due       []dueRead
-	retryAt   time.Time
+	// The fields below belong to the goroutine.
+	proposals  map[string]*call
+	changes    map[uint64]*call
+	reads      map[uint64]*call
+	waiting    []*call
+	readyReads []readyRead
+	retryAt    time.Time
 	// appliedTerm is the term of the last applied entry.
 	appliedTerm uint64
-	// appliedBytes counts applied data since the last snapshot.
+	// appliedBytes is the size of the commands applied since the last snapshot.
 	appliedBytes int
-	parts        parts
-	seen         map[raft.MemberID]*seenContexts
+	parts        snapshotAssembler
+	seenBySender map[raft.MemberID]*contextWindow
 }
 
-// New returns a service that is not started.
+// New returns a service that has not been started.
 func New(cfg Config) (*Service, error) {
-	if err := cfg.complete(); err != nil {
+	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
 	s := &Service{cfg: cfg, inbox: make(chan raft.Message, inboxLen), calls: make(chan *call, inboxLen),
 		stop: make(chan struct{}), done: make(chan struct{}), proposals: map[string]*call{}, changes: map[uint64]*call{},
-		reads: map[uint64]*call{}, seen: map[raft.MemberID]*seenContexts{}}
-	s.context.Store(uint64(clock.Now().UnixNano()))
+		reads: map[uint64]*call{}, seenBySender: map[raft.MemberID]*contextWindow{}}
+	s.lastContext.Store(uint64(clock.Now().UnixNano()))
 	return s, nil
 }
 
-// Start reads the disk and joins the group. It fails with fault.Corrupt when the
-// disk is damaged and with fault.Unavailable when it cannot be used.
+// Start restores the state from disk and starts the member. It fails with
+// fault.Corrupt when stored data is damaged, and with fault.Unavailable when the
+// disk cannot be used.
 func (s *Service) Start(context.Context) error {
 	store, err := openStorage(s.cfg.FS, s.cfg.Dir, &s.cfg.Identity)
 	if err != nil {
@@ -95,9 +96,10 @@
 	return s.cfg.Mux.Restore(snapshot.Data)
 }
 
-// Drain hands the leadership over, if this member has it, so that a planned stop
+// Drain transfers the leadership, if this member holds it, so that a planned stop
 // does not cost the group an election timeout. It returns when another member
-// leads, or at the end of ctx with fault.DeadlineExceeded; a stop is safe anyway.
+// leads, or with fault.DeadlineExceeded when ctx ends. Stopping without a
+// successful Drain is safe.
 func (s *Service) Drain(ctx context.Context) error {
 	ticker := time.NewTicker(s.cfg.Heartbeat)
 	defer ticker.Stop()
@@ -112,12 +114,13 @@
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			return fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "no other member has taken the lead")
+			return fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "no other member has become leader")
 		}
 	}
 }
 
-// successor returns the voter that has most of the log and was heard last.
+// successor returns the voter with the highest matching log index; of equal ones, the
+// one that was heard from most recently.
 func successor(st raft.Status) raft.MemberID {
 	var best raft.FollowerStatus
 	for _, f := range st.Followers {
@@ -129,7 +132,8 @@
 	return best.ID
 }
 
-// Stop ends the service. Proposals under way end with fault.OutcomeUnknown.
+// Stop ends the service. Proposals that may be in a log fail with
+// fault.OutcomeUnknown.
 func (s *Service) Stop(ctx context.Context) error {
 	if s.node == nil {
 		return nil
@@ -143,12 +147,12 @@
 	case <-s.done:
 		return nil
 	case <-ctx.Done():
-		return fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "stop of the control member")
+		return fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "stop the control member")
 	}
 }
 
-// Deliver hands over a message that came from another member. It never blocks;
-// when too many wait the message is dropped.
+// Deliver queues a message from another member. It never blocks; when the queue
+// is full, the message is dropped.
 func (s *Service) Deliver(m raft.Message) {
 	select {
 	case s.inbox <- m:
@@ -156,17 +160,17 @@
 	}
 }
 
-// Watch calls f after each command that was applied, in order, from the
-// service's goroutine: f must not block. An entry without a machine means that
-// the whole state was replaced by a snapshot. Call it before Start.
+// Watch registers f to be called after each applied command, in log order, from
+// the service's goroutine: f must not block. An entry without a machine means that
+// a snapshot replaced the whole state. Call Watch before Start.
 func (s *Service) Watch(f func(index uint64, e control.Entry)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.watchers = append(s.watchers, f)
 }
 
-// View calls f while the state machine stands still. What f reads may be old on
-// a follower; call Read first for a linearizable read.
+// View calls f with the state machine locked against changes. On a follower the
+// state may be stale; call Read first for a linearizable read.
 func (s *Service) View(f func(index uint64, m *control.Mux)) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -179,17 +183,17 @@
 // Status is the state of a member.
 type Status struct {
 	raft.Status
-	// Applied is the log index up to which the state machine is.
+	// Applied is the log index of the last applied entry.
 	Applied uint64
-	// Err is why the member had to stop, or nil.
+	// Err is the fatal error that stopped the member, or nil.
 	Err error
 }
 
-// Status returns the member's state as of a moment ago.
+// Status returns the member's state after the last completed loop iteration.
 func (s *Service) Status() Status {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return Status{Status: s.status, Applied: s.applied, Err: s.failed}
+	return Status{Status: s.status, Applied: s.applied, Err: s.fatalErr}
 }
 
 func (s *Service) run() {
@@ -198,16 +202,16 @@
 	ticker := time.NewTicker(s.cfg.Heartbeat / ticksPerHeartbeat)
 	defer ticker.Stop()
 	for {
-		err := s.turn(ticker.C)
+		err := s.runOnce(ticker.C)
 		if err == nil {
 			continue
 		}
-		s.abandon()
+		s.failPending()
 		if fault.CodeOf(err) == fault.Draining {
 			return
 		}
 		s.mu.Lock()
-		s.failed = err
+		s.fatalErr = err
 		s.mu.Unlock()
 		if s.cfg.OnFatal != nil {
 			s.cfg.OnFatal(err)
@@ -216,36 +220,36 @@
 	}
 }
 
-// turn waits for something to happen, takes in what else waits already, so that
-// it shares one sync, and carries out what the node wants.
-func (s *Service) turn(tick <-chan time.Time) error {
+// runOnce waits for one event, drains the other queued events, so that all share one
+// sync, and then processes the node's Ready.
+func (s *Service) runOnce(tick <-chan time.Time) error {
 	select {
 	case <-s.stop:
-		return fault.New(fault.Draining, "the control member stops")
+		return fault.New(fault.Draining, "the control member is stopping")
 	case m := <-s.inbox:
 		if err := s.step(m); err != nil {
 			return err
 		}
 	case c := <-s.calls:
-		s.begin(c)
+		s.startCall(c)
 	case <-tick:
 		s.tick(clock.Now())
 	}
-	if err := s.gather(); err != nil {
+	if err := s.drainQueues(); err != nil {
 		return err
 	}
 	return s.flush()
 }
 
-func (s *Service) gather() error {
-	for range maxGather {
+func (s *Service) drainQueues() error {
+	for range maxQueueDrain {
 		select {
 		case m := <-s.inbox:
 			if err := s.step(m); err != nil {
 				return err
 			}
 		case c := <-s.calls:
-			s.begin(c)
+			s.startCall(c)
 		default:
 			return nil
 		}
@@ -253,7 +257,8 @@
 	return nil
 }
 
-// flush carries out the node's Ready in the order that its type demands.
+// flush persists, sends and applies the node's Ready in the order that raft.Ready
+// requires, until it is empty.
 func (s *Service) flush() error {
 	for {
 		r := s.node.Ready(clock.Now())
@@ -271,22 +276,23 @@
 		}
 		s.node.Advance(clock.Now(), r)
 	}
-	s.noteStatus(s.node.Status(clock.Now()))
+	s.publishStatus(s.node.Status(clock.Now()))
 	return s.maybeSnapshot()
 }
 
-// persist writes what must be on the disk before anything is sent or applied.
+// persist writes the state that must be durable before messages are sent and
+// entries applied, and reports slow writes.
 func (s *Service) persist(r *raft.Ready) error {
 	begun := time.Now()
 	err := s.store.persist(r)
-	if took := time.Since(begun); took > slowDisk && s.cfg.OnSlowDisk != nil {
+	if took := time.Since(begun); took > slowWriteThreshold && s.cfg.OnSlowDisk != nil {
 		s.cfg.OnSlowDisk(took)
 	}
 	return err
 }
 
-// noteStatus makes a status the one that others see.
-func (s *Service) noteStatus(st raft.Status) {
+// publishStatus publishes a status and reports a change of role or leader.
+func (s *Service) publishStatus(st raft.Status) {
 	s.mu.Lock()
 	before := s.status
 	s.status = st
--- a/instance/consensus/storage.go
+++ b/instance/consensus/storage.go
@@ -15,7 +15,7 @@
 type record struct {
 	Hard  *raft.HardState `codec:"h,omitempty"`
 	Entry *raft.Entry     `codec:"e,omitempty"`
-	// Reset says that a snapshot up to this index has replaced all entries.
+	// Reset is the index of a received snapshot that replaced all entries.
 	Reset uint64 `codec:"r,omitempty"`
 }
 
@@ -25,10 +25,10 @@
 	snaps *snap.Store
 	hard  raft.HardState
 	snap  raft.Snapshot
-	// entries is what the log held at the open.
+	// entries holds the entries that were replayed when the log was opened.
 	entries []raft.Entry
-	// seqs holds the log's sequence number of each kept entry; first is the
-	// index of the first one.
+	// seqs holds the write-ahead log's sequence number of each entry, beginning with
+	// the entry at index first.
 	seqs  []uint64
 	first uint64
 }
@@ -46,7 +46,7 @@
 	if s.log, err = wal.Open(fs, filepath.Join(dir, walDir), 0, s.replay); err != nil {
 		return nil, err
 	}
-	if err = s.join(); err != nil {
+	if err = s.reconcile(); err != nil {
 		_ = s.log.Close()
 		return nil, err
 	}
@@ -73,7 +73,7 @@
 		if k := len(s.entries); k > 0 && r.Entry.Index > s.entries[k-1].Index+1 {
 			return fault.New(fault.Corrupt, "entry %d follows entry %d", r.Entry.Index, s.entries[k-1].Index)
 		}
-		s.note(r.Entry.Index, seq)
+		s.recordSeq(r.Entry.Index, seq)
 		s.entries = s.entries[:len(s.seqs)-1]
 		s.entries = append(s.entries, *r.Entry)
 	default:
@@ -82,23 +82,24 @@
 	return nil
 }
 
-// note books an entry's place; it replaces an entry of that index and all after.
-func (s *storage) note(index, seq uint64) {
+// recordSeq records the sequence number of an entry. It replaces the entry of that index
+// and drops all later ones.
+func (s *storage) recordSeq(index, seq uint64) {
 	if len(s.seqs) == 0 || index <= s.first {
 		s.first, s.seqs = index, s.seqs[:0]
 	}
 	s.seqs = append(s.seqs[:index-s.first], seq)
 }
 
-// join fits the log to the snapshot. When a crash came between the save of a
-// leader's snapshot and the record of it, the log may hold entries of another
-// history beyond it; they are dropped, as they would have been.
-func (s *storage) join() error {
+// reconcile reconciles the log with the snapshot. After a crash between saving a leader's
+// snapshot and writing its Reset record, the log may still hold entries that conflict
+// with the snapshot; reconcile drops them, as the Reset record would have.
+func (s *storage) reconcile() error {
 	if len(s.entries) == 0 {
 		return nil
 	}
 	if s.entries[0].Index > s.snap.Index+1 {
-		return fault.New(fault.Corrupt, "the log begins with entry %d, the snapshot ends with %d", s.entries[0].Index, s.snap.Index)
+		return fault.New(fault.Corrupt, "the log begins with entry %d, but the snapshot ends with %d", s.entries[0].Index, s.snap.Index)
 	}
 	if s.snap.Index >= s.entries[0].Index && s.snap.Index <= s.entries[len(s.entries)-1].Index &&
 		s.entries[s.snap.Index-s.entries[0].Index].Term != s.snap.Term {
@@ -107,9 +108,9 @@
 	return nil
 }
 
-// persist makes a Ready durable with one sync, or two when it holds a snapshot.
-// The term goes before the snapshot, since a snapshot of a term that the member
-// does not know would pass for damage after a crash between the two.
+// persist makes a Ready durable with one sync of the log, or two when it holds a
+// snapshot. The term is written before the snapshot: after a crash between the two,
+// a snapshot of a term newer than the stored one would be rejected as corrupt.
 func (s *storage) persist(r *raft.Ready) error {
 	var records []record
 	if r.HardStateChanged {
@@ -153,7 +154,7 @@
 	}
 	for i, r := range records {
 		if r.Entry != nil {
-			s.note(r.Entry.Index, seq+uint64(i))
+			s.recordSeq(r.Entry.Index, seq+uint64(i))
 		}
 	}
 	return nil
@@ -172,8 +173,8 @@
 	return nil
 }
 
-// truncate drops the log before the entry first. The term and vote are written
-// anew first, since their record may lie in the part that goes.
+// truncate drops the entries before first from the log. It rewrites the term and
+// vote beforehand, since their last record may be in the dropped part.
 func (s *storage) truncate(first uint64) error {
 	if err := s.append([]record{{Hard: &s.hard}}); err != nil {
 		return err
--- a/instance/consensus/storage_test.go
+++ b/instance/consensus/storage_test.go
@@ -39,9 +39,8 @@
 	return s.persist(&raft.Ready{HardState: raft.HardState{Term: term, Vote: vote}, HardStateChanged: true, Entries: list})
 }
 
-// What a user would see: a confirmed change is gone. What happens: a member takes
-// a snapshot, truncates its log, restarts and votes twice in one term. Cause: the
-// record of its vote was in the part that was truncated.
+// Guards against a member that votes twice in one term, and so against the loss of a
+// confirmed change, because the record of its vote was in a truncated part of the log.
 func TestVoteSurvivesTruncation(t *testing.T) {
 	g := NewWithT(t)
 	fs := disktest.NewMemory()
@@ -59,9 +58,9 @@
 	g.Expect(again.hard).To(Equal(raft.HardState{Term: 7, Vote: 3}))
 }
 
-// What a user would see: an instance that was far behind does not start, or acts
-// on entries that the group never accepted. What happens: it takes over a leader's
-// snapshot and loses power at any of the syncs on the way.
+// Guards against a member that does not start, or keeps entries that the group never
+// committed, after a power failure at any of the syncs while it installs a leader's
+// snapshot.
 func TestSnapshotOfALeaderReplacesTheLog(t *testing.T) {
 	g := NewWithT(t)
 	for failAt := range 8 {
@@ -86,7 +85,7 @@
 			g.Expect(again.entries).To(HaveLen(2))
 			g.Expect(again.entries[1].Term).To(Equal(uint64(3)))
 		case again.snap.Index == 5:
-			g.Expect(again.entries).To(BeEmpty(), "entry 5 here is another than the snapshot's")
+			g.Expect(again.entries).To(BeEmpty(), "the local entry 5 conflicts with the snapshot")
 		default:
 			g.Expect(again.entries).To(HaveLen(9))
 		}
