--- a/instance/follow/follow.go
+++ b/instance/follow/follow.go
@@ -1,11 +1,11 @@
-// Package follow keeps the serving state at an instance that holds no control
-// state: it asks members of the control group in turn, one at a time, and knows
-// until when what it has may be acted on.
+// Package follow keeps the serving state up to date on an instance that holds no
+// control state: it long-polls one member of the control group at a time, and tracks
+// the lease until whose end the received state may be used.
 //
-// The lease counts from the moment the question was sent, plus the time for which
-// the member held it before a quorum confirmed the answer: a change that was
+// The lease starts at the moment the request was sent, plus the time for which the
+// member held the request before a quorum confirmed the answer: a change that was
 // acknowledged before that moment is in the answer. So an instance that is cut off,
-// frozen or suspended can't act on a table for longer than the lease.
+// frozen or suspended cannot use a table for longer than the lease.
 package follow
 
 import (
@@ -28,18 +28,18 @@
 
 // Defaults of a Config.
 const (
-	// DefaultHold is for how long a member holds a question without news. It is also
-	// how old the loads of other instances may get. While upstreams are busy questions
-	// are held for DefaultBusyHold only: loads are worth more then than the processor
-	// time that asking takes.
+	// DefaultHold is how long a member holds a request while nothing changes. It also
+	// bounds the age of the loads of other instances. While upstreams are busy, requests
+	// are held for DefaultBusyHold only: fresh loads are then worth the processor time
+	// of more frequent requests.
 	DefaultHold     = 250 * time.Millisecond
 	DefaultBusyHold = 120 * time.Millisecond
-	// DefaultSlack is what an answer may take beyond the hold before the next
-	// member is asked.
+	// DefaultSlack is how long an answer may take in addition to the hold time before
+	// the next member is asked.
 	DefaultSlack = 600 * time.Millisecond
 )
 
-// retryPause is the pause after a question that was not answered.
+// retryPause is the pause after all known members have failed to answer.
 const retryPause = 50 * time.Millisecond
 
 // Links is what this service needs of instance/link.
@@ -47,27 +47,27 @@
 	Call(ctx context.Context, to, channel string, req, resp any) error
 }
 
-// Config of a Follower.
+// Config configures a Follower.
 type Config struct {
 	Links Links
 	// Domain is the failure domain of this instance.
 	Domain string
-	// Seeds returns the names of members to begin with.
+	// Seeds returns the names of the members to ask initially.
 	Seeds func() []string
-	// Lease is for how long a confirmed state may be acted on.
+	// Lease is how long a confirmed state may be used.
 	Lease time.Duration
-	// Hold and Slack; zero means the defaults.
+	// Hold and Slack override the defaults if they are positive.
 	Hold, Slack time.Duration
-	// Report returns the work of this instance, and OnReport is told that of all
-	// others; both may be nil.
+	// Report returns the work of this instance, and OnReport receives the combined work
+	// of all others; both may be nil.
 	Report   func() servingsvc.Report
 	OnReport func(*servingsvc.Report)
-	// Meter counts requests for usage reports; nil where there are none.
+	// Meter counts requests for usage reports; nil disables reporting.
 	Meter *meter.Meter
 	Log   zerolog.Logger
 }
 
-// View is the state at one moment. It is immutable.
+// View is a snapshot of the serving state. It is immutable.
 type View struct {
 	// Index is the log index of the state.
 	Index uint64
@@ -75,13 +75,13 @@
 	Routes *route.Index
 	// Upstreams holds all incarnations by ID.
 	Upstreams map[string]*serving.Upstream
-	// Forwarders is how many instances forward requests, at least one.
+	// Forwarders is the number of instances that forward requests, at least one.
 	Forwarders int
-	// Quarantine lists the requests that are kept from upstreams; nil for none.
+	// Quarantine lists the quarantined and suspected requests; nil for none.
 	Quarantine *Quarantine
 }
 
-// Knows reports whether an incarnation is known by the log index at which it was first heard of.
+// Knows reports whether the view contains the incarnation that was registered at a log index.
 func (v *View) Knows(begun uint64) bool {
 	for _, u := range v.Upstreams {
 		if u.Begun == begun {
@@ -91,37 +91,38 @@
 	return false
 }
 
-// Follower is the state at this instance. It is safe for concurrent use.
+// Follower keeps the serving state of this instance. It is safe for concurrent use.
 type Follower struct {
 	cfg    Config
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 	view   atomic.Pointer[View]
-	// until is the end of the lease, and confirmed the moment it counts from, in
-	// nanoseconds of clock.Now; zero when there was none.
-	until, confirmed atomic.Int64
-	subscribers      []func(*View)
+	// leaseUntil is the end of the lease and leaseStart its start, in nanoseconds of
+	// clock.Now; zero before the first lease.
+	leaseUntil, leaseStart atomic.Int64
+	subscribers            []func(*View)
 
-	// reachable are the members, the one that is asked now first.
+	// reachable lists the members, beginning with the one that is currently asked.
 	reachable atomic.Pointer[[]string]
 
-	// The rest belongs to the goroutine.
-	members []string
-	current string
-	inTouch bool
-	// domains are the failure domains of members, failed when they last failed to answer.
-	domains map[string]string
-	failed  map[string]time.Time
-	// told is up to where toldBy has told the others' work.
-	told   uint64
-	toldBy string
-	// othersBusy says that other instances find upstreams busy.
+	// The fields below belong to the goroutine.
+	members   []string
+	current   string
+	inContact bool
+	// domains holds the failure domains of members, failedAt the times at which they
+	// last failed to answer.
+	domains  map[string]string
+	failedAt map[string]time.Time
+	// workSeen is the position up to which member workSource has sent the others' work.
+	workSeen   uint64
+	workSource string
+	// othersBusy is set while other instances report busy upstreams.
 	othersBusy bool
-	// settled says that the agreed time of the member that answered last is settled.
+	// settled is set if the agreed time of the member that answered last is settled.
 	settled bool
 }
 
-// New returns a follower that has not started.
+// New returns a follower that has not been started.
 func New(cfg Config) *Follower {
 	if cfg.Hold <= 0 {
 		cfg.Hold = DefaultHold
@@ -129,30 +130,30 @@
 	if cfg.Slack <= 0 {
 		cfg.Slack = DefaultSlack
 	}
-	f := &Follower{cfg: cfg, domains: map[string]string{}, failed: map[string]time.Time{}}
+	f := &Follower{cfg: cfg, domains: map[string]string{}, failedAt: map[string]time.Time{}}
 	f.view.Store(&View{Upstreams: map[string]*serving.Upstream{}, Forwarders: 1})
 	return f
 }
 
-// Subscribe calls g with each new view, from the follower's goroutine. Subscribe
-// before Start.
+// Subscribe registers g to be called with each new view, from the follower's
+// goroutine. Call it before Start.
 func (f *Follower) Subscribe(g func(*View)) { f.subscribers = append(f.subscribers, g) }
 
 // View returns the newest view.
 func (f *Follower) View() *View { return f.view.Load() }
 
-// Lease returns for how long the view may still be acted on; zero or less when the
-// lease has run out.
+// Lease returns how long the view may still be used; zero or less when the lease has
+// expired.
 func (f *Follower) Lease() time.Duration {
-	return time.Duration(f.until.Load() - clock.Now().UnixNano())
+	return time.Duration(f.leaseUntil.Load() - clock.Now().UnixNano())
 }
 
-// Age returns how long ago the view was confirmed to be the newest.
+// Age returns the time since the view was confirmed to be the newest.
 func (f *Follower) Age() time.Duration {
-	return time.Duration(clock.Now().UnixNano() - f.confirmed.Load())
+	return time.Duration(clock.Now().UnixNano() - f.leaseStart.Load())
 }
 
-// Members returns the members that are known, the one that is asked now first.
+// Members returns the known members, beginning with the one that is currently asked.
 func (f *Follower) Members() []string {
 	if list := f.reachable.Load(); list != nil {
 		return *list
@@ -194,17 +195,17 @@
 	failures := 0
 	for ctx.Err() == nil {
 		if f.current == "" {
-			f.current = f.next()
+			f.current = f.nextMember()
 		}
 		f.publishMembers()
 		if f.current != "" && f.ask(ctx, f.current) {
 			failures = 0
-			f.current = f.nearer()
+			f.current = f.preferredMember()
 			continue
 		}
-		f.lost()
-		f.failed[f.current] = clock.Now()
-		f.current = f.next()
+		f.noteNoAnswer()
+		f.failedAt[f.current] = clock.Now()
+		f.current = f.nextMember()
 		failures++
 		if failures%max(1, len(f.members)) == 0 || f.current == "" {
 			clock.Sleep(ctx, retryPause)
@@ -212,9 +213,9 @@
 	}
 }
 
-// next returns the member to ask after the current one. The order is drawn anew
-// whenever the members change, so that the instances spread over them.
-func (f *Follower) next() string {
+// nextMember returns the member to ask after the current one. The order is reshuffled
+// whenever the members change, so that instances are spread evenly over members.
+func (f *Follower) nextMember() string {
 	for _, seed := range f.cfg.Seeds() {
 		if !slices.Contains(f.members, seed) {
 			f.members = append(f.members, seed)
@@ -228,21 +229,22 @@
 	return f.members[(i+1)%len(f.members)]
 }
 
-// retryNear is after what time a member that failed to answer is preferred again for its
-// nearness.
-const retryNear = 5 * time.Second
+// preferAgainAfter is how long a member that failed to answer is not preferred for its
+// failure domain.
+const preferAgainAfter = 5 * time.Second
 
-// nearer returns a member of the own failure domain, or one whose domain is not known yet,
-// and else the current one. The answers hold the work of all instances several times a
-// second: from members anywhere, two thirds of them crossed domains among three.
-func (f *Follower) nearer() string {
+// preferredMember returns a member of the own failure domain; if there is none, a member
+// whose domain is not known yet; and otherwise the current one. Answers carry the work of all
+// instances several times a second: with random members in three failure domains, two thirds
+// of the answers crossed domains.
+func (f *Follower) preferredMember() string {
 	if f.domains[f.current] == f.cfg.Domain {
 		return f.current
 	}
 	best := f.current
 	for _, name := range f.members {
 		domain, known := f.domains[name]
-		if clock.Since(f.failed[name]) < retryNear || known && domain != f.cfg.Domain {
+		if clock.Since(f.failedAt[name]) < preferAgainAfter || known && domain != f.cfg.Domain {
 			continue
 		}
 		best = name
@@ -253,48 +255,48 @@
 	return best
 }
 
-// ask puts one question and reports whether the member is one to stay with.
+// ask sends one request to a member and reports whether to keep asking this member.
 func (f *Follower) ask(ctx context.Context, name string) bool {
 	view := f.view.Load()
 	q := servingsvc.Question{Index: view.Index, Forwards: true, Quarantine: view.Quarantine.index()}
 	if f.cfg.Report != nil {
 		q.Report = f.cfg.Report()
 	}
-	hold := f.hold(&q.Report)
+	hold := f.holdTime(&q.Report)
 	q.HoldMS = hold.Milliseconds()
-	if f.toldBy == name {
-		q.Told = f.told
+	if f.workSource == name {
+		q.Told = f.workSeen
 	}
-	revision := f.meter(&q, name)
+	revision := f.addUsage(&q, name)
 	ctx, cancel := context.WithTimeout(ctx, hold+f.cfg.Slack)
 	defer cancel()
 	sent := clock.Now()
 	var a servingsvc.Answer
 	if err := f.cfg.Links.Call(ctx, name, servingsvc.ChannelWatch, q, &a); err != nil {
-		f.cfg.Log.Debug().Str("event", "watch_failed").Str("peer", name).Err(err).Msg("a member did not answer")
+		f.cfg.Log.Debug().Str("event", "watch_failed").Str("peer", name).Err(err).Msg("control member did not answer")
 		return false
 	}
 	if err := a.Decode(); err != nil {
-		f.cfg.Log.Error().Str("event", "watch_unreadable").Str("peer", name).Err(err).Msg("the changes of a member can't be read")
+		f.cfg.Log.Error().Str("event", "watch_unreadable").Str("peer", name).Err(err).Msg("cannot decode the changes from a control member")
 		return false
 	}
-	f.metered(&q, &a, revision, name, sent)
+	f.handleUsageReply(&q, &a, revision, name, sent)
 	f.domains[name] = a.Domain
-	f.take(view, &a)
-	f.told, f.toldBy, f.othersBusy = a.Told, name, a.Summary.Busy
-	f.tellOthers(&a.Summary, &q.Report.Work)
+	f.applyAnswer(view, &a)
+	f.workSeen, f.workSource, f.othersBusy = a.Told, name, a.Summary.Busy
+	f.passOthersWork(&a.Summary, &q.Report.Work)
 	if !a.Confirmed {
 		return false
 	}
 	at := sent.Add(time.Duration(a.HeldMS) * time.Millisecond)
-	f.confirmed.Store(at.UnixNano())
-	f.until.Store(at.Add(f.cfg.Lease).UnixNano())
-	f.regained(name)
+	f.leaseStart.Store(at.UnixNano())
+	f.leaseUntil.Store(at.Add(f.cfg.Lease).UnixNano())
+	f.noteContact(name)
 	return true
 }
 
-// meter puts what was counted here into a question.
-func (f *Follower) meter(q *servingsvc.Question, member string) (revision uint64) {
+// addUsage adds this instance's usage counts to a request.
+func (f *Follower) addUsage(q *servingsvc.Question, member string) (revision uint64) {
 	if f.cfg.Meter == nil {
 		return 0
 	}
@@ -308,9 +310,9 @@
 	return revision
 }
 
-// metered notes that a member has taken in what was counted here, and takes in its agreed
-// time.
-func (f *Follower) metered(q *servingsvc.Question, a *servingsvc.Answer, revision uint64, member string, sent time.Time) {
+// handleUsageReply records that a member received this instance's usage counts, and
+// processes the agreed time in the answer.
+func (f *Follower) handleUsageReply(q *servingsvc.Question, a *servingsvc.Answer, revision uint64, member string, sent time.Time) {
 	if f.cfg.Meter == nil {
 		return
 	}
@@ -323,21 +325,21 @@
 	}
 }
 
-// tellOthers passes on what all other instances have under way.
-func (f *Follower) tellOthers(s *servingsvc.Summary, own *servingsvc.Work) {
+// passOthersWork passes the combined work of all other instances to OnReport.
+func (f *Follower) passOthersWork(s *servingsvc.Summary, own *servingsvc.Work) {
 	if f.cfg.OnReport == nil {
 		return
 	}
 	others, err := s.Others(own)
 	if err != nil {
-		f.cfg.Log.Error().Err(err).Str("event", "loads_unreadable").Str("peer", f.current).Msg("the loads of all can't be read")
+		f.cfg.Log.Error().Err(err).Str("event", "loads_unreadable").Str("peer", f.current).Msg("cannot decode the loads of other instances")
 		return
 	}
 	f.cfg.OnReport(others)
 }
 
-// hold returns for how long the next question may be held.
-func (f *Follower) hold(own *servingsvc.Report) time.Duration {
+// holdTime returns how long the member may hold the next request.
+func (f *Follower) holdTime(own *servingsvc.Report) time.Duration {
 	switch {
 	case f.Lease() <= 0:
 		return 0
@@ -347,11 +349,11 @@
 	return f.cfg.Hold
 }
 
-// take brings in the changes. What is older than the view changes nothing: a view
-// never goes back.
-func (f *Follower) take(old *View, a *servingsvc.Answer) {
+// applyAnswer applies the changes in an answer. Changes older than the view are ignored, so
+// that a view never goes back.
+func (f *Follower) applyAnswer(old *View, a *servingsvc.Answer) {
 	if len(a.Members) > 0 {
-		f.learnMembers(a.Members)
+		f.updateMembers(a.Members)
 	}
 	if a.Changes.Index <= old.Index && a.Forwarders == old.Forwarders && a.Quarantine == nil {
 		return
@@ -361,7 +363,7 @@
 		Quarantine: old.Quarantine.merge(a.Quarantine),
 	}
 	if a.Changes.Index > old.Index {
-		if !f.takeTable(next, &a.Changes) {
+		if !f.applyTable(next, &a.Changes) {
 			return
 		}
 		next.Upstreams = merge(old.Upstreams, &a.Changes)
@@ -372,18 +374,18 @@
 	}
 }
 
-func (f *Follower) takeTable(next *View, c *serving.Changes) bool {
+func (f *Follower) applyTable(next *View, c *serving.Changes) bool {
 	if len(c.Table) == 0 {
 		return true
 	}
 	t := &route.Table{}
 	if err := corecontrol.Unmarshal(c.Table, t); err != nil {
-		f.cfg.Log.Error().Err(err).Str("event", "table_unreadable").Uint64("version", c.Version).Msg("a table can't be read; the one before stays")
+		f.cfg.Log.Error().Err(err).Str("event", "table_unreadable").Uint64("version", c.Version).Msg("cannot decode a routing table; keeping the previous one")
 		return false
 	}
 	next.Routes = route.NewIndex(t)
 	f.cfg.Log.Info().Str("event", "table_in_force").Uint64("version", t.Version).Uint64("index", c.Index).
-		Int("routes", len(t.Routes)).Str("peer", f.current).Msg("a table is in force here")
+		Int("routes", len(t.Routes)).Str("peer", f.current).Msg("routing table in force")
 	return true
 }
 
@@ -405,7 +407,7 @@
 	return next
 }
 
-func (f *Follower) learnMembers(list []string) {
+func (f *Follower) updateMembers(list []string) {
 	same := len(list) == len(f.members)
 	for _, name := range list {
 		same = same && slices.Contains(f.members, name)
@@ -417,18 +419,18 @@
 	rand.Shuffle(len(f.members), func(i, j int) { f.members[i], f.members[j] = f.members[j], f.members[i] })
 }
 
-func (f *Follower) regained(name string) {
-	if f.inTouch {
+func (f *Follower) noteContact(name string) {
+	if f.inContact {
 		return
 	}
-	f.inTouch = true
-	f.cfg.Log.Info().Str("event", "control_regained").Str("peer", name).Uint64("index", f.view.Load().Index).Msg("a member of the control group answers")
+	f.inContact = true
+	f.cfg.Log.Info().Str("event", "control_regained").Str("peer", name).Uint64("index", f.view.Load().Index).Msg("contact with the control group established")
 }
 
-func (f *Follower) lost() {
-	if !f.inTouch || f.Age() < f.cfg.Hold+f.cfg.Slack {
+func (f *Follower) noteNoAnswer() {
+	if !f.inContact || f.Age() < f.cfg.Hold+f.cfg.Slack {
 		return
 	}
-	f.inTouch = false
-	f.cfg.Log.Warn().Str("event", "control_lost").Str("peer", f.current).Dur("lease_left", f.Lease()).Msg("no member of the control group answers")
+	f.inContact = false
+	f.cfg.Log.Warn().Str("event", "control_lost").Str("peer", f.current).Dur("lease_left", f.Lease()).Msg("no member of the control group answered")
 }
--- a/instance/follow/follow_test.go
+++ b/instance/follow/follow_test.go
@@ -17,14 +17,14 @@
 	servingsvc "github.com/comfreyladder/comfreyladder/instance/serving"
 )
 
-// group is a control group as a follower sees it.
+// group simulates a control group.
 type group struct {
 	mu      sync.Mutex
 	members map[string]*member
 	asked   []string
 }
 
-// member answers questions; a nil answer means that it doesn't.
+// member answers requests; with a nil answer it does not respond.
 type member struct {
 	answer *servingsvc.Answer
 	delay  time.Duration
@@ -85,8 +85,8 @@
 	}
 }
 
-// The member that an instance asks is cut off in silence. Another one must be asked
-// within the lease, or the instance would refuse its callers for nothing.
+// Guards against an instance that refuses requests although other members are reachable:
+// when its member stops answering, another one must be asked before the lease expires.
 func TestAnotherMemberIsAskedInTime(t *testing.T) {
 	g := NewWithT(t)
 	grp := &group{members: map[string]*member{}}
@@ -98,8 +98,8 @@
 	g.Consistently(func() time.Duration { return f.Lease() }).WithTimeout(2 * lease).WithPolling(5 * time.Millisecond).Should(BeNumerically(">", 0))
 }
 
-// A member that lost its quorum still answers. What it can't confirm extends no
-// lease: the instance must know when it may be behind.
+// Guards against a lease that is extended by a member without a quorum: the instance would
+// not notice that its state may be outdated.
 func TestUnconfirmedAnswerExtendsNoLease(t *testing.T) {
 	g := NewWithT(t)
 	grp := &group{members: map[string]*member{}}
@@ -107,12 +107,12 @@
 	f := start(t, grp, "a")
 	g.Eventually(f.Lease).Should(BeNumerically(">", 0))
 	grp.set("a", answer(2, 2, false, "a"))
-	g.Eventually(version(f)).Should(Equal(uint64(2)), "what it has is committed all the same")
+	g.Eventually(version(f)).Should(Equal(uint64(2)), "unconfirmed changes are committed too")
 	g.Eventually(f.Lease).WithTimeout(2 * lease).Should(BeNumerically("<", 0))
 }
 
-// Members are behind each other. An instance that has acted on a table must not go
-// back to an older one because the next member it asks has not got it yet.
+// Guards against an instance that goes back to an older table because the next member
+// that it asks lags behind.
 func TestViewNeverGoesBack(t *testing.T) {
 	g := NewWithT(t)
 	grp := &group{members: map[string]*member{}}
@@ -123,8 +123,8 @@
 	g.Consistently(version(f)).WithTimeout(100 * time.Millisecond).Should(Equal(uint64(3)))
 }
 
-// The lease counts from the question, not from the answer: an answer that was held
-// up on its way says nothing about the time since.
+// Guards against a lease that starts when the answer arrives instead of when the request
+// was sent: a delayed answer says nothing about the time since.
 func TestLeaseCountsFromTheQuestion(t *testing.T) {
 	g := NewWithT(t)
 	grp := &group{members: map[string]*member{"a": {answer: answer(1, 1, true, "a"), delay: 20 * time.Millisecond}}}
@@ -147,9 +147,9 @@
 	g.Expect(version(f)()).To(Equal(uint64(1)))
 }
 
-// Answers hold the work of all instances, several times a second. Asked anywhere, most of
-// them cross failure domains, which costs; the member of the own domain is asked as long as
-// it answers, and others while it does not.
+// Guards against needless traffic between failure domains: answers carry the work of all
+// instances several times a second. The member of the own domain is asked while it answers,
+// and others while it does not.
 func TestMemberOfTheOwnDomainIsAsked(t *testing.T) {
 	RegisterTestingT(t)
 	g := &group{members: map[string]*member{}}
@@ -177,5 +177,5 @@
 	g.set("c", nil)
 	Eventually(f.Lease, 3*time.Second, 5*time.Millisecond).Should(BeNumerically(">", 200*time.Millisecond))
 	Eventually(last, 3*time.Second, 5*time.Millisecond).ShouldNot(Equal("c"))
-	Consistently(last, 300*time.Millisecond, time.Millisecond).ShouldNot(Equal("c"), "it is not tried again at once")
+	Consistently(last, 300*time.Millisecond, time.Millisecond).ShouldNot(Equal("c"), "it is not retried at once")
 }
--- a/instance/follow/quarantine.go
+++ b/instance/follow/quarantine.go
@@ -7,8 +7,8 @@
 	"github.com/comfreyladder/comfreyladder/core/quarantine"
 )
 
-// Quarantine lists the requests that are kept from upstreams at one moment. It is immutable;
-// a nil one lists nothing.
+// Quarantine is a snapshot of the quarantined and suspected requests. It is immutable; a nil
+// Quarantine is empty.
 type Quarantine struct {
 	// Index is the log index of the list.
 	Index    uint64
@@ -16,15 +16,15 @@
 	suspects map[quarantine.Fingerprint]bool
 }
 
-// NewQuarantine returns a list of requests that are quarantined, and of suspected ones.
+// NewQuarantine returns a list of quarantined and suspected requests.
 func NewQuarantine(index uint64, held []state.Held, suspects []quarantine.Fingerprint) *Quarantine {
 	return (*Quarantine)(nil).merge(&state.Changes{Index: index, Held: held, Suspects: suspects})
 }
 
-// Empty reports whether nothing is suspected or quarantined.
+// Empty reports whether no request is quarantined or suspected.
 func (q *Quarantine) Empty() bool { return q == nil || len(q.held)+len(q.suspects) == 0 }
 
-// Held returns what is known of a request that is quarantined.
+// Held returns the entry of a quarantined request.
 func (q *Quarantine) Held(f quarantine.Fingerprint) (h state.Held, held bool) {
 	if q == nil {
 		return h, false
@@ -33,7 +33,7 @@
 	return h, held
 }
 
-// All returns all that are suspected or quarantined.
+// All returns the fingerprints of all quarantined and suspected requests.
 func (q *Quarantine) All() (list []quarantine.Fingerprint) {
 	if q == nil {
 		return nil
@@ -47,7 +47,7 @@
 	return list
 }
 
-// Suspects reports whether a request may turn out to be one to quarantine.
+// Suspects reports whether a request is suspected of crashing upstreams.
 func (q *Quarantine) Suspects(f quarantine.Fingerprint) bool { return q != nil && q.suspects[f] }
 
 func (q *Quarantine) index() uint64 {
@@ -57,7 +57,7 @@
 	return q.Index
 }
 
-// merge returns the list with changes taken in.
+// merge returns the list with the changes applied.
 func (q *Quarantine) merge(c *state.Changes) *Quarantine {
 	if c == nil || c.Index <= q.index() {
 		return q
--- a/instance/follow/quarantine_test.go
+++ b/instance/follow/quarantine_test.go
@@ -10,8 +10,8 @@
 	"github.com/comfreyladder/comfreyladder/core/quarantine"
 )
 
-// Guards against an instance that runs a quarantined request, or that never runs it again,
-// since it took changes of the list for the whole or an older list for a newer one.
+// Guards against an instance that runs a quarantined request, or never runs a released one
+// again, because it took a partial update for the full list or an older list for a newer one.
 func TestListOfQuarantinedRequestsIsFollowed(t *testing.T) {
 	RegisterTestingT(t)
 	a, b := quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
@@ -34,12 +34,12 @@
 	Expect(f.View().Quarantine.Suspects(b)).To(BeTrue())
 	told(&state.Changes{Index: 6, Held: []state.Held{{Fingerprint: b}}})
 	Eventually(held(b)).Should(BeTrue())
-	Expect(held(a)()).To(BeTrue(), "changes leave the rest")
+	Expect(held(a)()).To(BeTrue(), "a partial update keeps the other entries")
 	Expect(f.View().Quarantine.Suspects(b)).To(BeFalse())
 	told(&state.Changes{Index: 7, Held: []state.Held{{Fingerprint: a, Released: true}}})
 	Eventually(held(a)).Should(BeFalse())
 	told(&state.Changes{Index: 5, Held: []state.Held{{Fingerprint: a}}})
-	Consistently(held(a), 100*time.Millisecond).Should(BeFalse(), "a member that is behind changes nothing")
+	Consistently(held(a), 100*time.Millisecond).Should(BeFalse(), "an update from a lagging member is ignored")
 	told(&state.Changes{Index: 8, Full: true})
 	Eventually(held(b)).Should(BeFalse())
 	Expect(f.View().Quarantine.Empty()).To(BeTrue())
