--- a/instance/control/calls.go
+++ b/instance/control/calls.go
@@ -24,11 +24,10 @@
 	Document []byte `codec:"d"`
 }
 
-// Propose has a command carried out by a sub-machine and returns its result. An
-// instance without control state asks a member. It fails with fault.NotRun when
-// it is proved that the command will never be carried out, and with
-// fault.OutcomeUnknown when it may be; only the first kind of failure is
-// followed by a try at another member.
+// Propose replicates a command for a sub-machine and returns its result. An instance
+// without control state sends it to a member. It fails with fault.NotRun when the
+// command will certainly never be applied, and with fault.OutcomeUnknown when it may
+// be; only after fault.NotRun is another member tried.
 func (s *Service) Propose(ctx context.Context, machine string, data []byte) ([]byte, error) {
 	if g := s.group.Load(); g != nil {
 		result, _, err := g.Propose(ctx, machine, data)
@@ -39,7 +38,7 @@
 	return a.Result, err
 }
 
-// ask calls members in turn until one answers.
+// ask calls members in turn until one answers or an attempt may have run.
 func (s *Service) ask(ctx context.Context, channel string, req, resp any) error {
 	var last error = fault.New(fault.NotRun, "no member of the control group is known").After(joinEvery)
 	for _, name := range s.candidates() {
@@ -81,9 +80,9 @@
 	return proposeAnswer{Result: result}, nil
 }
 
-// newest returns the newest accepted revision after a check that it is.
-func (s *Service) newest(ctx context.Context) (uint64, *intent.Document, error) {
-	a, err := s.readNewest(ctx)
+// latest returns the latest accepted revision by a linearizable read.
+func (s *Service) latest(ctx context.Context) (uint64, *intent.Document, error) {
+	a, err := s.readLatest(ctx)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -94,7 +93,7 @@
 	return a.Revision, doc, err
 }
 
-func (s *Service) readNewest(ctx context.Context) (a readAnswer, err error) {
+func (s *Service) readLatest(ctx context.Context) (a readAnswer, err error) {
 	g := s.group.Load()
 	if g == nil {
 		err = s.ask(ctx, channelRead, struct{}{}, &a)
@@ -111,10 +110,11 @@
 	if s.group.Load() == nil {
 		return nil, fault.New(fault.NotRun, "this instance holds no control state")
 	}
-	return s.readNewest(ctx)
+	return s.readLatest(ctx)
 }
 
-// Leader returns the name of the group's leader as far as this instance knows.
+// Leader returns the name of the group's leader, or an empty string if this instance
+// knows none. An instance without control state returns the member that answered last.
 func (s *Service) Leader() string {
 	g := s.group.Load()
 	if g == nil {
@@ -144,7 +144,7 @@
 	return "learner"
 }
 
-// Members returns the control group as "name role", sorted; nothing on an
+// Members returns the members of the control group as "name role", sorted; nil on an
 // instance that holds no control state.
 func (s *Service) Members() (list []string) {
 	g := s.group.Load()
@@ -166,5 +166,5 @@
 	return list
 }
 
-// cluster returns the history that this member belongs to.
+// cluster returns the ID of the cluster that this member belongs to.
 func (s *Service) cluster() raft.ClusterID { return s.clusterID }
--- a/instance/control/control.go
+++ b/instance/control/control.go
@@ -1,7 +1,8 @@
-// Package control runs this instance's part in the control state. An instance
-// with a data folder is a member of the control group: it founds it with others
-// or joins it as a learner, and keeps the replicated state. One without asks
-// members. Accepted revisions go to all instances by instance/spread.
+// Package control gives an instance access to the replicated control state. An
+// instance with a data folder is a member of the control group: it founds the group
+// with others or joins it as a learner, and keeps a replica of the state. One without
+// a data folder sends its requests to members. Package instance/spread distributes
+// accepted revisions to all instances.
 package control
 
 import (
@@ -33,7 +34,7 @@
 	"github.com/comfreyladder/comfreyladder/instance/plain"
 )
 
-// Channels of this service.
+// Link channels of this service.
 const (
 	channelRaft     = "control.raft"
 	channelFounding = "control.founding"
@@ -52,7 +53,7 @@
 	Handle(channel string, h link.Handler, options ...link.ChannelOption)
 }
 
-// Spread carries revisions to all instances.
+// Spread distributes revisions to all instances.
 type Spread interface {
 	Publish(revision uint64, data []byte) error
 	Renew(at time.Time, ttl time.Duration)
@@ -61,80 +62,82 @@
 	Acts(revision uint64) bool
 }
 
-// Config of a Service.
+// Config configures a Service.
 type Config struct {
 	// Name is this instance's name.
 	Name string
-	// DataFolder is empty on an instance that only follows.
+	// DataFolder is empty on an instance that holds no control state.
 	DataFolder string
-	// Disk holds the data folder; nil means the machine's filesystem.
+	// Disk holds the data folder; nil means the operating system's filesystem.
 	Disk disk.FS
-	// Founders lists the names of the instances that found the group; empty on
-	// one that joins.
+	// Founders lists the names of the instances that found the group; empty on an
+	// instance that joins.
 	Founders []string
-	// FoundingIntent becomes revision 1; nil on an instance that doesn't found.
+	// FoundingIntent becomes revision 1; nil on an instance that does not found.
 	FoundingIntent *intent.Document
 	Links          Links
 	Spread         Spread
-	// Members returns the names of instances that may hold control state, the
+	// Members returns the names of instances that may hold control state, the most
 	// likely ones first.
 	Members func() []string
-	// Current returns the configuration in force here; nil means that confirms
-	// travel with whole documents.
+	// Current returns the configuration in force here; if it is nil, confirms carry
+	// the whole document instead of a patch.
 	Current func() (*config.View, error)
-	// Lease is how long a configuration counts as the newest after the last
-	// contact with the leader.
+	// Lease is how long after the last contact with the leader a configuration is
+	// treated as the newest.
 	Lease time.Duration
 	Log   zerolog.Logger
-	// OnFatal is told once when the disk failed and this member had to stop.
+	// OnFatal, if set, is called when a disk failure stops this member for good.
 	OnFatal func(error)
 
 	// Bootstrap lets an empty disk found the group together with Founders. Without
-	// it, Founders only takes part in a founding that the disk has begun already.
+	// it, Founders is used only to continue a founding that the disk has begun already.
 	Bootstrap bool
 	// MendMembers lets the leader replace members that fell silent, and lets a
-	// member that was replaced join again, without an operator; see core/raft/roster.
+	// replaced member join again, without an operator; see core/raft/roster.
 	MendMembers bool
-	// WaitOutDisk keeps the process when its disk refuses writes: the member stops
-	// to vote, and starts again from the disk every diskRetry.
+	// WaitOutDisk keeps the process running when its disk refuses writes: the member
+	// stops voting and tries to restart from the disk every diskRetry.
 	WaitOutDisk bool
-	// Heartbeat, ElectionTimeout and RestartTimeout are those of the raft member; zero means
-	// raft's defaults, which suit regions that are far apart.
+	// Heartbeat, ElectionTimeout and RestartTimeout are as in raft.Config; zero means raft's
+	// defaults, which suit regions that are far apart.
 	Heartbeat, ElectionTimeout, RestartTimeout time.Duration
 	// OnApplied, if set, is called for each change of the replicated state, from the
 	// member's goroutine: it must not block.
 	OnApplied func(index uint64)
 }
 
-// Service is this instance's part in the control state.
+// Service is this instance's access to the control state, with its member of the control
+// group if it has a data folder.
 type Service struct {
-	cfg     Config
-	group   atomic.Pointer[consensus.Service]
-	founder atomic.Pointer[consensus.Founder]
-	names   atomic.Pointer[map[raft.MemberID]string]
-	changed chan struct{}
-	ctx     context.Context
-	cancel  context.CancelFunc
-	running sync.WaitGroup
+	cfg             Config
+	group           atomic.Pointer[consensus.Service]
+	founder         atomic.Pointer[consensus.Founder]
+	names           atomic.Pointer[map[raft.MemberID]string]
+	revisionChanged chan struct{}
+	ctx             context.Context
+	cancel          context.CancelFunc
+	running         sync.WaitGroup
 	// clusterID is set before group is.
 	clusterID raft.ClusterID
-	// lastEncoded is what encoded returned last: the leader asks for it at each
-	// renewal, and a document of 1,600 organisations takes some milliseconds.
+	// lastEncoded caches the result of encoded: the leader needs it at each lease
+	// renewal, and encoding a document of 1,600 organisations takes some milliseconds.
 	lastEncoded atomic.Pointer[encodedRevision]
-	// leaderHint is who answered last for the group, for instances that follow.
+	// leaderHint is the member that answered last, on instances without control state.
 	leaderHint atomic.Pointer[string]
-	// loops says that the goroutines beside the member run.
-	loops atomic.Bool
-	// ledTerm is the last term in which this instance became the tree's root.
+	// loopsStarted is set once publishLoop and leadLoop run.
+	loopsStarted atomic.Bool
+	// ledTerm is the last term for which this instance became the root of the
+	// distribution tree.
 	ledTerm atomic.Uint64
 }
 
-// New returns a service that is not started; it registers its channels.
+// New returns a service that has not been started; it registers its channels.
 func New(cfg Config) *Service {
 	if cfg.Disk == nil {
 		cfg.Disk = disk.OS{}
 	}
-	s := &Service{cfg: cfg, changed: make(chan struct{}, 1)}
+	s := &Service{cfg: cfg, revisionChanged: make(chan struct{}, 1)}
 	s.names.Store(&map[raft.MemberID]string{})
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	cfg.Links.Handle(channelRaft, s.receiveRaft, link.Lossy())
@@ -148,14 +151,14 @@
 	return s
 }
 
-// Start opens the disk, if there is one, and goes on in the background: a
-// founding or joining needs other instances, which may start later.
+// Start opens the data folder, if there is one. Founding and joining continue in the
+// background, since they need other instances, which may start later.
 func (s *Service) Start(context.Context) error {
 	if s.cfg.DataFolder == "" {
 		return nil
 	}
 	if s.cfg.WaitOutDisk {
-		s.running.Go(s.openPatiently)
+		s.running.Go(s.openWithRetry)
 		return nil
 	}
 	return s.open()
@@ -166,7 +169,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.recall(); err != nil {
+	if err := s.restoreApplied(); err != nil {
 		return err
 	}
 	if id.Cluster != "" {
@@ -183,11 +186,11 @@
 	return nil
 }
 
-// drainTimeout bounds a hand-over; a stop without one is safe, and costs the
-// group an election timeout.
+// drainTimeout bounds the leadership transfer. Stopping without a transfer is safe, but
+// costs the group an election timeout.
 const drainTimeout = 2 * time.Second
 
-// Drain implements kernel.Drainer: a leader hands over before it ends.
+// Drain implements kernel.Drainer: a leader transfers its leadership before it stops.
 func (s *Service) Drain(ctx context.Context) error {
 	g := s.group.Load()
 	if g == nil {
@@ -196,12 +199,12 @@
 	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
 	if err := g.Drain(ctx); err != nil {
-		s.cfg.Log.Warn().Err(err).Msg("control leadership not handed over")
+		s.cfg.Log.Warn().Err(err).Msg("control leadership not transferred")
 	}
 	return nil
 }
 
-// Stop ends all work of the service.
+// Stop stops the founder, the member and all goroutines of the service.
 func (s *Service) Stop(ctx context.Context) error {
 	s.cancel()
 	var err error
@@ -217,11 +220,11 @@
 	return err
 }
 
-// startGroup starts the member of a disk whose cluster is known.
+// startGroup starts the member of a disk that belongs to a cluster.
 func (s *Service) startGroup(id consensus.Identity) error {
 	g, err := consensus.New(consensus.Config{
 		FS: s.cfg.Disk, Dir: s.cfg.DataFolder, Identity: id, Mux: newMux(), Transport: transport{s},
-		Seed: int64(id.ID), OnFatal: s.failed, Heartbeat: s.cfg.Heartbeat, ElectionTimeout: s.cfg.ElectionTimeout,
+		Seed: int64(id.ID), OnFatal: s.memberFailed, Heartbeat: s.cfg.Heartbeat, ElectionTimeout: s.cfg.ElectionTimeout,
 		RestartTimeout: s.cfg.RestartTimeout, OnRole: s.logRole, OnSlowDisk: s.logSlowDisk,
 	})
 	if err != nil {
@@ -234,7 +237,7 @@
 	s.clusterID = id.Cluster
 	s.group.Store(g)
 	s.refreshNames()
-	if s.loops.CompareAndSwap(false, true) {
+	if s.loopsStarted.CompareAndSwap(false, true) {
 		s.running.Go(s.publishLoop)
 		s.running.Go(s.leadLoop)
 	}
@@ -272,16 +275,17 @@
 
 func (s *Service) wake() {
 	select {
-	case s.changed <- struct{}{}:
+	case s.revisionChanged <- struct{}{}:
 	default:
 	}
 }
 
-// publishLoop puts each revision that this member applied on its way.
+// publishLoop publishes each revision that this member applied to the distribution
+// tree.
 func (s *Service) publishLoop() {
 	for {
 		select {
-		case <-s.changed:
+		case <-s.revisionChanged:
 		case <-s.ctx.Done():
 			return
 		}
@@ -295,13 +299,13 @@
 	}
 }
 
-// encodedRevision is a revision in the form in which it is spread.
+// encodedRevision is a revision with its document in the encoding for distribution.
 type encodedRevision struct {
 	number uint64
 	data   []byte
 }
 
-// encoded returns the revision that this member applied last.
+// encoded returns the last revision that this member applied, with its encoded document.
 func (s *Service) encoded() (number uint64, data []byte, err error) {
 	s.group.Load().View(func(_ uint64, m *corecontrol.Mux) {
 		var doc *intent.Document
@@ -317,10 +321,10 @@
 	return number, data, err
 }
 
-// Encode returns a document in the form in which it is spread.
+// Encode returns a document in the encoding for distribution.
 func Encode(doc *intent.Document) ([]byte, error) { return corecontrol.Marshal(doc) }
 
-// Decode reads what Encode made.
+// Decode decodes a document that was encoded by Encode.
 func Decode(data []byte) (*intent.Document, error) {
 	doc := &intent.Document{}
 	return doc, corecontrol.Unmarshal(data, doc)
--- a/instance/control/force.go
+++ b/instance/control/force.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// forcePoll is how often the leader looks whether a revision is in force. It
-	// reads memory only.
+	// forcePoll is the interval at which the leader checks whether a revision is in
+	// force. A check reads memory only.
 	forcePoll = 2 * time.Millisecond
-	// forceHold is how long a question is held before it is answered with "not
-	// yet", and forceMargin what the call may take on top.
+	// forceHold is how long a request is held before it is answered with "not yet",
+	// and forceMargin how long the call may take in addition.
 	forceHold   = time.Second
 	forceMargin = time.Second
-	// forceRetry is the pause after a question that nobody could answer.
+	// forceRetry is the pause after a failed request.
 	forceRetry = 20 * time.Millisecond
 )
 
-// forceRequest asks the leader whether a revision is in force everywhere. The
-// answer is held back for forceHold while it is not.
+// forceRequest asks the leader whether a revision is in force everywhere. While it is
+// not, the leader holds the request for up to forceHold.
 type forceRequest struct {
 	Revision uint64 `codec:"r"`
-	// Relayed is set by a member that hands the question to the leader.
+	// Relayed is set by a member that forwards the request to the leader.
 	Relayed bool `codec:"y,omitempty"`
 }
 
@@ -35,16 +35,17 @@
 	InForce bool `codec:"f"`
 }
 
-// awaitForce waits until every instance acts on the revision or knows that it is
-// cut off, which the leader knows from the leases that it gave. Should it not be
-// reached, a whole lease is waited out, after which the same holds: the leader
-// renews the lease only together with the newest revision. This instance itself
-// has to follow in any case, so that an operator's next plan is made on it.
-func (s *Service) awaitForce(ctx context.Context, number uint64) {
+// awaitInForce waits until every instance has applied the revision or knows that it is
+// cut off, which the leader derives from the leases that it granted. If the leader
+// cannot be reached, awaitInForce waits for a whole lease, after which the same holds:
+// the leader renews the lease only together with the newest revision. Within that time
+// it also waits until this instance has applied the revision, so that an operator's
+// next plan is based on it.
+func (s *Service) awaitInForce(ctx context.Context, number uint64) {
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.Lease)
 	defer cancel()
 	for ctx.Err() == nil {
-		inForce, err := s.askForce(ctx, forceRequest{Revision: number})
+		inForce, err := s.askInForce(ctx, forceRequest{Revision: number})
 		if inForce {
 			break
 		}
@@ -57,8 +58,8 @@
 	}
 }
 
-// askForce has the leader answer, by way of a member if it is not known here.
-func (s *Service) askForce(ctx context.Context, q forceRequest) (bool, error) {
+// askInForce asks the leader, through a member if this instance holds no control state.
+func (s *Service) askInForce(ctx context.Context, q forceRequest) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, forceHold+forceMargin)
 	defer cancel()
 	g := s.group.Load()
@@ -69,24 +70,24 @@
 	}
 	st := g.Status()
 	if st.Leader == st.ID {
-		return s.holdForce(ctx, g, q.Revision)
+		return s.awaitInForceOnLeader(ctx, g, q.Revision)
 	}
 	if st.Leader == 0 || q.Relayed {
-		return false, fault.New(fault.NotRun, "this member does not lead")
+		return false, fault.New(fault.NotRun, "this member is not the leader")
 	}
 	q.Relayed = true
 	err := s.cfg.Links.Call(ctx, s.Leader(), channelForce, q, &a)
 	return a.InForce, err
 }
 
-// holdForce waits until the revision is in force, as the leader sees it.
-func (s *Service) holdForce(ctx context.Context, g *consensus.Service, number uint64) (bool, error) {
+// awaitInForceOnLeader waits on the leader until the revision is in force, for up to forceHold.
+func (s *Service) awaitInForceOnLeader(ctx context.Context, g *consensus.Service, number uint64) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, forceHold)
 	defer cancel()
 	for ctx.Err() == nil {
 		st := g.Status()
 		if st.Leader != st.ID {
-			return false, fault.New(fault.NotRun, "this member does not lead any more")
+			return false, fault.New(fault.NotRun, "this member is no longer the leader")
 		}
 		if s.ledTerm.Load() == st.Term && s.cfg.Spread.InForce(number) {
 			return true, nil
@@ -104,16 +105,16 @@
 	if s.group.Load() == nil {
 		return nil, fault.New(fault.NotRun, "this instance holds no control state")
 	}
-	inForce, err := s.askForce(ctx, q)
+	inForce, err := s.askInForce(ctx, q)
 	return forceAnswer{InForce: inForce}, err
 }
 
-// takeOver makes this instance the root of the tree for a term that it leads. It
-// cannot know which leases an earlier leader gave, so a confirm waits them out;
-// without that, a confirm could return while a failure domain that the new leader
-// never heard of serves by the old revision as if it were the newest. The first
+// becomeTreeRoot makes this instance the root of the distribution tree for a term that it
+// leads. It does not know which leases an earlier leader granted, so a confirm waits
+// until they have expired; otherwise a confirm could return while a failure domain
+// unknown to the new leader still serves the old revision as the newest. The first
 // leader after the founding has no predecessor.
-func (s *Service) takeOver(term uint64) {
+func (s *Service) becomeTreeRoot(term uint64) {
 	if s.ledTerm.Load() == term {
 		return
 	}
--- a/instance/control/group.go
+++ b/instance/control/group.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// joinEvery is the time between two tries to join or to tend members.
+	// joinEvery is the interval of attempts to join and of membership maintenance.
 	joinEvery = 500 * time.Millisecond
 	// callTimeout bounds one call to another member.
 	callTimeout = 2 * time.Second
 )
 
-// transport sends raft messages over links, by the members' names.
+// transport sends raft messages over links, which address members by name.
 type transport struct{ s *Service }
 
 // Send implements consensus.Transport.
@@ -33,8 +33,8 @@
 	}
 }
 
-// refreshNames takes the members' names from the group's own state, so that an
-// address is found for every member, also right after a start.
+// refreshNames takes the members' names from the group's own state, so that every
+// member can be addressed, also right after a start.
 func (s *Service) refreshNames() {
 	g := s.group.Load()
 	if g == nil {
@@ -61,8 +61,8 @@
 	return nil, nil
 }
 
-// learnName keeps the sender's name: a learner is spoken to by a leader that is
-// not in its state yet.
+// learnName records the sender's name: a learner receives messages from a leader that
+// is not in its state yet.
 func (s *Service) learnName(id raft.MemberID, name string) {
 	old := *s.names.Load()
 	if old[id] == name {
@@ -76,8 +76,8 @@
 	s.names.Store(&next)
 }
 
-// startFounder runs the founding exchange and, once the group is founded, the
-// member. It goes on answering: another founder may still wait for the word.
+// startFounder runs the founding protocol and, once the group is founded, the member.
+// The founder keeps running, since other founders may still need its answers.
 func (s *Service) startFounder(id consensus.Identity) error {
 	f, err := consensus.NewFounder(consensus.FounderConfig{
 		FS: s.cfg.Disk, Dir: s.cfg.DataFolder, Identity: id, Founders: s.cfg.Founders, Cluster: newClusterID(),
@@ -88,7 +88,7 @@
 		},
 	})
 	if fault.CodeOf(err) == fault.Conflict {
-		return nil // joined later under a founder's name; nothing is left to found
+		return nil // the disk joined an existing group under a founder's name
 	}
 	if err != nil {
 		return err
@@ -103,15 +103,15 @@
 	return nil
 }
 
-// awaitFounding starts the member once the group is founded. A founder whose
-// disk was replaced finds the others founded already; it joins instead.
+// awaitFounding starts the member once the group is founded. A founder whose disk was
+// replaced may find the group founded already, and joins it instead.
 func (s *Service) awaitFounding(f *consensus.Founder, id consensus.Identity) {
 	for s.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(s.ctx, joinEvery)
 		founded, err := f.Wait(ctx)
 		cancel()
 		if err == nil {
-			s.run(founded)
+			s.startOrFail(founded)
 			return
 		}
 		if s.tryJoin(id) {
@@ -120,23 +120,23 @@
 	}
 }
 
-func (s *Service) run(id consensus.Identity) {
+func (s *Service) startOrFail(id consensus.Identity) {
 	if err := s.startGroup(id); err != nil {
-		s.failed(err)
+		s.memberFailed(err)
 	}
 }
 
-// logRole writes a line for each change of this member's role, or of the leader it follows.
+// logRole logs a change of this member's role or of its leader.
 func (s *Service) logRole(st raft.Status) {
 	leader, _ := st.Members.Get(st.Leader)
 	s.cfg.Log.Info().Str("event", "control_role").Str("role", st.Role.String()).Uint64("term", st.Term).Str("leader", leader.Name).
-		Int("voters", len(st.Members.Voters())).Uint64("last", st.Last).Uint64("commit", st.Commit).Msg("role in the control group")
+		Int("voters", len(st.Members.Voters())).Uint64("last", st.Last).Uint64("commit", st.Commit).Msg("control group role or leader changed")
 }
 
-// logSlowDisk writes a line for a write that kept this member for long: nothing is
-// confirmed meanwhile, and a leader may lose its lead.
+// logSlowDisk logs a slow write, during which this member confirms nothing and may lose
+// the leadership.
 func (s *Service) logSlowDisk(took time.Duration) {
-	s.cfg.Log.Warn().Str("event", "disk_slow").Int64("took", took.Milliseconds()).Msg("a write to the disk kept the control member")
+	s.cfg.Log.Warn().Str("event", "disk_slow").Int64("took", took.Milliseconds()).Msg("slow disk write in the control member")
 }
 
 func (s *Service) receiveFounding(_ context.Context, _ string, m link.Message) (any, error) {
@@ -156,7 +156,7 @@
 type joinRequest struct {
 	ID   raft.MemberID `codec:"i"`
 	Name string        `codec:"n"`
-	// Relayed is set by a member that hands the request to the leader.
+	// Relayed is set by a member that forwards the request to the leader.
 	Relayed bool `codec:"y,omitempty"`
 }
 
@@ -166,13 +166,14 @@
 
 func (s *Service) join(id consensus.Identity) {
 	for s.ctx.Err() == nil && !s.tryJoin(id) {
-		if !s.pause(joinEvery) {
+		if !s.sleep(joinEvery) {
 			return
 		}
 	}
 }
 
-// tryJoin asks the members in turn; the leader among them adds this disk.
+// tryJoin asks the members in turn to add this disk, and starts the member when one of
+// them has done so.
 func (s *Service) tryJoin(id consensus.Identity) bool {
 	for _, name := range s.cfg.Members() {
 		ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
@@ -183,17 +184,17 @@
 			continue
 		}
 		if err := consensus.Join(s.cfg.Disk, s.cfg.DataFolder, &id, a.Cluster); err != nil {
-			s.failed(err)
+			s.memberFailed(err)
 			return true
 		}
-		s.run(id)
+		s.startOrFail(id)
 		return true
 	}
 	return false
 }
 
-// receiveJoin adds a disk as a learner, at the leader. Any other member hands the
-// request on: a newcomer knows some members only, of which the leader may be none.
+// receiveJoin adds a disk as a learner, on the leader. Any other member forwards the
+// request: a joining instance may know only some members, without the leader.
 func (s *Service) receiveJoin(ctx context.Context, from string, m link.Message) (any, error) {
 	var q joinRequest
 	if err := m.Decode(&q); err != nil {
@@ -201,7 +202,7 @@
 	}
 	g := s.group.Load()
 	if g == nil || !q.Relayed && q.Name != from {
-		return nil, fault.New(fault.NotRun, "no member of a control group")
+		return nil, fault.New(fault.NotRun, "this instance is not a member of a control group, or the request is not from the joining instance")
 	}
 	st := g.Status()
 	if st.Leader != st.ID {
@@ -212,7 +213,7 @@
 		if err := g.AddLearner(ctx, q.ID, q.Name); err != nil {
 			return nil, err
 		}
-		s.cfg.Log.Info().Str("event", "member_joins").Str("peer", q.Name).Uint64("member", uint64(q.ID)).Msg("a new disk learns the control state")
+		s.cfg.Log.Info().Str("event", "member_joins").Str("peer", q.Name).Uint64("member", uint64(q.ID)).Msg("new disk added as a learner")
 	}
 	return joinAnswer{Cluster: s.cluster()}, nil
 }
@@ -220,7 +221,7 @@
 func (s *Service) relayJoin(ctx context.Context, st consensus.Status, q joinRequest) (any, error) {
 	leader, known := st.Members.Get(st.Leader)
 	if q.Relayed || !known {
-		return nil, fault.New(fault.NotRun, "not the leader")
+		return nil, fault.New(fault.NotRun, "this member is not the leader")
 	}
 	q.Relayed = true
 	var a joinAnswer
@@ -228,4 +229,4 @@
 	return a, err
 }
 
-func (s *Service) pause(d time.Duration) bool { return clock.Sleep(s.ctx, d) }
+func (s *Service) sleep(d time.Duration) bool { return clock.Sleep(s.ctx, d) }
--- a/instance/control/intent.go
+++ b/instance/control/intent.go
@@ -13,25 +13,25 @@
 	"github.com/comfreyladder/comfreyladder/instance/consensus"
 )
 
-// foundingOperator and number 0 stand for the founding's own intent; operators'
-// names and numbers cannot collide with them, as 0 is refused from operators.
+// foundingOperator and number 0 identify the founding intent. They cannot collide with
+// those of operators, from whom number 0 is rejected.
 const foundingOperator = "founding"
 
 // Latest implements admin.Control.
 func (s *Service) Latest(ctx context.Context) (*config.View, error) {
-	number, doc, err := s.newest(ctx)
+	number, doc, err := s.latest(ctx)
 	if err != nil {
 		return nil, err
 	}
 	return config.NewView(number, doc), nil
 }
 
-// Confirm implements admin.Control. It returns once the revision is durable and
-// each failure domain either acts on it or has been out of contact for so long
-// that its configuration lease has run out, so that it knows itself cut off.
+// Confirm implements admin.Control. It returns once the revision is durable and each
+// failure domain either has applied it or has been out of contact for so long that its
+// configuration lease has expired, so that it knows that it is cut off.
 func (s *Service) Confirm(ctx context.Context, operator string, req *admin.ConfirmRequest) (*admin.Confirmation, error) {
 	if req.Number == 0 {
-		return nil, fault.New(fault.Invalid, "number: your own number of the intent, from 1 on, is needed")
+		return nil, fault.New(fault.Invalid, "number: the number of your intent is required and must be at least 1")
 	}
 	a, err := s.propose(ctx, s.command(operator, req))
 	if err != nil {
@@ -40,7 +40,7 @@
 	if err := a.Err(); err != nil {
 		return nil, explain(a, err)
 	}
-	s.awaitForce(ctx, a.Record.Revision)
+	s.awaitInForce(ctx, a.Record.Revision)
 	return &admin.Confirmation{
 		Revision: a.Record.Revision, Number: a.Record.Number, Operator: a.Record.Operator, At: time.Unix(0, a.Record.At).UTC(),
 	}, nil
@@ -59,7 +59,7 @@
 	return a, corecontrol.Unmarshal(result, a)
 }
 
-// explain adds to a refusal what moved since the plan's base, and by whom.
+// explain adds to a rejection the changes since the plan's base, with their operators.
 func explain(a *revision.Answer, err error) error {
 	f := fault.From(err)
 	detail := f.Detail
@@ -77,8 +77,8 @@
 	return &out
 }
 
-// found proposes the founding's intent while the group has no revision.
-func (s *Service) found(g *consensus.Service) {
+// proposeFoundingIntent proposes the founding intent while the group has no revision.
+func (s *Service) proposeFoundingIntent(g *consensus.Service) {
 	if s.cfg.FoundingIntent == nil {
 		return
 	}
--- a/instance/control/lead.go
+++ b/instance/control/lead.go
@@ -9,15 +9,18 @@
 	"github.com/comfreyladder/comfreyladder/instance/consensus"
 )
 
-// renewEvery is how often the leader renews the configuration lease; several
-// fit into the shortest lease, one second, together with the tree's steps.
+// renewEvery is the interval at which the leader renews the configuration lease. Several
+// intervals fit into the shortest lease, one second, together with the delay of the
+// distribution tree.
 const renewEvery = 250 * time.Millisecond
 
-// leadLoop does the leader's chores while this member leads.
+// leadLoop performs the leader's periodic tasks while this member leads: it renews the
+// configuration lease, proposes the founding intent and maintains the membership. While
+// it does not lead, it calls rejoin.
 func (s *Service) leadLoop() {
-	tended := time.Time{}
+	maintainedAt := time.Time{}
 	leaderlessSince := time.Time{}
-	for s.pause(renewEvery) {
+	for s.sleep(renewEvery) {
 		s.refreshNames()
 		g := s.group.Load()
 		st := g.Status()
@@ -26,20 +29,20 @@
 			continue
 		}
 		if s.cfg.Spread != nil {
-			s.takeOver(st.Term)
+			s.becomeTreeRoot(st.Term)
 			s.renew(g)
-			s.found(g)
+			s.proposeFoundingIntent(g)
 		}
-		if time.Since(tended) >= joinEvery {
-			tended = time.Now()
-			s.tend(g, st)
+		if time.Since(maintainedAt) >= joinEvery {
+			maintainedAt = time.Now()
+			s.maintainMembers(g, st)
 		}
 	}
 }
 
-// renew extends the configuration lease after a quorum confirmed this leader. A
-// leader that was cut off in silence gets no confirmation, so it cannot keep an
-// old configuration alive beside its successor's.
+// renew extends the configuration lease after a quorum confirmed this leader. A leader
+// that is partitioned gets no confirmation, so it cannot extend the lease of an old
+// configuration beside its successor.
 func (s *Service) renew(g *consensus.Service) {
 	at := time.Now()
 	ctx, cancel := context.WithTimeout(s.ctx, renewEvery)
@@ -51,37 +54,38 @@
 	if err != nil || number == 0 {
 		return
 	}
-	// The revision goes out before the lease that calls it the newest.
+	// Publish the revision before the lease that states that it is the newest.
 	_ = s.cfg.Spread.Publish(number, data)
 	s.cfg.Spread.Renew(at, s.cfg.Lease)
 }
 
-// tend gives a learner that has synced everything a vote, and removes the member
-// that it replaces: the one with the same name, whose disk is gone for good.
-func (s *Service) tend(g *consensus.Service, st consensus.Status) {
+// maintainMembers promotes a learner that has caught up, and then removes the member that
+// it replaces: the one with the same name, whose disk is lost.
+func (s *Service) maintainMembers(g *consensus.Service, st consensus.Status) {
 	ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
 	defer cancel()
 	if s.cfg.MendMembers {
-		s.mend(ctx, g, &st.Status)
+		s.repairMembership(ctx, g, &st.Status)
 		return
 	}
 	for _, m := range st.Members {
 		if !m.Voter {
 			if err := g.Promote(ctx, m.ID); err == nil {
-				s.cfg.Log.Info().Str("peer", m.Name).Msg("the new disk has synced and votes")
+				s.cfg.Log.Info().Str("peer", m.Name).Msg("learner has caught up and was promoted to voter")
 			}
 			return
 		}
 	}
 	if old, ok := replaced(st); ok {
 		if err := g.Remove(ctx, old); err == nil {
-			s.cfg.Log.Info().Uint64("member", uint64(old)).Msg("the replaced disk is no member any more")
+			s.cfg.Log.Info().Uint64("member", uint64(old)).Msg("replaced member removed")
 		}
 	}
 }
 
-// mend makes the next change by which the group gets whole again, if any.
-func (s *Service) mend(ctx context.Context, g *consensus.Service, st *raft.Status) {
+// repairMembership performs the next membership change that restores the group, if any; see
+// core/raft/roster.
+func (s *Service) repairMembership(ctx context.Context, g *consensus.Service, st *raft.Status) {
 	change := roster.Next(st)
 	m, _ := st.Members.Get(change.ID)
 	var err error
@@ -94,10 +98,11 @@
 		return
 	}
 	s.cfg.Log.Info().Err(err).Str("event", "member_change").Str("peer", m.Name).Uint64("member", uint64(m.ID)).
-		Bool("votes", change.Action == roster.Promote).Uint64("term", st.Term).Msg("control group mends its membership")
+		Bool("votes", change.Action == roster.Promote).Uint64("term", st.Term).Msg("automatic membership change in the control group")
 }
 
-// replaced returns a silent member that shares its name with one that is heard.
+// replaced returns a member that shares its name with another one and has been silent
+// for longer.
 func replaced(st consensus.Status) (raft.MemberID, bool) {
 	silent := map[raft.MemberID]time.Duration{}
 	for _, f := range st.Followers {
--- a/instance/control/operate.go
+++ b/instance/control/operate.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// maxUnknowns bounds one list of calls with an unknown outcome.
+	// maxUnknowns limits one list of calls with an unknown outcome.
 	maxUnknowns = 1000
-	// removableAfter is the silence after which a member may be removed by an
-	// operator; one that is heard would only lose its vote for nothing.
-	removableAfter = 10 * time.Second
+	// minRemovalSilence is the silence after which an operator may remove a member;
+	// removing a live member would only weaken the group.
+	minRemovalSilence = 10 * time.Second
 )
 
 // Unknowns implements admin.Claims.
@@ -46,8 +46,8 @@
 	return s.Unknowns(ctx)
 }
 
-// Resolve implements admin.Claims. The attempt is looked up first, so that the
-// operator's word counts for the attempt that was unknown, and for no later one.
+// Resolve implements admin.Claims. It reads the attempt first, so that the operator's
+// resolution applies to the attempt with the unknown outcome, and to no later one.
 func (s *Service) Resolve(ctx context.Context, operator string, key claim.Key, as claim.Outcome) error {
 	ledger := plain.ProposeFunc(s.Propose)
 	r, err := ledger.Submit(ctx, &claim.Command{Op: claim.OpRead, Key: key})
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// resolvedStatus is what a resend is answered after an operator's word, since the
-// service's own answer is not known.
+// resolvedStatus is the HTTP status with which a repeated request is answered after an
+// operator resolved the call, since the service's own answer is not known.
 var resolvedStatus = map[claim.Outcome]int{claim.Done: 200, claim.Rejected: 409}
 
 type groupRequest struct {
@@ -83,16 +83,17 @@
 	Relayed bool          `codec:"y,omitempty"`
 }
 
-// Group implements admin.Group: the members as their leader knows them.
+// Group implements admin.Group. It returns the members as seen by the leader.
 func (s *Service) Group(ctx context.Context) ([]admin.Member, error) {
 	return s.askGroup(ctx, groupRequest{})
 }
 
-// RemoveMember implements admin.Group. It refuses a member that is heard.
+// RemoveMember implements admin.Group. It refuses to remove a member that was heard
+// from recently.
 func (s *Service) RemoveMember(ctx context.Context, id string) ([]admin.Member, error) {
 	n, err := strconv.ParseUint(id, 16, 64)
 	if err != nil || n == 0 {
-		return nil, fault.New(fault.Invalid, "member %q: the ID as a list of members shows it is needed", id)
+		return nil, fault.New(fault.Invalid, "member %q: the hexadecimal ID from the list of members is required", id)
 	}
 	return s.askGroup(ctx, groupRequest{Remove: raft.MemberID(n)})
 }
@@ -126,10 +127,10 @@
 	return s.askGroup(ctx, q)
 }
 
-// answerGroup answers at the leader.
+// answerGroup processes a group request on the leader.
 func (s *Service) answerGroup(ctx context.Context, g *consensus.Service, q groupRequest) ([]admin.Member, error) {
 	if q.Remove != 0 {
-		if err := removable(g.Status(), q.Remove); err != nil {
+		if err := checkRemovable(g.Status(), q.Remove); err != nil {
 			return nil, err
 		}
 		if err := g.Remove(ctx, q.Remove); err != nil {
@@ -138,7 +139,7 @@
 		s.cfg.Log.Warn().Str("member", formatMember(q.Remove)).Msg("an operator removed a control member")
 	}
 	st := g.Status()
-	silent := silences(st)
+	silent := silenceByMember(st)
 	var list []admin.Member
 	for _, m := range st.Members {
 		list = append(list, admin.Member{
@@ -148,21 +149,21 @@
 	return list, nil
 }
 
-// removable guards against the removal of a member by a slip: with a live one
+// checkRemovable guards against the accidental removal of a live member: with one live member
 // less, the next loss of a disk can cost the quorum.
-func removable(st consensus.Status, id raft.MemberID) error {
+func checkRemovable(st consensus.Status, id raft.MemberID) error {
 	m, known := st.Members.Get(id)
 	if !known {
 		return fault.New(fault.NotFound, "no member %s", formatMember(id))
 	}
-	if silent := silences(st)[id]; id == st.ID || silent < removableAfter {
+	if silent := silenceByMember(st)[id]; id == st.ID || silent < minRemovalSilence {
 		return fault.New(fault.Conflict, "member %s of %s was heard %s ago; only one that is silent for %s may be removed",
-			formatMember(id), m.Name, silent.Round(time.Millisecond), removableAfter)
+			formatMember(id), m.Name, silent.Round(time.Millisecond), minRemovalSilence)
 	}
 	return nil
 }
 
-func silences(st consensus.Status) map[raft.MemberID]time.Duration {
+func silenceByMember(st consensus.Status) map[raft.MemberID]time.Duration {
 	silent := map[raft.MemberID]time.Duration{}
 	for _, f := range st.Followers {
 		silent[f.ID] = f.Silent
--- a/instance/control/patch.go
+++ b/instance/control/patch.go
@@ -5,9 +5,9 @@
 	"github.com/comfreyladder/comfreyladder/instance/admin"
 )
 
-// command makes the command of a confirm: with what differs from the base where
-// this instance has it, which it nearly always has, as the plan was made on it,
-// and else with the whole document.
+// command returns the command of a confirm. It holds a patch against the base if this
+// instance has the base, which is usual, since the plan was made on it; otherwise it
+// holds the whole document.
 func (s *Service) command(operator string, req *admin.ConfirmRequest) *revision.Confirm {
 	c := &revision.Confirm{Operator: operator, Number: req.Number, Base: req.Base}
 	if s.cfg.Current != nil {
--- a/instance/control/patience.go
+++ b/instance/control/recovery.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// diskRetry is the pause before a member whose disk refused a write is started
-	// again from what the disk holds.
+	// diskRetry is the pause between attempts to restart a member from its disk after
+	// the disk refused a write.
 	diskRetry = 500 * time.Millisecond
-	// leaderless is for how long a member may know no leader before it asks to join
-	// again: its group may have replaced it while it was cut off.
-	leaderless = 3 * time.Second
+	// leaderlessTimeout is how long a member may know no leader before it asks to join
+	// again: the group may have replaced it while it was cut off.
+	leaderlessTimeout = 3 * time.Second
 )
 
-// failed handles a member that had to stop. A full or refusing disk passes; the
-// process must not end for it, since the machine's other work goes on. The member
-// has stopped to vote and to acknowledge, and what it wrote last counts only once
-// the log was opened, checked and synced anew.
-func (s *Service) failed(err error) {
+// memberFailed handles a fatal error of the member. With WaitOutDisk, a full or failing disk is
+// treated as temporary and does not end the process, whose other work continues. The
+// member no longer votes or acknowledges, and its last writes are used only after the log
+// was opened, verified and synced again. Corrupt data is fatal in any case.
+func (s *Service) memberFailed(err error) {
 	if !s.cfg.WaitOutDisk || fault.CodeOf(err) == fault.Corrupt {
 		s.fatal(err)
 		return
 	}
-	s.cfg.Log.Error().Err(err).Str("event", "disk_refuses").Dur("retry_in", diskRetry).Msg("control member stopped until its disk writes again")
+	s.cfg.Log.Error().Err(err).Str("event", "disk_refuses").Dur("retry_in", diskRetry).Msg("control member stopped until its disk accepts writes again")
 	s.running.Go(func() {
-		for s.pause(diskRetry) {
+		for s.sleep(diskRetry) {
 			again, err := s.reopenMember()
 			if err == nil {
 				s.cfg.Log.Info().Str("event", "disk_regained").Uint64("member", uint64(again.ID)).Msg("control member started again")
@@ -54,15 +54,15 @@
 	return consensus.Initialise(s.cfg.Disk, s.cfg.DataFolder, newMemberID(), s.cfg.Name)
 }
 
-// openPatiently opens the disk as soon as it can be used.
-func (s *Service) openPatiently() {
+// openWithRetry retries open until it succeeds or the service stops.
+func (s *Service) openWithRetry() {
 	for {
 		err := s.open()
 		if err == nil {
 			return
 		}
-		s.cfg.Log.Error().Err(err).Str("event", "disk_refuses").Dur("retry_in", diskRetry).Msg("the data folder can't be used yet")
-		if !s.pause(diskRetry) {
+		s.cfg.Log.Error().Err(err).Str("event", "disk_refuses").Dur("retry_in", diskRetry).Msg("data folder not usable yet")
+		if !s.sleep(diskRetry) {
 			return
 		}
 	}
@@ -71,10 +71,10 @@
 // Replica returns the member of the control group that runs here, or nil.
 func (s *Service) Replica() *consensus.Service { return s.group.Load() }
 
-// rejoin asks the group to take this member in again when it has known no leader
-// for a while. A group that mends itself may have replaced a member that was cut
-// off; nobody answers a member that was removed, and so it does not find out by
-// itself.
+// rejoin asks the group to add this member again when it has known no leader for a
+// while. A group with automatic repair may have replaced a member that was cut off;
+// since nobody answers a removed member, it cannot find out by itself. It returns the
+// time from which leaderlessTimeout counts, or zero while a leader is known.
 func (s *Service) rejoin(g *consensus.Service, since time.Time) time.Time {
 	if !s.cfg.MendMembers || g.Status().Leader != 0 {
 		return time.Time{}
@@ -82,7 +82,7 @@
 	if since.IsZero() {
 		return time.Now()
 	}
-	if time.Since(since) < leaderless {
+	if time.Since(since) < leaderlessTimeout {
 		return since
 	}
 	id := g.Identity()
