--- a/instance/disk/disk.go
+++ b/instance/disk/disk.go
@@ -1,6 +1,6 @@
-// Package disk is the small part of a filesystem that the write-ahead log and
-// the snapshots need, as an interface, so that tests can make syncs fail and
-// crashes lose what was not synced.
+// Package disk defines the filesystem operations that the write-ahead log and the
+// snapshots need, as an interface, so that tests can inject failed syncs and crashes
+// that lose unsynced data.
 package disk
 
 import (
@@ -15,21 +15,21 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// File is an open file. Writes count only after Sync.
+// File is an open file. Writes are durable only after Sync.
 type File interface {
 	io.Writer
 	io.Closer
 	// Sync makes the content durable.
 	Sync() error
-	// Truncate cuts the file to size bytes.
+	// Truncate shortens the file to size bytes.
 	Truncate(size int64) error
 }
 
 // FS is a filesystem. Paths are joined with path/filepath.
 type FS interface {
-	// Create makes a new, empty file; it fails if the file exists.
+	// Create creates a new, empty file; it fails if the file exists.
 	Create(path string) (File, error)
-	// Append opens an existing file for writes at its end.
+	// Append opens an existing file for appending.
 	Append(path string) (File, error)
 	ReadFile(path string) ([]byte, error)
 	// List returns the names in a folder, sorted.
@@ -37,7 +37,7 @@
 	Rename(from, to string) error
 	Remove(path string) error
 	MkdirAll(dir string) error
-	// SyncDir makes new, renamed and removed names in a folder durable.
+	// SyncDir makes the creation, renaming and removal of files in a folder durable.
 	SyncDir(dir string) error
 }
 
@@ -46,7 +46,7 @@
 	dirMode  = 0o700
 )
 
-// OS is the machine's filesystem.
+// OS is the filesystem of the operating system.
 type OS struct{}
 
 // Create implements FS.
@@ -82,7 +82,7 @@
 // Remove implements FS.
 func (OS) Remove(path string) error { return os.Remove(path) }
 
-// MkdirAll implements FS. The names of new folders are synced as well.
+// MkdirAll implements FS. It also syncs the parents of new folders.
 func (o OS) MkdirAll(dir string) error {
 	if _, err := os.Stat(dir); err == nil {
 		return nil
@@ -112,10 +112,9 @@
 	return err
 }
 
-// WriteFile makes a whole file durable under its name, or leaves the name as it
-// was: it writes beside it, syncs, renames and syncs the folder. A crash at any
-// point leaves the old content or the new one, never a part. It fails with
-// fault.Unavailable.
+// WriteFile replaces the content of a file atomically and durably: it writes a
+// temporary file, syncs it, renames it and syncs the folder. A crash at any point
+// leaves either the old or the new content. It fails with fault.Unavailable.
 func WriteFile(f FS, path string, content []byte) error {
 	temp := path + TempSuffix
 	if err := f.Remove(temp); err != nil && !IsNotExist(err) {
@@ -144,8 +143,8 @@
 	return nil
 }
 
-// TempSuffix ends the names of files that are being written.
+// TempSuffix is the suffix of the temporary files of WriteFile.
 const TempSuffix = ".tmp"
 
-// IsNotExist reports whether an FS method failed because the name is not there.
+// IsNotExist reports whether an FS method failed because the file does not exist.
 func IsNotExist(err error) bool { return errors.Is(err, fs.ErrNotExist) }
--- a/instance/disk/disktest/memory.go
+++ b/instance/disk/disktest/memory.go
@@ -1,4 +1,4 @@
-// Package disktest is a filesystem for tests of what survives a crash.
+// Package disktest provides an in-memory filesystem for crash tests.
 package disktest
 
 import (
@@ -12,16 +12,15 @@
 	"github.com/comfreyladder/comfreyladder/instance/disk"
 )
 
-// Memory is a filesystem in memory that forgets at a Crash what was not synced:
-// the content of files and, apart from it, the names in folders. It is for
-// tests. It is safe for concurrent use.
+// Memory is an in-memory filesystem that loses unsynced data at a Crash. File content
+// and folder entries are synced separately. It is safe for concurrent use.
 type Memory struct {
 	mu sync.Mutex
-	// now and kept map paths to files: as programs see it, and as it would be
-	// after a crash.
-	now, kept map[string]*memFile
-	fails     func(path string) error
-	syncs     int
+	// visible and durable map paths to files: as seen by programs, and as they would
+	// be after a crash.
+	visible, durable map[string]*memFile
+	onSync           func(path string) error
+	syncs            int
 }
 
 type memFile struct {
@@ -30,44 +29,44 @@
 
 // NewMemory returns an empty filesystem.
 func NewMemory() *Memory {
-	return &Memory{now: map[string]*memFile{}, kept: map[string]*memFile{}}
+	return &Memory{visible: map[string]*memFile{}, durable: map[string]*memFile{}}
 }
 
-// SetSyncFails has f asked before each sync of a file or folder; what it returns
-// is what the sync returns. nil lets syncs succeed.
+// SetSyncFails sets a function that is called before each sync of a file or folder; if
+// it returns an error, the sync fails with it. With nil all syncs succeed.
 func (m *Memory) SetSyncFails(f func(path string) error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.fails = f
+	m.onSync = f
 }
 
-// Syncs returns how many syncs of files there were.
+// Syncs returns the number of file syncs, including failed ones.
 func (m *Memory) Syncs() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.syncs
 }
 
-// Crash drops what was not synced. torn says how many bytes of each file's
-// unsynced end have reached the disk nevertheless.
+// Crash discards unsynced data. torn is the number of bytes of each file's unsynced
+// tail that reached the disk nevertheless.
 func (m *Memory) Crash(torn int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.now = map[string]*memFile{}
-	for path, f := range m.kept {
+	m.visible = map[string]*memFile{}
+	for path, f := range m.durable {
 		rest := f.content[min(len(f.synced), len(f.content)):]
 		rest = rest[:min(torn, len(rest))]
 		after := slices.Concat(f.synced, rest)
 		n := &memFile{content: after, synced: slices.Clone(after)}
-		m.now[path], m.kept[path] = n, n
+		m.visible[path], m.durable[path] = n, n
 	}
 }
 
-// Patch changes the bytes of a file in place, as damage would.
+// Patch replaces the content of a file, to simulate corruption.
 func (m *Memory) Patch(path string, change func([]byte) []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f := m.now[path]
+	f := m.visible[path]
 	f.content = change(slices.Clone(f.content))
 	f.synced = slices.Clone(f.content)
 }
@@ -80,11 +79,11 @@
 func (m *Memory) Create(path string) (disk.File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.now[path] != nil {
+	if m.visible[path] != nil {
 		return nil, fault.New(fault.Conflict, "%s exists", path)
 	}
 	f := &memFile{}
-	m.now[path] = f
+	m.visible[path] = f
 	return &memHandle{fs: m, path: path, file: f}, nil
 }
 
@@ -92,7 +91,7 @@
 func (m *Memory) Append(path string) (disk.File, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f := m.now[path]
+	f := m.visible[path]
 	if f == nil {
 		return nil, notExist("open", path)
 	}
@@ -103,7 +102,7 @@
 func (m *Memory) ReadFile(path string) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f := m.now[path]
+	f := m.visible[path]
 	if f == nil {
 		return nil, notExist("read", path)
 	}
@@ -115,7 +114,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var names []string
-	for path := range m.now {
+	for path := range m.visible {
 		if filepath.Dir(path) == filepath.Clean(dir) {
 			names = append(names, filepath.Base(path))
 		}
@@ -128,12 +127,12 @@
 func (m *Memory) Rename(from, to string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	f := m.now[from]
+	f := m.visible[from]
 	if f == nil {
 		return notExist("rename", from)
 	}
-	delete(m.now, from)
-	m.now[to] = f
+	delete(m.visible, from)
+	m.visible[to] = f
 	return nil
 }
 
@@ -141,34 +140,34 @@
 func (m *Memory) Remove(path string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.now[path] == nil {
+	if m.visible[path] == nil {
 		return notExist("remove", path)
 	}
-	delete(m.now, path)
+	delete(m.visible, path)
 	return nil
 }
 
-// MkdirAll implements disk.FS; folders need no making here.
+// MkdirAll implements disk.FS; folders exist implicitly.
 func (m *Memory) MkdirAll(string) error { return nil }
 
 // SyncDir implements disk.FS.
 func (m *Memory) SyncDir(dir string) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.fails != nil {
-		if err := m.fails(dir); err != nil {
+	if m.onSync != nil {
+		if err := m.onSync(dir); err != nil {
 			return err
 		}
 	}
 	prefix := filepath.Clean(dir) + string(filepath.Separator)
-	for path := range m.kept {
+	for path := range m.durable {
 		if strings.HasPrefix(path, prefix) && filepath.Dir(path) == filepath.Clean(dir) {
-			delete(m.kept, path)
+			delete(m.durable, path)
 		}
 	}
-	for path, f := range m.now {
+	for path, f := range m.visible {
 		if filepath.Dir(path) == filepath.Clean(dir) {
-			m.kept[path] = f
+			m.durable[path] = f
 		}
 	}
 	return nil
@@ -193,8 +192,8 @@
 	h.fs.mu.Lock()
 	defer h.fs.mu.Unlock()
 	h.fs.syncs++
-	if h.fs.fails != nil {
-		if err := h.fs.fails(h.path); err != nil {
+	if h.fs.onSync != nil {
+		if err := h.fs.onSync(h.path); err != nil {
 			return err
 		}
 	}
--- a/instance/disk/sealed.go
+++ b/instance/disk/sealed.go
@@ -7,18 +7,18 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-const sealLen = 4
+const checksumLen = 4
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// WriteSealed is WriteFile with a checksum in front of the content.
+// WriteSealed is like WriteFile, but prepends a CRC-32C of the content.
 func WriteSealed(f FS, path string, content []byte) error {
 	sealed := binary.LittleEndian.AppendUint32(nil, crc32.Checksum(content, castagnoli))
 	return WriteFile(f, path, append(sealed, content...))
 }
 
-// ReadSealed reads what WriteSealed wrote. It fails with fault.NotFound,
-// fault.Corrupt or fault.Unavailable.
+// ReadSealed reads a file written by WriteSealed and verifies its checksum. It fails
+// with fault.NotFound, fault.Corrupt or fault.Unavailable.
 func ReadSealed(f FS, path string) ([]byte, error) {
 	b, err := f.ReadFile(path)
 	if IsNotExist(err) {
@@ -27,8 +27,8 @@
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Unavailable, "read %s", path)
 	}
-	if len(b) < sealLen || crc32.Checksum(b[sealLen:], castagnoli) != binary.LittleEndian.Uint32(b) {
+	if len(b) < checksumLen || crc32.Checksum(b[checksumLen:], castagnoli) != binary.LittleEndian.Uint32(b) {
 		return nil, fault.New(fault.Corrupt, "%s: the checksum does not match; treat this disk as lost", path)
 	}
-	return b[sealLen:], nil
+	return b[checksumLen:], nil
 }
--- a/instance/snap/snap.go
+++ b/instance/snap/snap.go
@@ -1,6 +1,6 @@
-// Package snap keeps snapshots of a state machine as files.
+// Package snap stores snapshots of a state machine as files.
 //
-// A file is named by the log index that it covers and holds a 4-byte CRC-32C of
+// A file is named after the log index that it covers and holds a 4-byte CRC-32C of
 // the index and the content, the 8-byte index and the content, all little-endian.
 package snap
 
@@ -20,21 +20,21 @@
 	suffix    = ".snap"
 	sumLen    = 4
 	headerLen = sumLen + 8
-	// keep is how many snapshots stay: the newest, and the one before for
-	// somebody who has to look into a damaged newest one.
-	keep = 2
+	// keptSnapshots is the number of snapshots retained: the newest, and the one
+	// before it for the manual analysis of a corrupt newest one.
+	keptSnapshots = 2
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// DamageError names a snapshot file that failed its checks.
-type DamageError struct {
+// CorruptionError reports a corrupt snapshot file.
+type CorruptionError struct {
 	File   string
 	Reason string
 }
 
 // Error implements error.
-func (e *DamageError) Error() string { return e.File + ": " + e.Reason }
+func (e *CorruptionError) Error() string { return e.File + ": " + e.Reason }
 
 // Store is a folder of snapshots. It is not safe for concurrent use.
 type Store struct {
@@ -42,11 +42,11 @@
 	dir string
 }
 
-// Open returns the store in dir, which it makes if need be, and removes what an
-// interrupted Save left. It fails with fault.Unavailable.
+// Open returns the store in dir, which it creates if needed, and removes the
+// temporary files of interrupted Saves. It fails with fault.Unavailable.
 func Open(fs disk.FS, dir string) (*Store, error) {
 	if err := fs.MkdirAll(dir); err != nil {
-		return nil, fault.Wrap(err, fault.Unavailable, "make the folder %s", dir)
+		return nil, fault.Wrap(err, fault.Unavailable, "create folder %s", dir)
 	}
 	s := &Store{fs: fs, dir: dir}
 	names, err := fs.List(dir)
@@ -64,9 +64,9 @@
 	return s, nil
 }
 
-// Save makes a snapshot durable and then removes all but the last two. The log
-// may be truncated up to index only after it has returned. It fails with
-// fault.Unavailable; the earlier snapshots stand then.
+// Save makes a snapshot durable and then removes all but the newest two. The log
+// may be truncated up to index only after Save has succeeded. Save fails with
+// fault.Unavailable and leaves the earlier snapshots in place.
 func (s *Store) Save(index uint64, content []byte) error {
 	buf := make([]byte, headerLen, headerLen+len(content))
 	binary.LittleEndian.PutUint64(buf[sumLen:], index)
@@ -75,11 +75,11 @@
 	if err := disk.WriteFile(s.fs, s.path(index), buf); err != nil {
 		return err
 	}
-	indexes, err := s.list()
+	indexes, err := s.listIndexes()
 	if err != nil {
 		return err
 	}
-	for len(indexes) > keep {
+	for len(indexes) > keptSnapshots {
 		path := s.path(indexes[0])
 		if err := s.fs.Remove(path); err != nil {
 			return fault.Wrap(err, fault.Unavailable, "remove %s", path)
@@ -89,12 +89,12 @@
 	return nil
 }
 
-// Load returns the newest snapshot, or index 0 when there is none. If the newest
-// is damaged it fails with a fault.Corrupt that wraps a *DamageError. It does
-// not fall back to an older one: the log may have been truncated up to the
-// newest, and a state without what lay between would revert accepted changes.
+// Load returns the newest snapshot, or index 0 when there is none. If the newest is
+// corrupt, Load fails with a fault.Corrupt that wraps a *CorruptionError. It does not
+// fall back to an older one: the log may have been truncated up to the newest, so
+// an older state would lack accepted changes.
 func (s *Store) Load() (index uint64, content []byte, err error) {
-	indexes, err := s.list()
+	indexes, err := s.listIndexes()
 	if err != nil || len(indexes) == 0 {
 		return 0, nil, err
 	}
@@ -106,25 +106,25 @@
 	}
 	switch {
 	case len(buf) < headerLen:
-		return 0, nil, damage(path, "it is cut off")
+		return 0, nil, corruptionError(path, "the file is truncated")
 	case crc32.Checksum(buf[sumLen:], castagnoli) != binary.LittleEndian.Uint32(buf):
-		return 0, nil, damage(path, "the checksum does not match")
+		return 0, nil, corruptionError(path, "the checksum does not match")
 	case binary.LittleEndian.Uint64(buf[sumLen:]) != index:
-		return 0, nil, damage(path, "the name is that of another snapshot")
+		return 0, nil, corruptionError(path, "the file name does not match the index in the file")
 	}
 	return index, buf[headerLen:], nil
 }
 
-func damage(path, reason string) error {
-	return fault.Wrap(&DamageError{File: path, Reason: reason}, fault.Corrupt, "the newest snapshot is damaged; treat this disk as lost")
+func corruptionError(path, reason string) error {
+	return fault.Wrap(&CorruptionError{File: path, Reason: reason}, fault.Corrupt, "the newest snapshot is damaged; treat this disk as lost")
 }
 
 func (s *Store) path(index uint64) string {
 	return filepath.Join(s.dir, fmt.Sprintf("%016x%s", index, suffix))
 }
 
-// list returns the indexes of all snapshots, ascending.
-func (s *Store) list() ([]uint64, error) {
+// listIndexes returns the indexes of all snapshots, ascending.
+func (s *Store) listIndexes() ([]uint64, error) {
 	names, err := s.fs.List(s.dir)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Unavailable, "list %s", s.dir)
@@ -137,7 +137,7 @@
 		}
 		index, err := strconv.ParseUint(base, 16, 64)
 		if err != nil {
-			return nil, damage(filepath.Join(s.dir, name), "the name is not an index")
+			return nil, corruptionError(filepath.Join(s.dir, name), "the name is not an index")
 		}
 		out = append(out, index)
 	}
--- a/instance/snap/snap_test.go
+++ b/instance/snap/snap_test.go
@@ -37,10 +37,9 @@
 	g.Expect(disk.OS{}.List(dir)).To(HaveLen(2))
 }
 
-// What a user would see: an instance that lost power while it took a snapshot
-// does not start, or starts with half a state. What happens: power fails at one
-// of the syncs of Save. Cause: the new file takes its name before its content is
-// durable, or the name itself is not.
+// Guards against an instance that does not start, or starts with a partial state, after
+// a power failure at any of the syncs of Save: the file is renamed before its content is
+// durable, or the rename itself is not.
 func TestCrashAtAnySyncLeavesOldOrNew(t *testing.T) {
 	g := NewWithT(t)
 	for failAt := range 3 {
@@ -61,17 +60,17 @@
 			index, content, err := open(t, fs).Load()
 			g.Expect(err).NotTo(HaveOccurred())
 			if saved == nil {
-				g.Expect(index).To(Equal(uint64(2)), "what was reported saved must be there")
+				g.Expect(index).To(Equal(uint64(2)), "a snapshot that was reported as saved must exist")
 			}
 			g.Expect(string(content)).To(Equal(map[uint64]string{1: "old", 2: "new"}[index]))
 		}
 	}
 }
 
-// What a user would see: after a restart an instance acts on an older
-// configuration. What happens: the newest snapshot is damaged, the older one is
-// loaded, and the log between them was truncated. Cause: a silent fall-back.
-func TestDamagedNewestIsNotPassedOver(t *testing.T) {
+// Guards against a silent fallback from a corrupt newest snapshot to the older one,
+// after which the instance applies an outdated configuration, since the log between the
+// two was truncated.
+func TestCorruptNewestSnapshotIsReported(t *testing.T) {
 	g := NewWithT(t)
 	for offset := range 15 {
 		fs := disktest.NewMemory()
@@ -80,7 +79,7 @@
 		g.Expect(s.Save(2, []byte("new"))).To(Succeed())
 		fs.Patch("d/0000000000000002.snap", func(b []byte) []byte { b[offset] ^= 0x10; return b })
 		_, _, err := open(t, fs).Load()
-		var d *snap.DamageError
+		var d *snap.CorruptionError
 		g.Expect(errors.As(err, &d)).To(BeTrue())
 		g.Expect(d.File).To(Equal("d/0000000000000002.snap"))
 		g.Expect(fault.CodeOf(err)).To(Equal(fault.Corrupt))
--- a/instance/wal/wal_test.go
+++ b/instance/wal/wal_test.go
@@ -25,14 +25,14 @@
 	return l, got, err
 }
 
-func must(t *testing.T, fs disk.FS, segment int64) (*wal.Log, []string) {
+func mustOpen(t *testing.T, fs disk.FS, segment int64) (*wal.Log, []string) {
 	t.Helper()
 	l, got, err := open(fs, segment)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	return l, got
 }
 
-func add(t *testing.T, l *wal.Log, records ...string) {
+func mustAppend(t *testing.T, l *wal.Log, records ...string) {
 	t.Helper()
 	var payloads [][]byte
 	for _, r := range records {
@@ -42,7 +42,7 @@
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 }
 
-func TestRecordsComeBackAcrossSegmentsOnRealFiles(t *testing.T) {
+func TestRecordsAreReplayedAcrossSegmentsOnRealFiles(t *testing.T) {
 	g := NewWithT(t)
 	dir := t.TempDir() + "/a/b"
 	for round := range 3 {
@@ -55,62 +55,60 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(seen).To(Equal(round * 20))
 		for i := range 20 {
-			add(t, l, fmt.Sprintf("record %d", round*20+i))
+			mustAppend(t, l, fmt.Sprintf("record %d", round*20+i))
 		}
 		g.Expect(l.Close()).To(Succeed())
 	}
 }
 
-// What a user would see: an instance that lost power does not start again. What
-// happens: power fails while the last batch is written, after any number of its
-// bytes. Cause: a torn end that was never acknowledged is taken for damage, or
-// new records are written behind it.
-func TestTornEndIsCutAtEveryOffset(t *testing.T) {
+// Guards against an instance that does not start after a power failure during the
+// write of the last batch: an unacknowledged torn tail must be truncated, not reported
+// as corruption, and new records must not be appended behind it.
+func TestTornTailIsTruncatedAtEveryOffset(t *testing.T) {
 	g := NewWithT(t)
 	for torn := range 60 {
 		fs := disktest.NewMemory()
-		l, _ := must(t, fs, 0)
-		add(t, l, "one")
-		add(t, l, "two", "three")
+		l, _ := mustOpen(t, fs, 0)
+		mustAppend(t, l, "one")
+		mustAppend(t, l, "two", "three")
 		fs.SetSyncFails(func(string) error { return fault.New(fault.Unavailable, "power failed") })
 		_, err := l.Append([]byte("lost"), bytes.Repeat([]byte("x"), 20))
 		g.Expect(err).To(HaveOccurred())
 		fs.SetSyncFails(nil)
 		fs.Crash(torn)
-		l, got := must(t, fs, 0)
+		l, got := mustOpen(t, fs, 0)
 		g.Expect(got[:3]).To(Equal([]string{"0:one", "1:two", "2:three"}))
-		g.Expect(len(got)).To(BeElementOf(3, 5), "a batch counts whole or not at all")
-		add(t, l, "next")
+		g.Expect(len(got)).To(BeElementOf(3, 5), "a batch is replayed whole or not at all")
+		mustAppend(t, l, "next")
 		fs.Crash(0)
-		_, again := must(t, fs, 0)
+		_, again := mustOpen(t, fs, 0)
 		g.Expect(again).To(HaveLen(len(got) + 1))
 	}
 }
 
-// What a user would see: a confirmed change is gone after a restart, without any
-// error. What happens: a bit of an old record flips on the disk, then the
-// instance restarts. Cause: the bad record is taken for a torn end, and all
-// acknowledged records from there on are cut off.
+// Guards against the silent loss of confirmed changes after a bit flip in an old
+// record: taking the bad record for a torn tail would truncate all acknowledged
+// records from there on.
 func TestDamageInTheMiddleStopsTheOpen(t *testing.T) {
 	g := NewWithT(t)
 	build := func() (*disktest.Memory, int) {
 		fs := disktest.NewMemory()
-		l, _ := must(t, fs, 0)
-		add(t, l, "one")
-		size := len(mustRead(t, fs))
-		add(t, l, "two")
-		add(t, l, "three")
+		l, _ := mustOpen(t, fs, 0)
+		mustAppend(t, l, "one")
+		size := len(mustReadFirstSegment(t, fs))
+		mustAppend(t, l, "two")
+		mustAppend(t, l, "three")
 		return fs, size
 	}
 	_, secondAt := build()
 	content, _ := build()
-	thirdAt := len(mustRead(t, content)) - (8 + 4 + len("three"))
+	thirdAt := len(mustReadFirstSegment(t, content)) - (8 + 4 + len("three"))
 	for offset := range thirdAt {
 		for bit := range 8 {
 			fs, _ := build()
 			fs.Patch(firstSegment, func(b []byte) []byte { b[offset] ^= 1 << bit; return b })
 			_, _, err := open(fs, 0)
-			var d *wal.DamageError
+			var d *wal.CorruptionError
 			g.Expect(errors.As(err, &d)).To(BeTrue(), "offset %d bit %d: %v", offset, bit, err)
 			g.Expect(fault.CodeOf(err)).To(Equal(fault.Corrupt))
 			want := int64(0)
@@ -122,7 +120,7 @@
 	}
 }
 
-func mustRead(t *testing.T, fs *disktest.Memory) []byte {
+func mustReadFirstSegment(t *testing.T, fs *disktest.Memory) []byte {
 	t.Helper()
 	b, err := fs.ReadFile(firstSegment)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -132,11 +130,11 @@
 func TestDamageBeforeTheLastSegmentStopsTheOpen(t *testing.T) {
 	g := NewWithT(t)
 	fs := disktest.NewMemory()
-	l, _ := must(t, fs, 1)
-	add(t, l, "one")
-	add(t, l, "two")
-	add(t, l, "three")
-	whole := mustRead(t, fs)
+	l, _ := mustOpen(t, fs, 1)
+	mustAppend(t, l, "one")
+	mustAppend(t, l, "two")
+	mustAppend(t, l, "three")
+	whole := mustReadFirstSegment(t, fs)
 	fs.Patch(firstSegment, func(b []byte) []byte { return b[:len(b)-1] })
 	_, _, err := open(fs, 1)
 	g.Expect(fault.CodeOf(err)).To(Equal(fault.Corrupt))
@@ -146,13 +144,13 @@
 	g.Expect(err).To(MatchError(ContainSubstring("should begin with record 1")))
 }
 
-// What a user would see: a confirmed change is gone after a power failure. What
-// happens: a sync fails, it is tried again and succeeds, then power fails. Cause:
-// after a failed sync the system may drop the data and report success.
+// Guards against the loss of a confirmed change when a sync fails, is retried with
+// success, and then power fails: after a failed sync the kernel may drop the data and
+// report success.
 func TestFailedSyncIsFinal(t *testing.T) {
 	g := NewWithT(t)
 	fs := disktest.NewMemory()
-	l, _ := must(t, fs, 0)
+	l, _ := mustOpen(t, fs, 0)
 	fs.SetSyncFails(func(string) error { return fault.New(fault.Unavailable, "input/output error") })
 	_, err := l.Append([]byte("a"))
 	g.Expect(err).To(MatchError(ContainSubstring("input/output error")))
@@ -161,21 +159,20 @@
 	_, again := l.Append([]byte("b"))
 	g.Expect(again).To(Equal(err))
 	g.Expect(l.TruncateHead(1)).To(Equal(err))
-	g.Expect(fs.Syncs()).To(Equal(syncs), "the sync must not be tried again")
+	g.Expect(fs.Syncs()).To(Equal(syncs), "the sync must not be retried")
 }
 
-// What a user would see: an instance that ran well for days has lost its last
-// hours after a power failure. What happens: a new segment is begun, records in
-// it are synced, power fails. Cause: the file's name in its folder was not synced.
+// Guards against the loss of all records in a new segment at a power failure, which
+// happens if the folder entry of the segment file was not synced.
 func TestNewSegmentSurvivesACrash(t *testing.T) {
 	g := NewWithT(t)
 	fs := disktest.NewMemory()
-	l, _ := must(t, fs, 1)
+	l, _ := mustOpen(t, fs, 1)
 	for i := range 5 {
-		add(t, l, fmt.Sprint(i))
+		mustAppend(t, l, fmt.Sprint(i))
 		fs.Crash(0)
 		var got []string
-		l, got = must(t, fs, 1)
+		l, got = mustOpen(t, fs, 1)
 		g.Expect(got).To(HaveLen(i + 1))
 	}
 }
@@ -183,13 +180,13 @@
 func TestHeadIsTruncatedInWholeSegments(t *testing.T) {
 	g := NewWithT(t)
 	fs := disktest.NewMemory()
-	l, _ := must(t, fs, 40)
+	l, _ := mustOpen(t, fs, 40)
 	for i := range 10 {
-		add(t, l, fmt.Sprintf("record %d", i))
+		mustAppend(t, l, fmt.Sprintf("record %d", i))
 	}
 	g.Expect(l.TruncateHead(6)).To(Succeed())
 	fs.Crash(0)
-	l, got := must(t, fs, 40)
+	l, got := mustOpen(t, fs, 40)
 	g.Expect(got[0]).To(Or(HavePrefix("5:"), HavePrefix("6:"), HavePrefix("4:")))
 	g.Expect(got[len(got)-1]).To(Equal("9:record 9"))
 	g.Expect(l.Next()).To(Equal(uint64(10)))
@@ -198,8 +195,8 @@
 func TestManyRecordsShareOneSync(t *testing.T) {
 	g := NewWithT(t)
 	fs := disktest.NewMemory()
-	l, _ := must(t, fs, 0)
+	l, _ := mustOpen(t, fs, 0)
 	before := fs.Syncs()
-	add(t, l, "a", "b", "c", "d")
+	mustAppend(t, l, "a", "b", "c", "d")
 	g.Expect(fs.Syncs()).To(Equal(before + 1))
 }
