--- a/instance/spread/ask.go
+++ b/instance/spread/ask.go
@@ -12,11 +12,11 @@
 	for {
 		began := time.Now()
 		s.round(ctx)
-		wake(s.fresh)
+		wake(s.contentChanged)
 		timer := time.NewTimer(time.Until(began.Add(s.interval())))
 		select {
 		case <-timer.C:
-		case <-s.hurry:
+		case <-s.pollNow:
 		case <-ctx.Done():
 			timer.Stop()
 			return
@@ -25,21 +25,22 @@
 	}
 }
 
-// interval returns the time between two questions.
+// interval returns the time between two requests.
 func (s *Service) interval() time.Duration {
-	if s.starts() {
-		return min(startInterval, s.cfg.Interval)
+	if s.isStarting() {
+		return min(startupInterval, s.cfg.Interval)
 	}
 	return s.cfg.Interval
 }
 
-// starts reports whether this instance still waits for its first lease.
-func (s *Service) starts() bool {
-	return s.Lease().Until.IsZero() && time.Since(s.started) < startPhase
+// isStarting reports whether this instance is in its startup phase and still waits for its
+// first lease.
+func (s *Service) isStarting() bool {
+	return s.Lease().Until.IsZero() && time.Since(s.started) < startupPhase
 }
 
-// round asks candidates until one gives a lease. Without one, as when the
-// control group is cut off, the newest content that any of them has is kept.
+// round asks candidates until one grants a lease. If none does, as when the control
+// group is unreachable, the newest content received from any of them is kept.
 func (s *Service) round(ctx context.Context) {
 	layout := s.cfg.Layout()
 	if layout.Root == layout.Self.Name {
@@ -53,7 +54,7 @@
 		if asked == maxAsked || ctx.Err() != nil {
 			return
 		}
-		if s.isPassedOver(name) {
+		if s.isSkipped(name) {
 			continue
 		}
 		asked++
@@ -61,40 +62,41 @@
 		if leased {
 			return
 		}
-		s.pass(name, err)
+		s.skip(name, err)
 	}
 	if asked == 0 {
 		s.mu.Lock()
-		clear(s.passedOver)
+		clear(s.skippedUntil)
 		s.mu.Unlock()
 	}
 }
 
-func (s *Service) isPassedOver(name string) bool {
+func (s *Service) isSkipped(name string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Now().Before(s.passedOver[name])
+	return time.Now().Before(s.skippedUntil[name])
 }
 
-func (s *Service) pass(name string, err error) {
-	pause := passOver
+func (s *Service) skip(name string, err error) {
+	pause := skipTime
 	switch {
-	case s.starts():
-		pause = startInterval
+	case s.isStarting():
+		pause = startupInterval
 	case err == nil:
 		pause = s.cfg.Interval
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.passedOver[name] = time.Now().Add(pause)
+	s.skippedUntil[name] = time.Now().Add(pause)
 }
 
-// ask puts the question to one candidate and reports whether it is a parent to
-// stay with: one that answers, is not behind and gives a lease.
+// ask sends a request to one candidate and reports whether it qualifies as a parent:
+// it answers, is not behind and grants a lease. If an incremental update does not
+// apply, ask requests the whole content.
 func (s *Service) ask(ctx context.Context, name string) (bool, error) {
 	s.mu.Lock()
-	s.require()
-	q := question{Request: s.state.Request(time.Now(), name), Start: s.start}
+	s.requireKnownRevision()
+	q := request{Request: s.state.Request(time.Now(), name), Start: s.start}
 	s.mu.Unlock()
 	leased, err := s.askOnce(ctx, name, q)
 	if fault.CodeOf(err) == fault.Corrupt {
@@ -102,12 +104,12 @@
 		leased, err = s.askOnce(ctx, name, q)
 	}
 	if err != nil {
-		s.cfg.Log.Debug().Err(err).Str("peer", name).Msg("configuration not got")
+		s.cfg.Log.Debug().Err(err).Str("peer", name).Msg("configuration request failed")
 	}
 	return leased, err
 }
 
-func (s *Service) askOnce(ctx context.Context, name string, q question) (bool, error) {
+func (s *Service) askOnce(ctx context.Context, name string, q request) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	asked := time.Now()
@@ -126,7 +128,7 @@
 		s.noteLessor(name, asked.Add(time.Duration(u.LeaseMillis)*time.Millisecond), q.Applied)
 	}
 	if outcome == tree.Applied {
-		s.changed()
+		s.announceContent()
 	}
 	return err == nil && outcome != tree.Behind && u.LeaseMillis > 0, err
 }
--- a/instance/spread/report.go
+++ b/instance/spread/report.go
@@ -8,33 +8,34 @@
 	"github.com/comfreyladder/comfreyladder/instance/link"
 )
 
-// lessor is an instance that gave this one a lease.
+// lessor is an instance that granted this one a lease.
 type lessor struct {
-	// until is when the lease ends.
-	until time.Time
-	// told is what it was told last that this instance and its children act on.
-	told uint64
+	// leaseUntil is the end of the lease.
+	leaseUntil time.Time
+	// reported is the last applied revision of this instance and its children that was
+	// reported to the lessor.
+	reported uint64
 }
 
-// maxLease is the longest configuration lease that settings allow.
+// maxLease is the longest configuration lease that the settings allow.
 const maxLease = 10 * time.Second
 
-// noteLessor remembers who gave a lease, or may have given one in an answer that
-// was lost: it waits for a report as well.
-func (s *Service) noteLessor(name string, until time.Time, told uint64) {
+// noteLessor records an instance that granted a lease, or may have granted one in an
+// answer that was lost: it waits for a report in either case.
+func (s *Service) noteLessor(name string, leaseUntil time.Time, reported uint64) {
 	s.mu.Lock()
-	s.lessors[name] = lessor{until: until, told: told}
+	s.lessors[name] = lessor{leaseUntil: leaseUntil, reported: reported}
 	s.mu.Unlock()
 	s.report()
 }
 
-// report tells those that gave this instance a lease what it and its children act
-// on now, if that has grown. A report that is lost is made good by the next
-// question. A confirm of an operator waits for the reports.
+// report sends the revision that this instance and its children have applied to the
+// lessors that have not been told of it. The next request repeats the revision in case
+// a report is lost. An operator's confirm waits for the reports.
 func (s *Service) report() {
-	for name, acted := range s.dueReports(time.Now()) {
-		if err := s.cfg.Links.Send(name, channelActs, report{Acted: acted, Start: s.start}); err != nil {
-			s.cfg.Log.Debug().Err(err).Str("peer", name).Msg("revision in force not reported")
+	for name, applied := range s.dueReports(time.Now()) {
+		if err := s.cfg.Links.Send(name, channelApplied, report{Applied: applied, Start: s.start}); err != nil {
+			s.cfg.Log.Debug().Err(err).Str("peer", name).Msg("applied revision not reported")
 		}
 	}
 }
@@ -44,13 +45,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, l := range s.lessors {
-		acted := s.state.MinAppliedExcept(now, name)
+		applied := s.state.MinAppliedExcept(now, name)
 		switch {
-		case now.After(l.until):
+		case now.After(l.leaseUntil):
 			delete(s.lessors, name)
-		case l.told < acted:
-			s.lessors[name] = lessor{until: l.until, told: acted}
-			due[name] = acted
+		case l.reported < applied:
+			s.lessors[name] = lessor{leaseUntil: l.leaseUntil, reported: applied}
+			due[name] = applied
 		}
 	}
 	return due
@@ -62,7 +63,7 @@
 		return nil, err
 	}
 	s.mu.Lock()
-	s.state.Report(tree.Child{Name: from, Start: r.Start}, r.Acted)
+	s.state.Report(tree.Child{Name: from, Start: r.Start}, r.Applied)
 	s.mu.Unlock()
 	s.report()
 	return nil, nil
--- a/instance/spread/spread.go
+++ b/instance/spread/spread.go
@@ -1,11 +1,11 @@
-// Package spread carries the control state from the control group to this
-// instance and on to those below it in the tree of core/tree.
+// Package spread distributes the control state from the control group to this
+// instance and on to its children in the distribution tree of core/tree.
 //
-// An instance asks its parent once an interval, and at once when the parent
-// hints that there is news. A parent that does not answer, or knows less, is
-// passed over for a while. An instance without a data folder starts with
-// nothing: it is not Ready, and must not serve, until it got a configuration at
-// least as new as any that the others are known to have acted on.
+// An instance polls its parent once per interval, and at once when the parent
+// notifies it of a change. A parent that does not answer, or has an older revision,
+// is skipped for a while. An instance without a data folder starts without state: it
+// is not Ready, and must not serve, until it has a configuration at least as new as
+// any that other instances are known to have applied.
 package spread
 
 import (
@@ -21,30 +21,31 @@
 )
 
 const (
-	channelAsk  = "spread.ask"
-	channelNews = "spread.news"
-	channelActs = "spread.acts"
+	channelAsk     = "spread.ask"
+	channelNews    = "spread.news"
+	channelApplied = "spread.acts"
 )
 
 const (
-	// DefaultInterval between two questions. Each step of the tree costs up to
-	// one interval of the lease that reaches the instances below.
+	// DefaultInterval is the time between two requests. Each level of the tree
+	// shortens the lease that reaches the instances below by up to one interval.
 	DefaultInterval = time.Second
-	// startInterval is the time between two questions until there is a first
-	// configuration and lease, and for how long a parent that gives none is not
-	// asked then; but only for startPhase, as a cut can last.
-	startInterval = 100 * time.Millisecond
-	startPhase    = 10 * time.Second
-	// askTimeout bounds one question; whole contents may be some megabytes.
+	// startupInterval is the time between two requests until the first configuration
+	// and lease have arrived, and how long a parent that grants none is skipped
+	// meanwhile. It applies for startupPhase only, since a partition can last long.
+	startupInterval = 100 * time.Millisecond
+	startupPhase    = 10 * time.Second
+	// askTimeout bounds one request; a full content may be some megabytes.
 	askTimeout = time.Second
-	// passOver is for how long a parent that failed is not asked. One that
-	// answers, but without a lease or with less than is known here, as right
-	// before it takes a change in, is passed over for one interval.
-	passOver = 2 * time.Second
-	// maxAsked bounds how many candidates are asked in one round.
+	// skipTime is how long a parent that failed to answer is skipped. One that
+	// answers without a lease or with an older revision, as right before it
+	// receives a change, is skipped for one interval.
+	skipTime = 2 * time.Second
+	// maxAsked limits the candidates asked in one round.
 	maxAsked = 4
-	// childRounds is after how many silent intervals a child is forgotten.
-	childRounds = 3
+	// childTimeoutIntervals is the number of intervals without a request after which
+	// a child is removed.
+	childTimeoutIntervals = 3
 )
 
 // Links is what this service needs of instance/link.
@@ -54,63 +55,63 @@
 	Handle(channel string, h link.Handler, options ...link.ChannelOption)
 }
 
-// question and report are what an instance sends its parents. Start tells the
-// processes of one name apart.
-type question struct {
+// request and report are the messages to parents. Start distinguishes processes of the
+// same name.
+type request struct {
 	tree.Request
 	Start uint64 `codec:"st"`
 }
 
 type report struct {
-	Acted uint64 `codec:"a"`
-	Start uint64 `codec:"st"`
+	Applied uint64 `codec:"a"`
+	Start   uint64 `codec:"st"`
 }
 
-// Layout is what the tree is made from.
+// Layout is the input from which the tree is computed.
 type Layout struct {
 	Self tree.Instance
 	// Root is the control leader, or empty while it is not known.
 	Root string
-	// Live are the instances of the failure domain and those of the control
-	// group that are not known to be gone.
+	// Live lists the instances of the failure domain and of the control group that
+	// are not known to be gone.
 	Live []tree.Instance
 }
 
-// Config of a Service.
+// Config configures a Service.
 type Config struct {
 	Links  Links
 	Layout func() Layout
-	// Floor returns the highest revision that any instance is known to have
-	// acted on; nil when that is not known.
+	// Floor returns the highest revision that any instance is known to have applied;
+	// nil if that is not known.
 	Floor func() uint64
 	Log   zerolog.Logger
-	// Interval and FanOut; zero means the defaults.
+	// Interval and FanOut override the defaults if they are positive.
 	Interval time.Duration
 	FanOut   int
 }
 
-// Service is one instance's part of the tree.
+// Service is one instance's part in the distribution tree.
 type Service struct {
-	cfg    Config
-	cancel context.CancelFunc
-	done   sync.WaitGroup
-	hurry  chan struct{}
-	fresh  chan struct{}
+	cfg            Config
+	cancel         context.CancelFunc
+	done           sync.WaitGroup
+	pollNow        chan struct{}
+	contentChanged chan struct{}
 
-	// start tells this process from earlier ones of its name.
+	// start distinguishes this process from earlier ones of its name.
 	start   uint64
 	started time.Time
 
-	mu          sync.Mutex
-	state       *tree.Follower
-	lessors     map[string]lessor
-	passedOver  map[string]time.Time
-	children    map[string]time.Time
-	subscribers []func(revision uint64, data []byte)
-	parent      string
+	mu           sync.Mutex
+	state        *tree.Follower
+	lessors      map[string]lessor
+	skippedUntil map[string]time.Time
+	children     map[string]time.Time
+	subscribers  []func(revision uint64, data []byte)
+	parent       string
 }
 
-// New returns a service that is not started; it registers its channels.
+// New returns a service that has not been started; it registers its channels.
 func New(cfg Config) *Service {
 	if cfg.Interval <= 0 {
 		cfg.Interval = DefaultInterval
@@ -119,19 +120,19 @@
 		cfg.FanOut = tree.DefaultFanOut
 	}
 	s := &Service{
-		cfg:        cfg,
-		hurry:      make(chan struct{}, 1),
-		fresh:      make(chan struct{}, 1),
-		start:      uint64(time.Now().UnixNano()),
-		lessors:    map[string]lessor{},
-		state:      tree.NewFollower(),
-		passedOver: map[string]time.Time{},
-		children:   map[string]time.Time{},
+		cfg:            cfg,
+		pollNow:        make(chan struct{}, 1),
+		contentChanged: make(chan struct{}, 1),
+		start:          uint64(time.Now().UnixNano()),
+		lessors:        map[string]lessor{},
+		state:          tree.NewFollower(),
+		skippedUntil:   map[string]time.Time{},
+		children:       map[string]time.Time{},
 	}
 	cfg.Links.Handle(channelAsk, s.answer, link.Bulk())
-	cfg.Links.Handle(channelActs, s.receiveReport, link.Lossy())
+	cfg.Links.Handle(channelApplied, s.receiveReport, link.Lossy())
 	cfg.Links.Handle(channelNews, func(context.Context, string, link.Message) (any, error) {
-		wake(s.hurry)
+		wake(s.pollNow)
 		return nil, nil
 	}, link.Lossy())
 	return s
@@ -144,17 +145,17 @@
 	}
 }
 
-// Start begins to ask parents and to tell subscribers.
+// Start starts polling parents and notifying subscribers.
 func (s *Service) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
 	s.started = time.Now()
 	s.done.Go(func() { s.run(ctx) })
-	s.done.Go(func() { s.tell(ctx) })
+	s.done.Go(func() { s.notifySubscribers(ctx) })
 	return nil
 }
 
-// Stop ends both.
+// Stop stops polling and notifying.
 func (s *Service) Stop(context.Context) error {
 	if s.cancel != nil {
 		s.cancel()
@@ -163,9 +164,9 @@
 	return nil
 }
 
-// Publish puts a committed revision in force here and hints at it to the
-// children. Only instances that hold the control state call it. An older
-// revision is fault.Conflict.
+// Publish puts a committed revision in force on this instance and notifies the
+// children. Only instances that hold the control state call it. It fails with
+// fault.Conflict for an older revision.
 func (s *Service) Publish(revision uint64, data []byte) error {
 	s.mu.Lock()
 	before := s.state.Revision()
@@ -173,21 +174,22 @@
 	after := s.state.Revision()
 	s.mu.Unlock()
 	if after != before {
-		s.changed()
+		s.announceContent()
 	}
 	return err
 }
 
-// Renew states that at the given time the control leader, which calls it, knew
-// its revision to be the newest, and that none will count before ttl has passed.
+// Renew extends the configuration lease of the control leader, which calls it to state
+// that at the given time its revision was the newest, and that no newer one takes effect
+// before ttl has passed since then.
 func (s *Service) Renew(at time.Time, ttl time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state.Renew(at, ttl)
 }
 
-// TakeOver states that this instance becomes the control leader. first says that
-// there was none before it, so that no lease can be left of an earlier one.
+// TakeOver states that this instance became the control leader. first is set if there
+// was no leader before, so that no earlier leader's lease can still be valid.
 func (s *Service) TakeOver(ttl time.Duration, first bool) {
 	if first {
 		ttl = 0
@@ -197,29 +199,29 @@
 	s.state.BecomeRoot(time.Now(), ttl)
 }
 
-// Acts reports whether this instance itself acts on a revision or a later one.
+// Acts reports whether this instance has applied a revision or a later one.
 func (s *Service) Acts(revision uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.AppliedRevision() >= revision
 }
 
-// InForce reports, at the control leader, whether all instances act on a revision
-// or a later one, or know that they are cut off.
+// InForce reports, on the control leader, whether all instances have applied a
+// revision or a later one, or know that they are cut off.
 func (s *Service) InForce(revision uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.InForce(time.Now(), revision)
 }
 
-// Subscribe calls f with the content in force and with each that follows.
-// Revisions only grow; some may be skipped. f runs on the service's goroutine.
-// Subscribe before Start.
+// Subscribe registers f to be called with the content in force and with each later
+// one. Revisions only increase; some may be skipped. f runs on the service's
+// goroutine. Call Subscribe before Start.
 func (s *Service) Subscribe(f func(revision uint64, data []byte)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.subscribers = append(s.subscribers, f)
-	wake(s.fresh)
+	wake(s.contentChanged)
 }
 
 // Lease returns the state of the configuration lease.
@@ -229,21 +231,22 @@
 	return s.state.Lease(time.Now())
 }
 
-// Ready reports whether this instance has a configuration that it may act on.
+// Ready reports whether this instance has a configuration that it may apply.
 func (s *Service) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.require()
+	s.requireKnownRevision()
 	return s.ready()
 }
 
-// ready needs mu. What an instance finds first after a start may be old: one
-// without a data folder has forgotten what it acted on, after a restart of all so
-// have the others, and a member has to catch up. The first configuration must come
-// with a lease, which proves it the newest. In a failure domain that is cut off
-// there is none; after startPhase, what is known here has to do.
+// ready is Ready for callers that hold mu. The first configuration after a start may be
+// outdated: an instance without a data folder does not know which revision it had
+// applied; after a restart of all instances, neither do the others; and a member has to
+// catch up. So the first configuration must come with a lease, which proves that it is
+// the newest. In a failure domain that is cut off there is no lease: after startupPhase
+// the known configuration is used without one.
 func (s *Service) ready() bool {
-	proved := s.state.HadLease() || time.Since(s.started) > startPhase
+	proved := s.state.HadLease() || time.Since(s.started) > startupPhase
 	return proved && s.state.Ready()
 }
 
@@ -254,27 +257,28 @@
 	return s.state.Revision()
 }
 
-// Parent returns who answered last.
+// Parent returns the name of the parent that answered last.
 func (s *Service) Parent() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.parent
 }
 
-// require takes the others' revisions as a floor until there is a revision; it
-// needs mu. Later ones are no reason to stop serving: they are on their way.
-func (s *Service) require() {
+// requireKnownRevision sets the highest revision known from other instances as the
+// minimum until this instance is ready; the caller holds mu. A newer one later is no
+// reason to stop serving, since it is being distributed.
+func (s *Service) requireKnownRevision() {
 	if s.cfg.Floor != nil && !s.state.Ready() {
 		s.state.RequireRevision(s.cfg.Floor())
 	}
 }
 
-// tell brings the newest content to the subscribers, in order of revision.
-func (s *Service) tell(ctx context.Context) {
-	told := uint64(0)
+// notifySubscribers passes the newest content to the subscribers, in order of revision.
+func (s *Service) notifySubscribers(ctx context.Context) {
+	notified := uint64(0)
 	for {
 		select {
-		case <-s.fresh:
+		case <-s.contentChanged:
 		case <-ctx.Done():
 			return
 		}
@@ -282,13 +286,13 @@
 		revision, data, ready := s.state.Revision(), s.state.Content(), s.ready()
 		subscribers := s.subscribers
 		s.mu.Unlock()
-		if !ready || revision <= told {
+		if !ready || revision <= notified {
 			continue
 		}
 		for _, f := range subscribers {
 			f(revision, data)
 		}
-		told = revision
+		notified = revision
 		s.mu.Lock()
 		s.state.MarkApplied(revision)
 		s.mu.Unlock()
@@ -296,13 +300,13 @@
 	}
 }
 
-// changed tells the subscribers and hints at the news to the children.
-func (s *Service) changed() {
-	wake(s.fresh)
+// announceContent notifies the subscribers and the children of new content.
+func (s *Service) announceContent() {
+	wake(s.contentChanged)
 	s.mu.Lock()
 	var children []string
 	for name, asked := range s.children {
-		if time.Since(asked) > childRounds*s.cfg.Interval {
+		if time.Since(asked) > childTimeoutIntervals*s.cfg.Interval {
 			delete(s.children, name)
 			continue
 		}
@@ -311,13 +315,13 @@
 	s.mu.Unlock()
 	for _, name := range children {
 		if err := s.cfg.Links.Send(name, channelNews, nil); err != nil {
-			s.cfg.Log.Debug().Err(err).Str("peer", name).Msg("news not hinted")
+			s.cfg.Log.Debug().Err(err).Str("peer", name).Msg("child not notified of new configuration")
 		}
 	}
 }
 
 func (s *Service) answer(_ context.Context, from string, m link.Message) (any, error) {
-	var q question
+	var q request
 	if err := m.Decode(&q); err != nil {
 		return nil, err
 	}
@@ -328,8 +332,8 @@
 		return nil, fault.New(fault.Unavailable, "this instance has no configuration yet")
 	}
 	if from == s.parent {
-		// A lease from this instance would be the asking one's own, and while
-		// both were content with it neither would look for a fresh one.
+		// A lease from this instance would derive from the requester's own lease,
+		// and while both rely on each other neither would look for a fresh one.
 		return s.state.AnswerWithoutLease(q.Request), nil
 	}
 	return s.state.Answer(time.Now(), tree.Child{Name: from, Start: q.Start}, q.Request), nil
--- a/instance/spread/spread_test.go
+++ b/instance/spread/spread_test.go
@@ -18,11 +18,11 @@
 	"github.com/comfreyladder/comfreyladder/instance/spread"
 )
 
-const limit = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-type book struct{ sync.Map }
+type addressBook struct{ sync.Map }
 
-func (b *book) Address(name string) (string, bool) {
+func (b *addressBook) Address(name string) (string, bool) {
 	v, ok := b.Load(name)
 	if !ok {
 		return "", false
@@ -30,44 +30,44 @@
 	return v.(string), true
 }
 
-type node struct {
-	spread *spread.Service
-	links  *link.Service
-	got    atomic.Uint64
-	back   atomic.Bool // whether a revision went back
-	data   atomic.Value
+type instance struct {
+	spread   *spread.Service
+	links    *link.Service
+	received atomic.Uint64
+	wentBack atomic.Bool // whether a revision went back
+	data     atomic.Value
 }
 
-type world struct {
-	book  book
-	mu    sync.Mutex
-	nodes []tree.Instance
-	floor atomic.Uint64
+type cluster struct {
+	book      addressBook
+	mu        sync.Mutex
+	instances []tree.Instance
+	floor     atomic.Uint64
 }
 
-func (w *world) layout(self tree.Instance) func() spread.Layout {
+func (w *cluster) layout(self tree.Instance) func() spread.Layout {
 	return func() spread.Layout {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		return spread.Layout{Self: self, Root: "leader", Live: append([]tree.Instance(nil), w.nodes...)}
+		return spread.Layout{Self: self, Root: "leader", Live: append([]tree.Instance(nil), w.instances...)}
 	}
 }
 
-func (w *world) start(t *testing.T, self tree.Instance) *node {
+func (w *cluster) start(t *testing.T, self tree.Instance) *instance {
 	g := NewWithT(t)
 	links, err := link.New(link.Config{
 		Self: self.Name, Listen: "127.0.0.1:0", Credential: "secret", Book: &w.book, Log: zerolog.Nop(),
 		Accept: [][sha256.Size]byte{sha256.Sum256([]byte("secret"))},
 	})
 	g.Expect(err).NotTo(HaveOccurred())
-	n := &node{links: links}
+	n := &instance{links: links}
 	n.spread = spread.New(spread.Config{
 		Links: links, Layout: w.layout(self), Log: zerolog.Nop(), Interval: 100 * time.Millisecond, Floor: w.floor.Load,
 	})
 	n.spread.Subscribe(func(revision uint64, data []byte) {
 		n.data.Store(string(data))
-		if revision <= n.got.Swap(revision) {
-			n.back.Store(true)
+		if revision <= n.received.Swap(revision) {
+			n.wentBack.Store(true)
 		}
 	})
 	g.Expect(links.Start(context.Background())).To(Succeed())
@@ -77,76 +77,75 @@
 	return n
 }
 
-func (n *node) stop(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+func (n *instance) stop(t *testing.T) {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	g := NewWithT(t)
 	g.Expect(n.links.Stop(ctx)).To(Succeed())
 	g.Expect(n.spread.Stop(ctx)).To(Succeed())
 }
 
-// Story: an operator's change is accepted while instances between the control
-// leader and others are lost. All others have it in force soon, and know by
-// their lease that it is the newest; when the leader is lost, they learn that
-// they do not know that any more.
+// Checks that all instances receive a revision and a valid lease, and that after the loss
+// of instances between them and the control leader the others receive the next revision
+// without going back to an older one.
 func TestSpreadWithLostParents(t *testing.T) {
 	g := NewWithT(t)
-	w := &world{nodes: []tree.Instance{{Name: "leader", Domain: "far", Data: true}}}
+	w := &cluster{instances: []tree.Instance{{Name: "leader", Domain: "far", Data: true}}}
 	const size = 9
 	for i := range size {
-		w.nodes = append(w.nodes, tree.Instance{Name: fmt.Sprintf("i%d", i), Domain: "hall"})
+		w.instances = append(w.instances, tree.Instance{Name: fmt.Sprintf("i%d", i), Domain: "hall"})
 	}
-	leader := w.start(t, w.nodes[0])
-	var nodes []*node
+	leader := w.start(t, w.instances[0])
+	var nodes []*instance
 	for i := range size {
-		nodes = append(nodes, w.start(t, w.nodes[i+1]))
+		nodes = append(nodes, w.start(t, w.instances[i+1]))
 	}
 	leader.spread.Renew(time.Now(), time.Hour)
 	g.Expect(leader.spread.Publish(1, []byte("one"))).To(Succeed())
 	for _, n := range nodes {
-		g.Eventually(n.got.Load, limit).Should(BeEquivalentTo(1))
-		g.Eventually(func() bool { return n.spread.Lease().Valid }, limit).Should(BeTrue())
+		g.Eventually(n.received.Load, testTimeout).Should(BeEquivalentTo(1))
+		g.Eventually(func() bool { return n.spread.Lease().Valid }, testTimeout).Should(BeTrue())
 	}
 	g.Expect(fault.CodeOf(leader.spread.Publish(0, nil))).To(Equal(fault.Conflict))
-	g.Eventually(nodes[8].spread.Parent, limit).Should(Equal("i1"))
+	g.Eventually(nodes[8].spread.Parent, testTimeout).Should(Equal("i1"))
 
 	nodes[0].stop(t) // the delegate
 	nodes[1].stop(t) // the parent of i5 to i8
 	g.Expect(leader.spread.Publish(2, []byte("two"))).To(Succeed())
 	for _, n := range nodes[2:] {
-		g.Eventually(n.got.Load, limit).Should(BeEquivalentTo(2))
+		g.Eventually(n.received.Load, testTimeout).Should(BeEquivalentTo(2))
 		g.Expect(n.data.Load()).To(Equal("two"))
-		g.Expect(n.back.Load()).To(BeFalse())
+		g.Expect(n.wentBack.Load()).To(BeFalse())
 	}
 }
 
-// Story: the control leader is lost. The instances that are left go on asking
-// each other; their leases must end all the same.
+// Guards against leases that never expire after the loss of the control leader because
+// the remaining instances renew them from each other.
 func TestLeaseEndsWithoutLeader(t *testing.T) {
 	g := NewWithT(t)
-	w := &world{nodes: []tree.Instance{{Name: "leader", Domain: "far", Data: true}, {Name: "i0", Domain: "hall"}, {Name: "i1", Domain: "hall"}}}
-	leader, one, two := w.start(t, w.nodes[0]), w.start(t, w.nodes[1]), w.start(t, w.nodes[2])
+	w := &cluster{instances: []tree.Instance{{Name: "leader", Domain: "far", Data: true}, {Name: "i0", Domain: "hall"}, {Name: "i1", Domain: "hall"}}}
+	leader, one, two := w.start(t, w.instances[0]), w.start(t, w.instances[1]), w.start(t, w.instances[2])
 	leader.spread.Renew(time.Now(), 3*time.Second)
 	g.Expect(leader.spread.Publish(1, []byte("one"))).To(Succeed())
-	for _, n := range []*node{one, two} {
-		g.Eventually(func() bool { return n.spread.Lease().Valid }, limit).Should(BeTrue())
+	for _, n := range []*instance{one, two} {
+		g.Eventually(func() bool { return n.spread.Lease().Valid }, testTimeout).Should(BeTrue())
 	}
 	leader.stop(t)
-	for _, n := range []*node{one, two} {
-		g.Eventually(func() bool { return n.spread.Lease().Valid }, limit).Should(BeFalse())
-		g.Expect(n.spread.Ready()).To(BeTrue(), "a cut-off failure domain goes on serving")
+	for _, n := range []*instance{one, two} {
+		g.Eventually(func() bool { return n.spread.Lease().Valid }, testTimeout).Should(BeFalse())
+		g.Expect(n.spread.Ready()).To(BeTrue(), "a failure domain that is cut off keeps serving")
 	}
 
-	// An instance that starts meanwhile must not serve by what those have: it is
-	// known that a newer revision was acted on.
+	// An instance that starts meanwhile must not serve the revision of the others,
+	// since a newer revision is known to have been applied.
 	w.floor.Store(2)
 	w.mu.Lock()
-	w.nodes = append(w.nodes, tree.Instance{Name: "i2", Domain: "hall"})
+	w.instances = append(w.instances, tree.Instance{Name: "i2", Domain: "hall"})
 	w.mu.Unlock()
 	late := w.start(t, tree.Instance{Name: "i2", Domain: "hall"})
 	g.Consistently(late.spread.Ready, time.Second).Should(BeFalse())
-	g.Expect(late.got.Load()).To(BeZero())
+	g.Expect(late.received.Load()).To(BeZero())
 	g.Expect(two.spread.Publish(2, []byte("two"))).To(Succeed())
-	g.Eventually(late.spread.Ready, limit).Should(BeTrue())
+	g.Eventually(late.spread.Ready, testTimeout).Should(BeTrue())
 	g.Expect(late.spread.Revision()).To(BeEquivalentTo(2))
 }
