--- a/instance/consensus/consensus_test.go
+++ b/instance/consensus/consensus_test.go
@@ -116,11 +116,11 @@
 
 // Guards against a change that is reported as not run but takes effect: the leader is
 // partitioned without an error, accepts a proposal, and another leader is elected.
-func TestProposalAtALeaderThatIsCutOff(t *testing.T) {
+func TestProposalAtPartitionedLeader(t *testing.T) {
 	gm := NewWithT(t)
 	g := newGroup(t, func(c *consensus.Config) { c.Timeout = time.Second }, memberNames...)
 	g.confirmUntilAnswered(memberNames, revision.Confirm{Operator: "ada", Number: 1, Document: document(0)})
-	old, rest := g.proposeWhileCutOff(revision.Confirm{Operator: "ada", Number: 2, Base: 1, Document: document(0.2)})
+	old, rest := g.proposeWhilePartitioned(revision.Confirm{Operator: "ada", Number: 2, Base: 1, Document: document(0.2)})
 	gm.Expect(g.running(old).Status().Role).NotTo(Equal(raft.Leader), "check-quorum")
 	_, err := g.confirm(old, revision.Confirm{Operator: "ada", Number: 3, Base: 1, Document: document(0.3)})
 	gm.Expect(fault.CodeOf(err)).To(Equal(fault.NotRun))
@@ -137,10 +137,10 @@
 	gm.Expect(g.revisionAt(old)).To(Equal(uint64(2)))
 }
 
-// proposeWhileCutOff partitions the leader, proposes through it, and returns its name
+// proposeWhilePartitioned partitions the leader, proposes through it, and returns its name
 // and those of the others. It retries when the leader changed right before the
 // partition.
-func (g *group) proposeWhileCutOff(c revision.Confirm) (old string, rest []string) {
+func (g *group) proposeWhilePartitioned(c revision.Confirm) (old string, rest []string) {
 	NewWithT(g.tb).Eventually(func() fault.Code {
 		g.setNetwork(0)
 		old, rest = g.awaitLeader(), nil
--- a/instance/consensus/parts_test.go
+++ b/instance/consensus/parts_test.go
@@ -18,7 +18,7 @@
 // Guards against a repaired instance that never catches up because its snapshot exceeds
 // the message size: the parts arrive late, duplicated and reordered, with parts of an
 // older snapshot in between.
-func TestSnapshotGoesInParts(t *testing.T) {
+func TestSnapshotIsReassembledFromParts(t *testing.T) {
 	g := NewWithT(t)
 	s := &Service{store: openOn(t, disktest.NewMemory())}
 	var sent [2][]raft.Message
@@ -37,10 +37,10 @@
 	var p snapshotAssembler
 	feed := append([]raft.Message{sent[1][2], sent[0][0], sent[0][3]}, sent[1][3], sent[1][0], sent[1][0], sent[1][2])
 	for _, m := range feed {
-		_, complete := p.add(overTheWire(t, m))
+		_, complete := p.add(roundTrip(t, m))
 		g.Expect(complete).To(BeFalse())
 	}
-	whole, complete := p.add(overTheWire(t, sent[1][1]))
+	whole, complete := p.add(roundTrip(t, sent[1][1]))
 	g.Expect(complete).To(BeTrue())
 	g.Expect(whole.Kind).To(Equal(raft.MsgSnapshot))
 	g.Expect(whole.Round).To(Equal(uint64(9)))
@@ -48,7 +48,7 @@
 	g.Expect(whole.Snapshot.Data).To(Equal(data))
 }
 
-func overTheWire(t *testing.T, m raft.Message) raft.Message {
+func roundTrip(t *testing.T, m raft.Message) raft.Message {
 	t.Helper()
 	b, err := control.Marshal(&m)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -58,8 +58,8 @@
 	return out
 }
 
-func TestMessagesSurviveTheWire(t *testing.T) {
-	overTheWire(t, raft.Message{Kind: raft.MsgAppend, Cluster: "c", From: 1 << 63, To: 2, Term: 3, Index: 4, LogTerm: 5, Commit: 6, Round: 7, Transfer: true,
+func TestMessagesRoundTrip(t *testing.T) {
+	roundTrip(t, raft.Message{Kind: raft.MsgAppend, Cluster: "c", From: 1 << 63, To: 2, Term: 3, Index: 4, LogTerm: 5, Commit: 6, Round: 7, Transfer: true,
 		Entries: []raft.Entry{{Index: 5, Term: 3, Timestamp: -1, Kind: raft.EntryMembers, Data: []byte{1}, Members: raft.Members{{ID: 9, Name: "a", Voter: true}}}}})
-	overTheWire(t, raft.Message{Kind: raft.MsgVoteReply, Cluster: "c", From: 1, To: 2, Term: 3, Reject: true, Hint: 8, Context: 1 << 62})
+	roundTrip(t, raft.Message{Kind: raft.MsgVoteReply, Cluster: "c", From: 1, To: 2, Term: 3, Reject: true, Hint: 8, Context: 1 << 62})
 }
