--- a/instance/control/control.go
+++ b/instance/control/control.go
@@ -93,9 +93,9 @@
 	// Bootstrap lets an empty disk found the group together with Founders. Without
 	// it, Founders is used only to continue a founding that the disk has begun already.
 	Bootstrap bool
-	// MendMembers lets the leader replace members that fell silent, and lets a
+	// RepairMembers lets the leader replace members that fell silent, and lets a
 	// replaced member join again, without an operator; see core/raft/roster.
-	MendMembers bool
+	RepairMembers bool
 	// WaitOutDisk keeps the process running when its disk refuses writes: the member
 	// stops voting and tries to restart from the disk every diskRetry.
 	WaitOutDisk bool
--- a/instance/control/lead.go
+++ b/instance/control/lead.go
@@ -64,7 +64,7 @@
 func (s *Service) maintainMembers(g *consensus.Service, st consensus.Status) {
 	ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
 	defer cancel()
-	if s.cfg.MendMembers {
+	if s.cfg.RepairMembers {
 		s.repairMembership(ctx, g, &st.Status)
 		return
 	}
--- a/instance/control/recovery.go
+++ b/instance/control/recovery.go
@@ -76,7 +76,7 @@
 // since nobody answers a removed member, it cannot find out by itself. It returns the
 // time from which leaderlessTimeout counts, or zero while a leader is known.
 func (s *Service) rejoin(g *consensus.Service, since time.Time) time.Time {
-	if !s.cfg.MendMembers || g.Status().Leader != 0 {
+	if !s.cfg.RepairMembers || g.Status().Leader != 0 {
 		return time.Time{}
 	}
 	if since.IsZero() {
