--- a/instance/control/control.go
+++ b/instance/control/control.go
@@ -96,9 +96,9 @@
 	// RepairMembers lets the leader replace members that fell silent, and lets a
 	// replaced member join again, without an operator; see core/raft/roster.
 	RepairMembers bool
-	// WaitOutDisk keeps the process running when its disk refuses writes: the member
+	// RetryDisk keeps the process running when its disk refuses writes: the member
 	// stops voting and tries to restart from the disk every diskRetry.
-	WaitOutDisk bool
+	RetryDisk bool
 	// Heartbeat, ElectionTimeout and RestartTimeout are as in raft.Config; zero means raft's
 	// defaults, which suit regions that are far apart.
 	Heartbeat, ElectionTimeout, RestartTimeout time.Duration
@@ -157,7 +157,7 @@
 	if s.cfg.DataFolder == "" {
 		return nil
 	}
-	if s.cfg.WaitOutDisk {
+	if s.cfg.RetryDisk {
 		s.running.Go(s.openWithRetry)
 		return nil
 	}
--- a/instance/control/recovery.go
+++ b/instance/control/recovery.go
@@ -22,7 +22,7 @@
 // member no longer votes or acknowledges, and its last writes are used only after the log
 // was opened, verified and synced again. Corrupt data is fatal in any case.
 func (s *Service) memberFailed(err error) {
-	if !s.cfg.WaitOutDisk || fault.CodeOf(err) == fault.Corrupt {
+	if !s.cfg.RetryDisk || fault.CodeOf(err) == fault.Corrupt {
 		s.fatal(err)
 		return
 	}
--- a/instance/serving/group_test.go
+++ b/instance/serving/group_test.go
@@ -116,7 +116,7 @@
 	n.control = control.New(control.Config{
 		Name: n.name, DataFolder: "data", Disk: n.disk, Founders: founders, Bootstrap: bootstrap, Links: wire,
 		Members: n.others, Log: zerolog.Nop(), OnFatal: func(err error) { n.fatal <- err },
-		RepairMembers: true, WaitOutDisk: true, OnApplied: n.serving.Applied,
+		RepairMembers: true, RetryDisk: true, OnApplied: n.serving.Applied,
 		Heartbeat: 30 * time.Millisecond, ElectionTimeout: 200 * time.Millisecond,
 	})
 	ctx := context.Background()
