--- a/instance/control/applied.go
+++ b/instance/control/applied.go
@@ -16,12 +16,12 @@
 	Content  []byte `codec:"c"`
 }
 
-// Remember makes a revision durable before this instance applies it; without a data
+// SaveApplied makes a revision durable before this instance applies it; without a data
 // folder it does nothing. A restarted member replays its log from the last snapshot
 // on, and the first revisions in it can be thousands of revisions old. Without this
 // file the member would apply all of them again, and one that is cut off would remain
 // on the first. A failed write is fatal.
-func (s *Service) Remember(revision uint64, content []byte) error {
+func (s *Service) SaveApplied(revision uint64, content []byte) error {
 	if s.cfg.DataFolder == "" {
 		return nil
 	}
--- a/instance/daemon/cluster.go
+++ b/instance/daemon/cluster.go
@@ -132,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	return c.Remember(revision, data)
+	return c.SaveApplied(revision, data)
 }
 
 func (d *Daemon) layout(k *kernel.Kernel, members *member.Service) spread.Layout {
