--- a/instance/daemon/cluster.go
+++ b/instance/daemon/cluster.go
@@ -100,7 +100,7 @@
 			return nil, err
 		}
 		s := spread.New(spread.Config{
-			Links: links, Layout: func() spread.Layout { return d.layout(k, members) }, Floor: members.RevisionSeen, Log: d.log,
+			Links: links, Layout: func() spread.Layout { return d.layout(k, members) }, MinRevision: members.RevisionSeen, Log: d.log,
 			Interval: min(spread.DefaultInterval, d.cfg.Control.Lease/questionsPerLease),
 		})
 		s.Subscribe(func(revision uint64, data []byte) { d.takeRevision(k, conf, members, revision, data) })
--- a/instance/spread/spread.go
+++ b/instance/spread/spread.go
@@ -81,10 +81,10 @@
 type Config struct {
 	Links  Links
 	Layout func() Layout
-	// Floor returns the highest revision that any instance is known to have applied;
+	// MinRevision returns the highest revision that any instance is known to have applied;
 	// nil if that is not known.
-	Floor func() uint64
-	Log   zerolog.Logger
+	MinRevision func() uint64
+	Log         zerolog.Logger
 	// Interval and FanOut override the defaults if they are positive.
 	Interval time.Duration
 	FanOut   int
@@ -268,8 +268,8 @@
 // minimum until this instance is ready; the caller holds mu. A newer one later is no
 // reason to stop serving, since it is being distributed.
 func (s *Service) requireKnownRevision() {
-	if s.cfg.Floor != nil && !s.state.Ready() {
-		s.state.RequireRevision(s.cfg.Floor())
+	if s.cfg.MinRevision != nil && !s.state.Ready() {
+		s.state.RequireRevision(s.cfg.MinRevision())
 	}
 }
 
--- a/instance/spread/spread_test.go
+++ b/instance/spread/spread_test.go
@@ -62,7 +62,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	n := &instance{links: links}
 	n.spread = spread.New(spread.Config{
-		Links: links, Layout: w.layout(self), Log: zerolog.Nop(), Interval: 100 * time.Millisecond, Floor: w.floor.Load,
+		Links: links, Layout: w.layout(self), Log: zerolog.Nop(), Interval: 100 * time.Millisecond, MinRevision: w.floor.Load,
 	})
 	n.spread.Subscribe(func(revision uint64, data []byte) {
 		n.data.Store(string(data))
