--- a/instance/consensus/identity.go
+++ b/instance/consensus/identity.go
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	return disk.WriteSealed(fs, filepath.Join(dir, identityFile), b)
+	return disk.WriteWithChecksum(fs, filepath.Join(dir, identityFile), b)
 }
 
 // Join records that the disk belongs to a cluster. The member then waits until the
--- a/instance/control/applied.go
+++ b/instance/control/applied.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	if err := disk.WriteSealed(s.cfg.Disk, s.appliedRevisionPath(), b); err != nil {
+	if err := disk.WriteWithChecksum(s.cfg.Disk, s.appliedRevisionPath(), b); err != nil {
 		s.fatal(err)
 		return err
 	}
--- a/instance/disk/sealed.go
+++ b/instance/disk/sealed.go
@@ -11,8 +11,8 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// WriteSealed is like WriteFile, but prepends a CRC-32C of the content.
-func WriteSealed(f FS, path string, content []byte) error {
+// WriteWithChecksum is like WriteFile, but prepends a CRC-32C of the content.
+func WriteWithChecksum(f FS, path string, content []byte) error {
 	sealed := binary.LittleEndian.AppendUint32(nil, crc32.Checksum(content, castagnoli))
 	return WriteFile(f, path, append(sealed, content...))
 }
