--- a/instance/consensus/identity.go
+++ b/instance/consensus/identity.go
@@ -37,7 +37,7 @@
 	if err := fs.MkdirAll(dir); err != nil {
 		return id, fault.Wrap(err, fault.Unavailable, "create folder %s", dir)
 	}
-	b, err := disk.ReadSealed(fs, filepath.Join(dir, identityFile))
+	b, err := disk.ReadWithChecksum(fs, filepath.Join(dir, identityFile))
 	if err == nil {
 		return id, control.Unmarshal(b, &id)
 	}
--- a/instance/control/applied.go
+++ b/instance/control/applied.go
@@ -42,7 +42,7 @@
 	if s.cfg.Spread == nil {
 		return nil
 	}
-	b, err := disk.ReadSealed(s.cfg.Disk, s.appliedRevisionPath())
+	b, err := disk.ReadWithChecksum(s.cfg.Disk, s.appliedRevisionPath())
 	if fault.CodeOf(err) == fault.NotFound {
 		return nil
 	}
--- a/instance/disk/sealed.go
+++ b/instance/disk/sealed.go
@@ -17,9 +17,9 @@
 	return WriteFile(f, path, append(sealed, content...))
 }
 
-// ReadSealed reads a file written by WriteSealed and verifies its checksum. It fails
+// ReadWithChecksum reads a file written by WriteSealed and verifies its checksum. It fails
 // with fault.NotFound, fault.Corrupt or fault.Unavailable.
-func ReadSealed(f FS, path string) ([]byte, error) {
+func ReadWithChecksum(f FS, path string) ([]byte, error) {
 	b, err := f.ReadFile(path)
 	if IsNotExist(err) {
 		return nil, fault.Wrap(err, fault.NotFound, "read %s", path)
