--- a/instance/control/recovery.go
+++ b/instance/control/recovery.go
@@ -17,8 +17,8 @@
 	leaderlessTimeout = 3 * time.Second
 )
 
-// memberFailed handles a fatal error of the member. With WaitOutDisk, a full or failing disk is
-// treated as temporary and does not end the process, whose other work continues. The
+// memberFailed handles a fatal error of the member. With RetryDisk, a full or failing disk
+// is treated as temporary and does not end the process, whose other work continues. The
 // member no longer votes or acknowledges, and its last writes are used only after the log
 // was opened, verified and synced again. Corrupt data is fatal in any case.
 func (s *Service) memberFailed(err error) {
--- a/instance/disk/sealed.go
+++ b/instance/disk/checksum.go
@@ -17,7 +17,7 @@
 	return WriteFile(f, path, append(sealed, content...))
 }
 
-// ReadWithChecksum reads a file written by WriteSealed and verifies its checksum. It fails
+// ReadWithChecksum reads a file written by WriteWithChecksum and verifies its checksum. It fails
 // with fault.NotFound, fault.Corrupt or fault.Unavailable.
 func ReadWithChecksum(f FS, path string) ([]byte, error) {
 	b, err := f.ReadFile(path)
