--- a/instance/control/control.go
+++ b/instance/control/control.go
@@ -57,7 +57,7 @@
 type Spread interface {
 	Publish(revision uint64, data []byte) error
 	Renew(at time.Time, ttl time.Duration)
-	TakeOver(ttl time.Duration, first bool)
+	BecomeRoot(ttl time.Duration, first bool)
 	InForce(revision uint64) bool
 	Acts(revision uint64) bool
 }
--- a/instance/control/force.go
+++ b/instance/control/force.go
@@ -118,6 +118,6 @@
 	if s.ledTerm.Load() == term {
 		return
 	}
-	s.cfg.Spread.TakeOver(s.cfg.Lease, term == raft.FoundingTerm+1)
+	s.cfg.Spread.BecomeRoot(s.cfg.Lease, term == raft.FoundingTerm+1)
 	s.ledTerm.Store(term)
 }
--- a/instance/spread/spread.go
+++ b/instance/spread/spread.go
@@ -188,9 +188,9 @@
 	s.state.Renew(at, ttl)
 }
 
-// TakeOver states that this instance became the control leader. first is set if there
+// BecomeRoot states that this instance became the control leader. first is set if there
 // was no leader before, so that no earlier leader's lease can still be valid.
-func (s *Service) TakeOver(ttl time.Duration, first bool) {
+func (s *Service) BecomeRoot(ttl time.Duration, first bool) {
 	if first {
 		ttl = 0
 	}
