--- a/instance/control/control.go
+++ b/instance/control/control.go
@@ -59,7 +59,7 @@
 	Renew(at time.Time, ttl time.Duration)
 	BecomeRoot(ttl time.Duration, first bool)
 	InForce(revision uint64) bool
-	Acts(revision uint64) bool
+	HasApplied(revision uint64) bool
 }
 
 // Config configures a Service.
--- a/instance/control/force.go
+++ b/instance/control/force.go
@@ -53,7 +53,7 @@
 			clock.Sleep(ctx, forceRetry)
 		}
 	}
-	for ctx.Err() == nil && !s.cfg.Spread.Acts(number) {
+	for ctx.Err() == nil && !s.cfg.Spread.HasApplied(number) {
 		clock.Sleep(ctx, forcePoll)
 	}
 }
--- a/instance/spread/spread.go
+++ b/instance/spread/spread.go
@@ -199,8 +199,8 @@
 	s.state.BecomeRoot(time.Now(), ttl)
 }
 
-// Acts reports whether this instance has applied a revision or a later one.
-func (s *Service) Acts(revision uint64) bool {
+// HasApplied reports whether this instance has applied a revision or a later one.
+func (s *Service) HasApplied(revision uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.AppliedRevision() >= revision
