--- a/instance/daemon/cluster.go
+++ b/instance/daemon/cluster.go
@@ -100,7 +100,7 @@
 			return nil, err
 		}
 		s := spread.New(spread.Config{
-			Links: links, Layout: func() spread.Layout { return d.layout(k, members) }, Floor: members.RevisionSeen, Log: d.log,
+			Links: links, Layout: func() spread.Layout { return d.layout(k, members) }, MinRevision: members.RevisionSeen, Log: d.log,
 			Interval: min(spread.DefaultInterval, d.cfg.Control.Lease/questionsPerLease),
 		})
 		s.Subscribe(func(revision uint64, data []byte) { d.takeRevision(k, conf, members, revision, data) })
@@ -132,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	return c.Remember(revision, data)
+	return c.SaveApplied(revision, data)
 }
 
 func (d *Daemon) layout(k *kernel.Kernel, members *member.Service) spread.Layout {
