--- a/core/raft/founding/founding.go
+++ b/core/raft/founding/founding.go
@@ -144,6 +144,7 @@
 	}
 }
 
+// Step processes a message of another founder; messages of anyone else are ignored.
 func (f *Founder) Step(m Message) {
 	if !slices.Contains(f.founders, m.From) || m.From == f.name {
 		return
--- a/core/raft/node.go
+++ b/core/raft/node.go
@@ -286,6 +286,8 @@
 	Silent time.Duration
 }
 
+// Status returns a snapshot of the state of this member and, on the leader, the progress of
+// the other members.
 func (n *Node) Status(now time.Time) Status {
 	s := Status{ID: n.cfg.ID, Role: n.role, Term: n.term, Leader: n.leader, Commit: n.commit,
 		Last: n.log.last(), Snapshot: n.log.snapIndex, Members: n.members()}
@@ -300,4 +302,5 @@
 // Leader returns the leader of the current term, or 0 if it is unknown.
 func (n *Node) Leader() MemberID { return n.leader }
 
+// Term returns the highest term that this member has seen; it may have no leader yet.
 func (n *Node) Term() uint64 { return n.term }
--- a/core/tree/follower.go
+++ b/core/tree/follower.go
@@ -118,6 +118,7 @@
 	}
 }
 
+// Lease returns the lease as of now. It is invalid while the follower is not Ready.
 func (f *Follower) Lease(now time.Time) Lease {
 	return Lease{Valid: f.Ready() && now.Before(f.leaseUntil), Until: f.leaseUntil}
 }
