--- a/core/raft/log.go
+++ b/core/raft/log.go
@@ -52,7 +52,8 @@
 	return append([]Entry(nil), l.view(low, high)...)
 }
 
-// dataSize returns the size of the data of the entries from low to high, in dataSize.
+// dataSize returns the size of the data of the entries from low to high, both included,
+// in bytes.
 func (l *memLog) dataSize(low, high uint64) int {
 	size := 0
 	for _, e := range l.view(low, high) {
--- a/core/raft/members.go
+++ b/core/raft/members.go
@@ -195,8 +195,8 @@
 }
 
 // syncProgress makes the leader track exactly the other members. Replication to new members
-// starts at the entry next. That entry must already be in the log: otherwise a new member
-// would receive no entry in a group without proposals.
+// starts at the entry next, which must be in the log already or be appended at once:
+// otherwise a new member would receive no entry in a group without proposals.
 func (n *Node) syncProgress(now time.Time, next uint64) {
 	if n.role != Leader {
 		return
--- a/core/raft/types.go
+++ b/core/raft/types.go
@@ -104,8 +104,8 @@
 
 // Ready is the work that a Node hands to its caller, to be done in this order:
 //
-//  1. Persist and sync HardState (if HardChanged), Snapshot (if not nil) and
-//     Entries. An entry replaces an existing one of the same index and all after it.
+//  1. Persist and sync HardState (if HardStateChanged), Snapshot (if not nil)
+//     and Entries. An entry replaces an existing one of the same index and all after it.
 //  2. Only then send Messages. A vote or an acknowledgement promises that its
 //     content survives a crash. If it were sent before the sync, a crash could make
 //     the member vote twice or lose a committed entry.
