--- a/core/balance/observe.go
+++ b/core/balance/observe.go
@@ -62,7 +62,8 @@
 	s.sums.Add(o)
 }
 
-// maxSlowness also bounds the effect of a single answer; minSlowness applies only to the result.
+// minSlowness and maxSlowness bound Upstream.Slowness. maxSlowness also bounds how much a single
+// answer adds to the sums.
 const minSlowness, maxSlowness = 0.7, 8.0
 
 // FirstEvent records the predicted and actual times to a first event, in milliseconds.
--- a/core/balance/pools.go
+++ b/core/balance/pools.go
@@ -54,8 +54,8 @@
 
 // RouteLoad is the load of one route, as seen by one instance or summed over several.
 type RouteLoad struct {
-	// Tokens counts prompt tokens, UncachedTokens those that needed prefill, and Requests the requests. All
-	// are sums that decay with loadWindow.
+	// Tokens counts prompt tokens, UncachedTokens those that needed prefill, and Requests the
+	// requests. All are sums that decay with loadWindow.
 	Tokens, UncachedTokens, Requests float64
 	// SlotTime is the time for which requests hold slots, in seconds; it decays with loadWindow.
 	SlotTime float64
@@ -124,7 +124,8 @@
 // Offer is an incoming request, whether or not it is admitted.
 type Offer struct {
 	Route string
-	// Tokens is the length of its prompt, and UncachedTokens the number of those tokens that need prefill.
+	// Tokens is the length of its prompt, and UncachedTokens the number of those tokens that need
+	// prefill.
 	Tokens, UncachedTokens int
 	// Cached says that its upstream has the shared tokens cached or can fetch them.
 	Cached bool
--- a/core/budget/window.go
+++ b/core/budget/window.go
@@ -39,8 +39,8 @@
 // RecordRequest counts a request.
 func (w *Window) RecordRequest(now time.Time) { w.currentStep(now).requests++ }
 
-// Spend counts one repeat and reports whether the limit allows it; share is this
-// instance's share of the common allowance.
+// Spend reports whether the limit allows one more repeat, and counts it if so; share is
+// this instance's share of the common allowance.
 func (w *Window) Spend(now time.Time, share float64) bool {
 	s := w.currentStep(now)
 	requests, repeats := 0, 0
--- a/core/control/fence/fence.go
+++ b/core/control/fence/fence.go
@@ -70,8 +70,8 @@
 	// inherits it. Otherwise, if a holder released the lease at once, its successor could
 	// act while the holder before both may still rely on its own lease.
 	Wait time.Duration `codec:"w"`
-	// Instance is the holder's instance. PreviousInstances lists the other instances that
-	// held the lease, the most recent last.
+	// Instance is the holder's instance. PreviousInstances lists the instances that held the
+	// lease before, the most recent last; the holder's own may be among them.
 	Instance          string   `codec:"m,omitempty"`
 	PreviousInstances []string `codec:"p,omitempty"`
 	// Revision is incremented by each request that changes the lease.
--- a/core/control/fence/model_test.go
+++ b/core/control/fence/model_test.go
@@ -46,7 +46,7 @@
 
 func (p *process) holder() string { return fmt.Sprint(p.instance, p.start) }
 
-// callRecord is a callRecord that has arrived.
+// callRecord describes a call that has arrived at its receiver.
 type callRecord struct {
 	instance string
 	number   uint64
--- a/core/control/quarantine/machine.go
+++ b/core/control/quarantine/machine.go
@@ -43,8 +43,8 @@
 	Crashes int `codec:"n"`
 	// Since is the log's time of the quarantine, in nanoseconds since the Unix epoch.
 	Since int64 `codec:"s"`
-	// Trials counts the trials since then. LastTrial is when the latest one was granted, in
-	// the same time. Failed means that an upstream crashed during a trial.
+	// Trials counts the trials since then. LastTrial is when the latest one was granted, by
+	// the same clock. Failed means that an upstream crashed during a trial.
 	Trials    int   `codec:"r"`
 	LastTrial int64 `codec:"l"`
 	Failed    bool  `codec:"d"`
--- a/core/drain/conn.go
+++ b/core/drain/conn.go
@@ -97,7 +97,7 @@
 // CloseDecision says when a drain closes a connection.
 type CloseDecision int
 
-// Values of Closing.
+// Values of CloseDecision.
 const (
 	// KeepOpen leaves the connection open until its pending work ends it.
 	KeepOpen CloseDecision = iota
--- a/core/drain/lastphase.go
+++ b/core/drain/lastphase.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// finalAnswerTime is the end of a drain in which nothing new is accepted and incomplete
-// requests are refused, so that the remaining responses can be sent.
+// finalAnswerTime is how long before the deadline of a drain the instance stops accepting
+// connections and refuses incomplete requests, so that the remaining responses can be sent.
 const finalAnswerTime = 300 * time.Millisecond
 
 // lingerTime is how long, in run time, connections may stay open after their last
--- a/core/drain/runtime.go
+++ b/core/drain/runtime.go
@@ -34,7 +34,8 @@
 // freezeFactor is the number of intervals between two ticks that indicates a freeze.
 const freezeFactor = 10
 
-// NewQuietPeriod returns a Quiet for a period; Tick is to be called once per interval.
+// NewQuietPeriod returns a QuietPeriod of the given length; Tick is to be called once per
+// interval.
 func NewQuietPeriod(period, interval time.Duration) *QuietPeriod {
 	return &QuietPeriod{period: period, freezeThreshold: freezeFactor * interval}
 }
--- a/core/member/member.go
+++ b/core/member/member.go
@@ -101,8 +101,8 @@
 }
 
 // DefaultConfig is meant for one heartbeat a second: an instance is suspect after three
-// missed heartbeats, and dead before the beats of its upstreams expire, which live for at
-// most 10 s.
+// missed heartbeats, and dead before the heartbeats of its upstreams expire, which are
+// valid for at most 10 s.
 func DefaultConfig() Config {
 	return Config{
 		SuspectAfter:      3 * time.Second,
--- a/core/registry/registry.go
+++ b/core/registry/registry.go
@@ -37,7 +37,7 @@
 
 // Upstream is an immutable view of one upstream that may be given new work.
 type Upstream struct {
-	// Beat is the latest beat, without its load report and its cache events.
+	// Heartbeat is the latest beat, without its load report and its cache events.
 	announce.Heartbeat
 	// HeardAt is when the beat reached the failure domain.
 	HeardAt time.Time
--- a/core/scale/level.go
+++ b/core/scale/level.go
@@ -66,9 +66,9 @@
 	return max(s.minTotal(), min(s.maxTotal(), l.cfg.MaxUpstreams))
 }
 
-// requiredLevel returns how many upstreams are required now. Before the first demand, it returns
-// StartShare of the maximum for at most StartTimeout. While the demand is unknown, the level is
-// held.
+// requiredLevel returns how many upstreams are required now. Before the first demand, and for at
+// most StartTimeout, these are at least StartShare of the maximum. While the demand is unknown, the
+// level is held.
 func (l *LevelController) requiredLevel(now time.Time, s *Service) float64 {
 	l.demandSeen = l.demandSeen || s.Need > 0
 	switch {
--- a/core/timebase/timebase.go
+++ b/core/timebase/timebase.go
@@ -21,8 +21,8 @@
 	// instances exchange their readings. Afterwards it is only slewed.
 	settleAfter = 3 * time.Second
 	// maxSlewRate is the maximum rate at which the agreed time is adjusted, in seconds per
-	// second. It exceeds the drift of quartz clocks, but is low enough to hide a step of
-	// most clocks by seconds that lasts for seconds.
+	// second. It exceeds the drift of quartz clocks, but is so low that the agreed time hardly
+	// moves when most wall clocks step by some seconds and back some seconds later.
 	maxSlewRate = 0.001
 )
 
--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -76,7 +76,8 @@
 	span     time.Duration
 	totals   map[key]*total
 	revision uint64
-	// acked is the latest revision that the member ackedBy has acknowledged, in ackedWindow.
+	// acked is the latest revision that was acknowledged, ackedBy the member that did so, and
+	// ackedWindow the window that was in progress in the acknowledged report.
 	acked       uint64
 	ackedBy     string
 	ackedWindow int64
