--- a/core/control/serving/machine.go
+++ b/core/control/serving/machine.go
@@ -218,13 +218,13 @@
 
 // leave ends an incarnation. A leave without a start ends the known incarnation with this
 // ID, since an upstream that left must not get work.
-func (m *Machine) leave(index uint64, at time.Time, id string, born int64) {
+func (m *Machine) leave(index uint64, at time.Time, id string, startedAt int64) {
 	known := m.byID[id]
-	if known == nil || born > 0 && compare(known, &Upstream{StartedAt: born}) == newer {
+	if known == nil || startedAt > 0 && compare(known, &Upstream{StartedAt: startedAt}) == newer {
 		// The leave may arrive before the announcement, which must not undo it.
-		known = &Upstream{ID: id, StartedAt: born, FirstIndex: index}
+		known = &Upstream{ID: id, StartedAt: startedAt, FirstIndex: index}
 	}
-	if known.State == Gone || born > 0 && born < known.StartedAt {
+	if known.State == Gone || startedAt > 0 && startedAt < known.StartedAt {
 		return
 	}
 	next := *known
--- a/core/control/usage/machine.go
+++ b/core/control/usage/machine.go
@@ -77,11 +77,12 @@
 	// maxOpen bounds the windows whose reports are open: three hours of windows of five
 	// seconds. The oldest are dropped first.
 	maxOpen = 2160
-	// countRetention is for how many windows after its close a window's counts are kept per
-	// instance, to determine how many requests were reported late.
-	countRetention = 3
-	// instanceRetention is after how many windows without a report an instance is dropped.
-	instanceRetention = 24
+	// countRetentionWindows is the number of windows after its close for which a window's counts
+	// are kept per instance, to determine how many requests were reported late.
+	countRetentionWindows = 3
+	// instanceRetentionWindows is the number of windows without a report after which an instance
+	// is dropped.
+	instanceRetentionWindows = 24
 )
 
 // instance is one run of an instance in a snapshot.
@@ -246,12 +247,12 @@
 // prune drops old counts, instances and closed windows.
 func (m *Machine) prune() {
 	for window := range m.windows {
-		if window < m.next-countRetention {
+		if window < m.next-countRetentionWindows {
 			delete(m.windows, window)
 		}
 	}
 	for id, current := range m.instances {
-		if current < m.next-instanceRetention {
+		if current < m.next-instanceRetentionWindows {
 			delete(m.instances, id)
 		}
 	}
--- a/core/quarantine/judge.go
+++ b/core/quarantine/judge.go
@@ -83,9 +83,9 @@
 }
 
 // mostCrashes returns the request with the most crashes among those that are not deferred.
-func mostCrashes(counts map[Fingerprint]int, held map[Fingerprint]bool) (best Fingerprint, most int) {
+func mostCrashes(counts map[Fingerprint]int, deferred map[Fingerprint]bool) (best Fingerprint, most int) {
 	for f, n := range counts {
-		if !held[f] && (n > most || n == most && compare(f, best) < 0) {
+		if !deferred[f] && (n > most || n == most && compare(f, best) < 0) {
 			best, most = f, n
 		}
 	}
--- a/core/raft/log.go
+++ b/core/raft/log.go
@@ -4,7 +4,7 @@
 type memLog struct {
 	// snapIndex and snapTerm identify the last entry covered by the snapshot.
 	snapIndex, snapTerm uint64
-	snapAt              int64
+	snapTimestamp       int64
 	entries             []Entry
 	// stable is the highest synced index.
 	stable uint64
@@ -14,9 +14,9 @@
 
 func (l *memLog) lastTerm() uint64 { return l.term(l.last()) }
 
-func (l *memLog) lastAt() int64 {
+func (l *memLog) lastTimestamp() int64 {
 	if len(l.entries) == 0 {
-		return l.snapAt
+		return l.snapTimestamp
 	}
 	return l.entries[len(l.entries)-1].Timestamp
 }
@@ -84,12 +84,12 @@
 func (l *memLog) compact(index uint64) {
 	term, at := l.term(index), l.entries[index-l.snapIndex-1].Timestamp
 	l.entries = append([]Entry(nil), l.entries[index-l.snapIndex:]...)
-	l.snapIndex, l.snapTerm, l.snapAt = index, term, at
+	l.snapIndex, l.snapTerm, l.snapTimestamp = index, term, at
 }
 
 // reset replaces the log with a snapshot.
 func (l *memLog) reset(s *Snapshot) {
-	*l = memLog{snapIndex: s.Index, snapTerm: s.Term, snapAt: s.Timestamp, stable: s.Index}
+	*l = memLog{snapIndex: s.Index, snapTerm: s.Term, snapTimestamp: s.Timestamp, stable: s.Index}
 }
 
 // isUpToDate reports whether a log that ends with (index, term) is at least as up to date
--- a/core/raft/ready.go
+++ b/core/raft/ready.go
@@ -70,7 +70,7 @@
 	if index > n.applied || index < n.log.snapIndex {
 		return Snapshot{}, fault.New(fault.Invalid, "no snapshot at index %d: applied index is %d, log starts after %d", index, n.applied, n.log.snapIndex)
 	}
-	s := Snapshot{Index: index, Term: n.log.term(index), Timestamp: n.log.snapAt, Members: n.membersAtIndex(index)}
+	s := Snapshot{Index: index, Term: n.log.term(index), Timestamp: n.log.snapTimestamp, Members: n.membersAtIndex(index)}
 	if e := n.log.slice(index, index); len(e) == 1 {
 		s.Timestamp = e[0].Timestamp
 	}
--- a/core/raft/replicate.go
+++ b/core/raft/replicate.go
@@ -43,7 +43,7 @@
 
 func (n *Node) appendEntry(now time.Time, e Entry) uint64 {
 	e.Index, e.Term = n.log.last()+1, n.term
-	e.Timestamp = max(now.UnixNano(), n.log.lastAt())
+	e.Timestamp = max(now.UnixNano(), n.log.lastTimestamp())
 	n.log.entries = append(n.log.entries, e)
 	if e.Kind == EntryMembers {
 		n.recordMembers(now, e.Index, e.Members)
@@ -85,7 +85,7 @@
 // again when no reply came within the rounds of an election timeout.
 func (n *Node) sendSnapshot(id MemberID, p *progress) {
 	n.send(Message{Kind: MsgSnapshot, To: id, Round: n.round, Snapshot: &Snapshot{
-		Index: n.log.snapIndex, Term: n.log.snapTerm, Timestamp: n.log.snapAt, Members: n.membersAtIndex(n.log.snapIndex)}})
+		Index: n.log.snapIndex, Term: n.log.snapTerm, Timestamp: n.log.snapTimestamp, Members: n.membersAtIndex(n.log.snapIndex)}})
 	p.probe, p.awaitingReply = true, true
 	p.sentRound = n.round
 }
--- a/core/timebase/timebase_test.go
+++ b/core/timebase/timebase_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestOneMachineAloneGoesByItsOwnClock(t *testing.T) {
+func TestOneInstanceAloneGoesByItsOwnClock(t *testing.T) {
 	w := newGroup(1)
 	w.run(5 * time.Second)
 	NewWithT(t).Expect(w.agreedError(0)).To(BeZero())
@@ -176,7 +176,7 @@
 }
 
 // Guards against instances that have ended but still count in the median.
-func TestMachinesThatAreGoneAreForgotten(t *testing.T) {
+func TestInstancesThatAreGoneAreForgotten(t *testing.T) {
 	g := NewWithT(t)
 	now, wall := time.Unix(100, 0), time.Unix(1_790_000_000, 0)
 	c := timebase.New(func() time.Time { return wall })
--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -62,13 +62,13 @@
 	requests, revision uint64
 }
 
-// maxRetention is for how many windows an instance keeps its counts. An instance that is cut off
-// reports all of them once it is connected again.
-const maxRetention = 120
+// maxRetentionWindows is the number of windows for which an instance keeps its counts. An
+// instance that is cut off reports all of them once it is connected again.
+const maxRetentionWindows = 120
 
-// ackedRetention is for how many windows acknowledged counts are kept. The member that
-// acknowledged them may be lost before they are committed; another member then gets all.
-const ackedRetention = 6
+// ackedRetentionWindows is the number of windows for which acknowledged counts are kept. The
+// member that acknowledged them may be lost before they are committed; another member then gets all.
+const ackedRetentionWindows = 6
 
 // Counter counts the requests at one instance. It is not safe for concurrent use.
 type Counter struct {
@@ -133,7 +133,7 @@
 
 func (c *Counter) forget(current int64) {
 	for k, t := range c.totals {
-		if k.window < current-maxRetention || k.window < current-ackedRetention && t.revision <= c.acked {
+		if k.window < current-maxRetentionWindows || k.window < current-ackedRetentionWindows && t.revision <= c.acked {
 			delete(c.totals, k)
 		}
 	}
