--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -61,7 +61,7 @@
 	NotRun Outcome = "not_run"
 )
 
-// HeaderField is one header field.
+// HeaderField is one header field of a stored response.
 type HeaderField struct {
 	Name  string `codec:"n"`
 	Value string `codec:"v"`
--- a/core/control/usage/bytes_bench_test.go
+++ b/core/control/usage/bytes_bench_test.go
@@ -11,7 +11,7 @@
 	core "github.com/comfreyladder/comfreyladder/core/usage"
 )
 
-// deployment is a deployment whose requests are counted.
+// deployment describes the size of a deployment and the requests that are counted there.
 type deployment struct {
 	instances, organisations, perSecond int
 }
--- a/core/control/usage/machine.go
+++ b/core/control/usage/machine.go
@@ -214,9 +214,9 @@
 	return list
 }
 
-// graceWindows is for how many windows the close waits for an instance that has stopped reporting.
-// It may be cut off for some seconds and then report what it has counted meanwhile. An instance
-// that has ended is waited for just as long.
+// graceWindows is the number of windows for which the close waits for an instance that has
+// stopped reporting. It may be cut off for some seconds and then report what it has counted
+// meanwhile. An instance that has ended is waited for just as long.
 const graceWindows = 1
 
 // participants returns how many instances reported during a window, later, or at most
--- a/core/drain/lastphase.go
+++ b/core/drain/lastphase.go
@@ -4,6 +4,7 @@
 
 // finalAnswerTime is how long before the deadline of a drain the instance stops accepting
 // connections and refuses incomplete requests, so that the remaining responses can be sent.
+// A process that was frozen past the deadline still runs for as long before it gives up.
 const finalAnswerTime = 300 * time.Millisecond
 
 // lingerTime is how long, in run time, connections may stay open after their last
--- a/core/order/fill.go
+++ b/core/order/fill.go
@@ -59,7 +59,7 @@
 	note   string
 }
 
-// findPlacement returns the next load that helps a model to another replica. It prefers
+// findPlacement returns the load to start next for one more replica of a model. It prefers
 // an engine that holds the model in another version, then an engine with room, then an
 // engine with a model that has surplus replicas. If there is none, a model on an engine
 // that w could use is moved to another engine by the same rules, so that its engine
--- a/core/pick/pick.go
+++ b/core/pick/pick.go
@@ -35,7 +35,8 @@
 	FirstToken time.Duration
 	// TokenRate is the smoothed rate of one stream in tokens per second; 0 if unknown.
 	TokenRate float64
-	// LastRate is the last known rate, however old; 0 if unknown.
+	// LastRate is the last measured rate, also after it has become too old for TokenRate; 0 if
+	// unknown.
 	LastRate float64
 	// Straggler says that the upstream is much slower than its peers. ProbeDue says that one request
 	// may be sent to it to check whether it recovered.
--- a/core/quarantine/judge.go
+++ b/core/quarantine/judge.go
@@ -54,7 +54,7 @@
 // ToQuarantine returns the requests to quarantine, those with the most crashes first. The
 // crashes of a request in the result count as explained, so that other requests are evaluated
 // by the remaining crashes. Requests that were in flight at the same crashes cannot be told
-// apart; a decision on them needs one crash more.
+// apart; they are quarantined together, and only after one crash more.
 func (l *Ledger) ToQuarantine(now time.Time) (verdict []Fingerprint) {
 	until := now.Add(-l.policy.SettleDelay)
 	deferred := map[Fingerprint]bool{}
--- a/core/sched/admit.go
+++ b/core/sched/admit.go
@@ -105,8 +105,8 @@
 	return secondsToDuration((ahead + i.work/2) / rate)
 }
 
-// higherPriorityWork sums the queued work for the model in the other classes that are
-// served before the ticket's class.
+// higherPriorityWork sums the queued work for the model in the other classes of the same
+// tier as the ticket's class or a more urgent one.
 func (s *Scheduler) higherPriorityWork(i *item) float64 {
 	sum := 0.0
 	for _, c := range s.classesByTier {
--- a/core/tree/layout.go
+++ b/core/tree/layout.go
@@ -47,9 +47,9 @@
 	return unique(order, self.Name)
 }
 
-func namesOf(nodes []Instance, keep func(Instance) bool) []string {
+func namesOf(instances []Instance, keep func(Instance) bool) []string {
 	var names []string
-	for _, n := range nodes {
+	for _, n := range instances {
 		if keep(n) {
 			names = append(names, n.Name)
 		}
--- a/core/tree/tree_test.go
+++ b/core/tree/tree_test.go
@@ -224,22 +224,22 @@
 func TestCandidates(t *testing.T) {
 	g := NewWithT(t)
 	const size = 21
-	nodes := []tree.Instance{{Name: "leader", Domain: "far", Data: true}, {Name: "voter", Domain: "far", Data: true}}
+	instances := []tree.Instance{{Name: "leader", Domain: "far", Data: true}, {Name: "voter", Domain: "far", Data: true}}
 	for i := range size {
-		nodes = append(nodes, tree.Instance{Name: fmt.Sprintf("i%02d", i), Domain: "hall"})
+		instances = append(instances, tree.Instance{Name: fmt.Sprintf("i%02d", i), Domain: "hall"})
 	}
 	children := map[string]int{}
-	for _, n := range nodes[2:] {
-		c := tree.Candidates(n, "leader", nodes, tree.DefaultFanOut)
+	for _, n := range instances[2:] {
+		c := tree.Candidates(n, "leader", instances, tree.DefaultFanOut)
 		g.Expect(c).NotTo(ContainElement(n.Name))
-		g.Expect(c).To(HaveLen(len(nodes) - 1))
+		g.Expect(c).To(HaveLen(len(instances) - 1))
 		children[c[0]]++
 	}
 	g.Expect(children["leader"]).To(Equal(1), "only the delegate of a domain asks the root")
 	for name, count := range children {
 		g.Expect(count).To(BeNumerically("<=", tree.DefaultFanOut), name)
 	}
-	g.Expect(tree.Candidates(nodes[2+20], "leader", nodes, tree.DefaultFanOut)[:4]).To(Equal([]string{"i04", "i00", "leader", "voter"}))
-	without := append(append([]tree.Instance{}, nodes[:6]...), nodes[7:]...) // i04 is gone
-	g.Expect(tree.Candidates(nodes[2+20], "leader", without, tree.DefaultFanOut)[0]).NotTo(Equal("i04"))
+	g.Expect(tree.Candidates(instances[2+20], "leader", instances, tree.DefaultFanOut)[:4]).To(Equal([]string{"i04", "i00", "leader", "voter"}))
+	without := append(append([]tree.Instance{}, instances[:6]...), instances[7:]...) // i04 is gone
+	g.Expect(tree.Candidates(instances[2+20], "leader", without, tree.DefaultFanOut)[0]).NotTo(Equal("i04"))
 }
--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -57,7 +57,7 @@
 	organisation string
 }
 
-// total is a total with the revision of its last change.
+// total counts requests, with the revision of its last change.
 type total struct {
 	requests, revision uint64
 }
