--- a/core/control/usage/model_test.go
+++ b/core/control/usage/model_test.go
@@ -19,8 +19,8 @@
 	modelMoves   = 1 // restores of a member from another one's snapshot
 )
 
-// member is the replica of one member. It has applied a prefix of the log, and may have been restored
-// from another member's snapshot.
+// member is the replica of one member. It has applied a prefix of the log, and may have been
+// restored from another member's snapshot.
 type member struct {
 	applied  int
 	snapshot string
--- a/core/quarantine/compare_test.go
+++ b/core/quarantine/compare_test.go
@@ -153,7 +153,7 @@
 }
 
 const (
-	playFor = 20 * time.Second
+	simulationTime = 20 * time.Second
 	// callerPause is a caller's pause before a retry, callerTries its number of attempts.
 	callerPause, callerTries = 100 * time.Millisecond, 2
 	edgeTries                = 2
@@ -161,7 +161,7 @@
 	trialAfter               = time.Second
 )
 
-func newWorld(seed uint64, w strategy, s scenario) *simulation {
+func newSimulation(seed uint64, w strategy, s scenario) *simulation {
 	x := &simulation{rng: rand.New(rand.NewPCG(seed, 35)), w: w, s: s, now: epoch, poisoned: map[quarantine.Fingerprint]bool{}, wrong: map[quarantine.Fingerprint]bool{}, trials: map[quarantine.Fingerprint]time.Time{}, tried: map[quarantine.Fingerprint]int{}}
 	for range s.upstreams {
 		x.lives++
@@ -218,7 +218,7 @@
 			x.every(1500*time.Millisecond, func() { x.crash(u) })
 		}
 	}
-	for len(x.queue) > 0 && x.queue[0].at.Before(epoch.Add(playFor)) {
+	for len(x.queue) > 0 && x.queue[0].at.Before(epoch.Add(simulationTime)) {
 		e := heap.Pop(&x.queue).(event)
 		x.now = e.at
 		e.do()
@@ -406,9 +406,9 @@
 // chosen is the index of the strategy that instances use.
 const chosen = 6
 
-func compareWay(w strategy, s scenario, seeds int) (sum outcome) {
+func runStrategy(w strategy, s scenario, seeds int) (sum outcome) {
 	for seed := range uint64(seeds) {
-		o := newWorld(seed, w, s).play()
+		o := newSimulation(seed, w, s).play()
 		sum.crashes += o.crashes
 		sum.late = max(sum.late, o.late)
 		sum.innocent += o.innocent
@@ -430,7 +430,7 @@
 			if i != chosen && !*compareAll {
 				continue
 			}
-			o := compareWay(w, s, seeds)
+			o := runStrategy(w, s, seeds)
 			const part = 1.0 / seeds
 			t.Logf("  %-36s crashes %6.1f, repeats late (worst) %3d, innocent %5.2f, refused %5.2f, served %.4f", w.name, part*float64(o.crashes), o.late,
 				part*float64(o.innocent), part*float64(o.refused), float64(o.served)/float64(o.sent))
--- a/core/raft/explore_test.go
+++ b/core/raft/explore_test.go
@@ -27,7 +27,7 @@
 		for range 4000 {
 			s.injectFault()
 			s.step()
-			if len(s.bad) > 0 {
+			if len(s.violations) > 0 {
 				break
 			}
 		}
@@ -35,8 +35,8 @@
 		recovered := s.propose("last")
 		s.stepUntil(500, func() bool { return s.converged() })
 		s.checkLogs()
-		if len(s.bad) > 0 {
-			t.Fatalf("seed %d: %s", seed, strings.Join(s.bad, "\n"))
+		if len(s.violations) > 0 {
+			t.Fatalf("seed %d: %s", seed, strings.Join(s.violations, "\n"))
 		}
 		if !recovered || !s.converged() {
 			t.Fatalf("seed %d: the group did not recover: %s", seed, s.describe())
--- a/core/raft/sim_test.go
+++ b/core/raft/sim_test.go
@@ -47,26 +47,26 @@
 // sim simulates a group of members under faults and checks it with full knowledge of all
 // members. Violated checks are recorded in violations.
 type sim struct {
-	rnd      *rand.Rand
-	now      time.Time
-	hosts    map[raft.MemberID]*host
-	order    []raft.MemberID
-	net      []packet
-	cuts     map[[2]raft.MemberID]bool
-	drop     float64
-	nextID   raft.MemberID
-	leaders  map[uint64]raft.MemberID
-	commits  map[uint64]raft.Entry
-	seenAt   map[uint64]uint64 // index -> lowest term in which its commit was seen
-	states   map[uint64]uint64 // index -> digest after it
-	top      uint64
-	reads    map[uint64]expectedRead
-	served   int
-	context  uint64
-	bad      []string
-	founders raft.Members
-	crash    float64 // probability of a crash at each step of processing a Ready
-	compact  float64
+	rnd        *rand.Rand
+	now        time.Time
+	hosts      map[raft.MemberID]*host
+	order      []raft.MemberID
+	net        []packet
+	cuts       map[[2]raft.MemberID]bool
+	drop       float64
+	nextID     raft.MemberID
+	leaders    map[uint64]raft.MemberID
+	commits    map[uint64]raft.Entry
+	seenAt     map[uint64]uint64 // index -> lowest term in which its commit was seen
+	states     map[uint64]uint64 // index -> digest after it
+	top        uint64
+	reads      map[uint64]expectedRead
+	served     int
+	context    uint64
+	violations []string
+	founders   raft.Members
+	crash      float64 // probability of a crash at each step of processing a Ready
+	compact    float64
 }
 
 func newSim(seed int64, voters int) *sim {
@@ -93,7 +93,9 @@
 	return h
 }
 
-func (s *sim) fail(format string, args ...any) { s.bad = append(s.bad, fmt.Sprintf(format, args...)) }
+func (s *sim) fail(format string, args ...any) {
+	s.violations = append(s.violations, fmt.Sprintf(format, args...))
+}
 
 // clock returns a host's own clock, whose rate is up to 3% fast or slow.
 func (s *sim) clock(h *host) time.Time {
@@ -266,7 +268,7 @@
 
 func (s *sim) stepUntil(limit int, ok func() bool) bool {
 	for range limit {
-		if len(s.bad) > 0 {
+		if len(s.violations) > 0 {
 			return false
 		}
 		if ok() {
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -118,7 +118,8 @@
 	Prices           map[string]float64 `codec:"d"`
 }
 
-// Organisation holds the keys of an organisation and the priority of its requests; 0 is the highest.
+// Organisation holds the keys of an organisation and the priority of its requests, of which 0 is
+// the highest.
 type Organisation struct {
 	Name     string      `codec:"n"`
 	Keys     []KeyDigest `codec:"k"`
--- a/core/timebase/timebase_test.go
+++ b/core/timebase/timebase_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// Four of six wall clocks jump by seconds and back later: the agreed time continues by the
+// Four of six wall clocks jump by three seconds for eight: the agreed time continues by the
 // steady clocks.
 func TestStepsOfMostClocksForSecondsDoNotShow(t *testing.T) {
 	g := NewWithT(t)
