--- a/core/quarantine/judge.go
+++ b/core/quarantine/judge.go
@@ -54,7 +54,7 @@
 // ToQuarantine returns the requests to quarantine, those with the most crashes first. The
 // crashes of a request in the result count as explained, so that other requests are evaluated
 // by the remaining crashes. Requests that were in flight at the same crashes cannot be told
-// apart; a decision on them needs one crash more.
+// apart; they are quarantined together, and only after one crash more.
 func (l *Ledger) ToQuarantine(now time.Time) (verdict []Fingerprint) {
 	until := now.Add(-l.policy.SettleDelay)
 	deferred := map[Fingerprint]bool{}
@@ -83,9 +83,9 @@
 }
 
 // mostCrashes returns the request with the most crashes among those that are not deferred.
-func mostCrashes(counts map[Fingerprint]int, held map[Fingerprint]bool) (best Fingerprint, most int) {
+func mostCrashes(counts map[Fingerprint]int, deferred map[Fingerprint]bool) (best Fingerprint, most int) {
 	for f, n := range counts {
-		if !held[f] && (n > most || n == most && compare(f, best) < 0) {
+		if !deferred[f] && (n > most || n == most && compare(f, best) < 0) {
 			best, most = f, n
 		}
 	}
--- a/core/usage/usage.go
+++ b/core/usage/usage.go
@@ -57,18 +57,18 @@
 	organisation string
 }
 
-// total is a total with the revision of its last change.
+// total counts requests, with the revision of its last change.
 type total struct {
 	requests, revision uint64
 }
 
-// maxRetention is for how many windows an instance keeps its counts. An instance that is cut off
-// reports all of them once it is connected again.
-const maxRetention = 120
+// maxRetentionWindows is the number of windows for which an instance keeps its counts. An
+// instance that is cut off reports all of them once it is connected again.
+const maxRetentionWindows = 120
 
-// ackedRetention is for how many windows acknowledged counts are kept. The member that
-// acknowledged them may be lost before they are committed; another member then gets all.
-const ackedRetention = 6
+// ackedRetentionWindows is the number of windows for which acknowledged counts are kept. The
+// member that acknowledged them may be lost before they are committed; another member then gets all.
+const ackedRetentionWindows = 6
 
 // Counter counts the requests at one instance. It is not safe for concurrent use.
 type Counter struct {
@@ -76,7 +76,8 @@
 	span     time.Duration
 	totals   map[key]*total
 	revision uint64
-	// acked is the latest revision that the member ackedBy has acknowledged, in ackedWindow.
+	// acked is the latest revision that was acknowledged, ackedBy the member that did so, and
+	// ackedWindow the window that was in progress in the acknowledged report.
 	acked       uint64
 	ackedBy     string
 	ackedWindow int64
@@ -132,7 +133,7 @@
 
 func (c *Counter) forget(current int64) {
 	for k, t := range c.totals {
-		if k.window < current-maxRetention || k.window < current-ackedRetention && t.revision <= c.acked {
+		if k.window < current-maxRetentionWindows || k.window < current-ackedRetentionWindows && t.revision <= c.acked {
 			delete(c.totals, k)
 		}
 	}
