--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -190,7 +190,7 @@
 		b, observed := u.describe(now)
 		if others := f.others[u.begun]; fresh {
 			b.Active += others.Active
-			b.QueuedTokens += others.Reading
+			b.QueuedTokens += others.QueuedTokens
 			b.UsedTokens += others.Held
 			observed.Add(f.observedByOthers[u.begun])
 		}
--- a/instance/serving/work.go
+++ b/instance/serving/work.go
@@ -14,9 +14,9 @@
 	// ID is empty: Begun names the upstream. It keeps its place for instances of another
 	// version.
 	ID string
-	// Active counts requests, Reading the prompt tokens that wait to be read for them,
+	// Active counts requests, QueuedTokens the prompt tokens that wait to be read for them,
 	// Held those that they hold in memory.
-	Active, Reading, Held int
+	Active, QueuedTokens, Held int
 	// Begun names the incarnation, by the log index at which it was first heard of: a third
 	// of the bytes of its ID, several times a second to each instance.
 	Begun uint64
@@ -24,7 +24,7 @@
 
 func (l *Load) add(o *Load, sign int) {
 	l.Active = max(0, l.Active+sign*o.Active)
-	l.Reading = max(0, l.Reading+sign*o.Reading)
+	l.QueuedTokens = max(0, l.QueuedTokens+sign*o.QueuedTokens)
 	l.Held = max(0, l.Held+sign*o.Held)
 }
 
@@ -146,7 +146,7 @@
 // work returns the sum, without what is nothing.
 func (s sum) work() (w Work) {
 	for _, l := range s.loads {
-		if l.Active+l.Reading+l.Held > 0 {
+		if l.Active+l.QueuedTokens+l.Held > 0 {
 			w.Loads = append(w.Loads, *l)
 		}
 	}
