--- a/instance/relay/admit_test.go
+++ b/instance/relay/admit_test.go
@@ -25,7 +25,7 @@
 	b := start(t, up)
 	b.engines()
 	const reading = 60_000 // tokens: 1.2 s at the pace that is taken at first
-	b.service.TakeReport(&serving.Report{Work: serving.Work{Loads: []serving.Load{{Begun: up.begun(), Active: 4, QueuedTokens: reading, Held: reading}}}})
+	b.service.TakeReport(&serving.Report{Work: serving.Work{Loads: []serving.Load{{Begun: up.begun(), Active: 4, QueuedTokens: reading, UsedTokens: reading}}}})
 	c := b.caller()
 	c.send(prompt("last", "1"))
 	r := c.receive()
--- a/instance/relay/exchange.go
+++ b/instance/relay/exchange.go
@@ -107,7 +107,7 @@
 	now := time.Now()
 	for _, u := range f.upstreams {
 		if u.active > 0 {
-			r.Work.Loads = append(r.Work.Loads, servingsvc.Load{Begun: u.begun, Active: u.active, QueuedTokens: u.reading, Held: u.held})
+			r.Work.Loads = append(r.Work.Loads, servingsvc.Load{Begun: u.begun, Active: u.active, QueuedTokens: u.reading, UsedTokens: u.held})
 		}
 	}
 	if now.Sub(f.toldAt) >= servingsvc.ObserveEvery {
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -191,7 +191,7 @@
 		if others := f.others[u.begun]; fresh {
 			b.Active += others.Active
 			b.QueuedTokens += others.QueuedTokens
-			b.UsedTokens += others.Held
+			b.UsedTokens += others.UsedTokens
 			observed.Add(f.observedByOthers[u.begun])
 		}
 		b.Capacity, b.LimitShare = r.capacity, f.takes(r, u)
--- a/instance/relay/load_test.go
+++ b/instance/relay/load_test.go
@@ -230,7 +230,7 @@
 				loads[l.Begun] = &servingsvc.Load{Begun: l.Begun}
 			}
 			sum := loads[l.Begun]
-			sum.Active, sum.QueuedTokens, sum.Held = sum.Active+l.Active, sum.QueuedTokens+l.QueuedTokens, sum.Held+l.Held
+			sum.Active, sum.QueuedTokens, sum.UsedTokens = sum.Active+l.Active, sum.QueuedTokens+l.QueuedTokens, sum.UsedTokens+l.UsedTokens
 		}
 		for _, l := range r.Work.Routes {
 			if routes[l.Route] == nil {
--- a/instance/serving/work.go
+++ b/instance/serving/work.go
@@ -15,8 +15,8 @@
 	// version.
 	ID string
 	// Active counts requests, QueuedTokens the prompt tokens that wait to be read for them,
-	// Held those that they hold in memory.
-	Active, QueuedTokens, Held int
+	// UsedTokens those that they hold in memory.
+	Active, QueuedTokens, UsedTokens int
 	// Begun names the incarnation, by the log index at which it was first heard of: a third
 	// of the bytes of its ID, several times a second to each instance.
 	Begun uint64
@@ -25,7 +25,7 @@
 func (l *Load) add(o *Load, sign int) {
 	l.Active = max(0, l.Active+sign*o.Active)
 	l.QueuedTokens = max(0, l.QueuedTokens+sign*o.QueuedTokens)
-	l.Held = max(0, l.Held+sign*o.Held)
+	l.UsedTokens = max(0, l.UsedTokens+sign*o.UsedTokens)
 }
 
 // RouteLoad is what one instance, or several, see of a route's requests to a service: the
@@ -146,7 +146,7 @@
 // work returns the sum, without what is nothing.
 func (s sum) work() (w Work) {
 	for _, l := range s.loads {
-		if l.Active+l.QueuedTokens+l.Held > 0 {
+		if l.Active+l.QueuedTokens+l.UsedTokens > 0 {
 			w.Loads = append(w.Loads, *l)
 		}
 	}
