--- a/instance/relay/admit_test.go
+++ b/instance/relay/admit_test.go
@@ -25,7 +25,7 @@
 	b := start(t, up)
 	b.engines()
 	const reading = 60_000 // tokens: 1.2 s at the pace that is taken at first
-	b.service.TakeReport(&serving.Report{Work: serving.Work{Loads: []serving.Load{{Begun: up.begun(), Active: 4, QueuedTokens: reading, UsedTokens: reading}}}})
+	b.service.TakeReport(&serving.Report{Work: serving.Work{Loads: []serving.Load{{FirstIndex: up.begun(), Active: 4, QueuedTokens: reading, UsedTokens: reading}}}})
 	c := b.caller()
 	c.send(prompt("last", "1"))
 	r := c.receive()
@@ -57,7 +57,7 @@
 	}
 	home := ask("first")
 	time.Sleep(1600 * time.Millisecond)
-	b.service.TakeReport(&serving.Report{Work: serving.Work{Loads: []serving.Load{{Begun: home.begun(), Active: 4, QueuedTokens: 100_000}}}})
+	b.service.TakeReport(&serving.Report{Work: serving.Work{Loads: []serving.Load{{FirstIndex: home.begun(), Active: 4, QueuedTokens: 100_000}}}})
 	other := ask("second")
 	Expect(other).NotTo(BeIdenticalTo(home))
 	Expect(other.requests()[0].header.Get("X-Fetch")).To(Equal(home.listener.Addr().String()))
--- a/instance/relay/exchange.go
+++ b/instance/relay/exchange.go
@@ -22,7 +22,7 @@
 	defer f.mu.Unlock()
 	clear(f.others)
 	for _, l := range r.Work.Loads {
-		f.others[l.Begun] = l
+		f.others[l.FirstIndex] = l
 	}
 	routes := map[string]map[string]balance.RouteLoad{}
 	for i := range r.Work.Routes {
@@ -107,7 +107,7 @@
 	now := time.Now()
 	for _, u := range f.upstreams {
 		if u.active > 0 {
-			r.Work.Loads = append(r.Work.Loads, servingsvc.Load{Begun: u.begun, Active: u.active, QueuedTokens: u.reading, UsedTokens: u.held})
+			r.Work.Loads = append(r.Work.Loads, servingsvc.Load{FirstIndex: u.begun, Active: u.active, QueuedTokens: u.reading, UsedTokens: u.held})
 		}
 	}
 	if now.Sub(f.toldAt) >= servingsvc.ObserveEvery {
--- a/instance/relay/load_test.go
+++ b/instance/relay/load_test.go
@@ -226,10 +226,10 @@
 		r := s.fleet.report()
 		s.fleet.placed = placed
 		for _, l := range r.Work.Loads {
-			if loads[l.Begun] == nil {
-				loads[l.Begun] = &servingsvc.Load{Begun: l.Begun}
+			if loads[l.FirstIndex] == nil {
+				loads[l.FirstIndex] = &servingsvc.Load{FirstIndex: l.FirstIndex}
 			}
-			sum := loads[l.Begun]
+			sum := loads[l.FirstIndex]
 			sum.Active, sum.QueuedTokens, sum.UsedTokens = sum.Active+l.Active, sum.QueuedTokens+l.QueuedTokens, sum.UsedTokens+l.UsedTokens
 		}
 		for _, l := range r.Work.Routes {
--- a/instance/serving/loads_bench_test.go
+++ b/instance/serving/loads_bench_test.go
@@ -18,7 +18,7 @@
 		for i := range instances {
 			var w Work
 			for k := range each {
-				w.Loads = append(w.Loads, Load{Begun: uint64((from + i*each + k) % upstreams), Active: 1, QueuedTokens: 900, UsedTokens: 17000})
+				w.Loads = append(w.Loads, Load{FirstIndex: uint64((from + i*each + k) % upstreams), Active: 1, QueuedTokens: 900, UsedTokens: 17000})
 			}
 			w.Routes = append(w.Routes, RouteLoad{Service: "svc", Route: "r-one", Tokens: 100_000, Requests: 6000})
 			reports[fmt.Sprint(i)] = loadReport{at: clock.Now(), work: w}
--- a/instance/serving/loads_test.go
+++ b/instance/serving/loads_test.go
@@ -11,7 +11,7 @@
 
 func work(active int) Work {
 	return Work{
-		Loads:  []Load{{Begun: 7, Active: active, QueuedTokens: 10 * active, UsedTokens: 100 * active}},
+		Loads:  []Load{{FirstIndex: 7, Active: active, QueuedTokens: 10 * active, UsedTokens: 100 * active}},
 		Routes: []RouteLoad{{Service: "s", Route: "r", Tokens: active, Requests: active, Gap: 250, Rank: 100, RecentCached: active}},
 	}
 }
--- a/instance/serving/work.go
+++ b/instance/serving/work.go
@@ -17,9 +17,9 @@
 	// Active counts requests, QueuedTokens the prompt tokens that wait to be read for them,
 	// UsedTokens those that they hold in memory.
 	Active, QueuedTokens, UsedTokens int
-	// Begun names the incarnation, by the log index at which it was first heard of: a third
+	// FirstIndex names the incarnation, by the log index at which it was first heard of: a third
 	// of the bytes of its ID, several times a second to each instance.
-	Begun uint64
+	FirstIndex uint64
 }
 
 func (l *Load) add(o *Load, sign int) {
@@ -117,10 +117,10 @@
 func (s sum) add(w *Work, sign int) {
 	for i := range w.Loads {
 		l := &w.Loads[i]
-		if s.loads[l.Begun] == nil {
-			s.loads[l.Begun] = &Load{Begun: l.Begun}
+		if s.loads[l.FirstIndex] == nil {
+			s.loads[l.FirstIndex] = &Load{FirstIndex: l.FirstIndex}
 		}
-		s.loads[l.Begun].add(l, sign)
+		s.loads[l.FirstIndex].add(l, sign)
 	}
 	for i := range w.Routes {
 		l := &w.Routes[i]
