--- a/instance/relay/load_test.go
+++ b/instance/relay/load_test.go
@@ -237,7 +237,7 @@
 				routes[l.Route] = &servingsvc.RouteLoad{Service: l.Service, Route: l.Route, Gap: l.Gap, Rank: l.Rank}
 			}
 			sum := routes[l.Route]
-			sum.Tokens, sum.Unread, sum.Requests = sum.Tokens+l.Tokens, sum.Unread+l.Unread, sum.Requests+l.Requests
+			sum.Tokens, sum.UncachedTokens, sum.Requests = sum.Tokens+l.Tokens, sum.UncachedTokens+l.UncachedTokens, sum.Requests+l.Requests
 			sum.Recent, sum.SlotTime, sum.RecentSlots = sum.Recent+l.Recent, sum.SlotTime+l.SlotTime, sum.RecentSlots+l.RecentSlots
 			sum.RecentCached += l.RecentCached
 		}
--- a/instance/serving/limits_test.go
+++ b/instance/serving/limits_test.go
@@ -45,7 +45,7 @@
 	for _, id := range []string{"a", "b"} {
 		g.Expect(g.nodes["m0"].serving.Announce(t.Context(), state.Upstream{ID: id, Service: "s", Domain: "north", Address: id + ":1", Slots: 4, Sequence: 1, State: state.Ready})).To(Succeed())
 	}
-	load := serving.RouteLoad{Service: "s", Route: "r", Tokens: 60_000, Unread: 60_000, Requests: 60_000, Recent: 60_000, PerMS: 5000}
+	load := serving.RouteLoad{Service: "s", Route: "r", Tokens: 60_000, UncachedTokens: 60_000, Requests: 60_000, Recent: 60_000, PerMS: 5000}
 	need := func(told ...ratelimit.Statement) float64 {
 		report := serving.Report{Limits: told}
 		report.Work.Routes = []serving.RouteLoad{load}
--- a/instance/serving/work.go
+++ b/instance/serving/work.go
@@ -33,8 +33,8 @@
 type RouteLoad struct {
 	wire.Array
 	Service, Route string
-	// Tokens, Unread and Recent are prompt tokens, Requests thousandths of one.
-	Tokens, Unread, Requests, Recent int
+	// Tokens, UncachedTokens and Recent are prompt tokens, Requests thousandths of one.
+	Tokens, UncachedTokens, Requests, Recent int
 	// SlotTime and RecentSlots are in milliseconds.
 	SlotTime, RecentSlots int
 	// Gap is in milliseconds, Rank in hundredths; they are the route's, not added up.
@@ -57,7 +57,7 @@
 // RouteLoadOf returns a load in the form in which it travels.
 func RouteLoadOf(service, route string, l *balance.RouteLoad, perMS float64) RouteLoad {
 	return RouteLoad{
-		Service: service, Route: route, Tokens: int(l.Tokens), Unread: int(l.UncachedTokens), Requests: int(l.Requests * requestUnit), Recent: int(l.Recent),
+		Service: service, Route: route, Tokens: int(l.Tokens), UncachedTokens: int(l.UncachedTokens), Requests: int(l.Requests * requestUnit), Recent: int(l.Recent),
 		SlotTime: int(l.SlotTime * millis), RecentSlots: int(l.RecentSlots * millis),
 		RecentCached: int(l.RecentCached), Gap: int(l.MaxPause.Milliseconds()), Rank: int(l.Rank * hundredths), PerMS: int(perMS * hundredths),
 	}
@@ -66,7 +66,7 @@
 // Load returns the load that was told.
 func (l *RouteLoad) Load() balance.RouteLoad {
 	return balance.RouteLoad{
-		Tokens: float64(l.Tokens), UncachedTokens: float64(l.Unread), Requests: float64(l.Requests) / requestUnit, Recent: float64(l.Recent),
+		Tokens: float64(l.Tokens), UncachedTokens: float64(l.UncachedTokens), Requests: float64(l.Requests) / requestUnit, Recent: float64(l.Recent),
 		SlotTime: float64(l.SlotTime) / millis, RecentSlots: float64(l.RecentSlots) / millis,
 		RecentCached: float64(l.RecentCached), MaxPause: time.Duration(l.Gap) * time.Millisecond, Rank: float64(l.Rank) / hundredths,
 	}
@@ -77,7 +77,7 @@
 		l.PerMS = (l.PerMS*l.Requests + o.PerMS*o.Requests) / all
 	}
 	l.Tokens = max(0, l.Tokens+sign*o.Tokens)
-	l.Unread = max(0, l.Unread+sign*o.Unread)
+	l.UncachedTokens = max(0, l.UncachedTokens+sign*o.UncachedTokens)
 	l.Requests = max(0, l.Requests+sign*o.Requests)
 	l.Recent = max(0, l.Recent+sign*o.Recent)
 	l.SlotTime = max(0, l.SlotTime+sign*o.SlotTime)
