--- a/instance/relay/load_test.go
+++ b/instance/relay/load_test.go
@@ -234,7 +234,7 @@
 		}
 		for _, l := range r.Work.Routes {
 			if routes[l.Route] == nil {
-				routes[l.Route] = &servingsvc.RouteLoad{Service: l.Service, Route: l.Route, Gap: l.Gap, Rank: l.Rank}
+				routes[l.Route] = &servingsvc.RouteLoad{Service: l.Service, Route: l.Route, MaxPause: l.MaxPause, Rank: l.Rank}
 			}
 			sum := routes[l.Route]
 			sum.Tokens, sum.UncachedTokens, sum.Requests = sum.Tokens+l.Tokens, sum.UncachedTokens+l.UncachedTokens, sum.Requests+l.Requests
--- a/instance/serving/loads_test.go
+++ b/instance/serving/loads_test.go
@@ -12,7 +12,7 @@
 func work(active int) Work {
 	return Work{
 		Loads:  []Load{{FirstIndex: 7, Active: active, QueuedTokens: 10 * active, UsedTokens: 100 * active}},
-		Routes: []RouteLoad{{Service: "s", Route: "r", Tokens: active, Requests: active, Gap: 250, Rank: 100, RecentCached: active}},
+		Routes: []RouteLoad{{Service: "s", Route: "r", Tokens: active, Requests: active, MaxPause: 250, Rank: 100, RecentCached: active}},
 	}
 }
 
--- a/instance/serving/work.go
+++ b/instance/serving/work.go
@@ -37,8 +37,8 @@
 	Tokens, UncachedTokens, Requests, Recent int
 	// SlotTime and RecentSlots are in milliseconds.
 	SlotTime, RecentSlots int
-	// Gap is in milliseconds, Rank in hundredths; they are the route's, not added up.
-	Gap, Rank int
+	// MaxPause is in milliseconds, Rank in hundredths; they are the route's, not added up.
+	MaxPause, Rank int
 	// RecentCached is the part of Recent for requests whose shared tokens are cached.
 	RecentCached int
 	// PerMS is how many prompt tokens an engine reads in a millisecond, in hundredths, as
@@ -59,7 +59,7 @@
 	return RouteLoad{
 		Service: service, Route: route, Tokens: int(l.Tokens), UncachedTokens: int(l.UncachedTokens), Requests: int(l.Requests * requestUnit), Recent: int(l.Recent),
 		SlotTime: int(l.SlotTime * millis), RecentSlots: int(l.RecentSlots * millis),
-		RecentCached: int(l.RecentCached), Gap: int(l.MaxPause.Milliseconds()), Rank: int(l.Rank * hundredths), PerMS: int(perMS * hundredths),
+		RecentCached: int(l.RecentCached), MaxPause: int(l.MaxPause.Milliseconds()), Rank: int(l.Rank * hundredths), PerMS: int(perMS * hundredths),
 	}
 }
 
@@ -68,7 +68,7 @@
 	return balance.RouteLoad{
 		Tokens: float64(l.Tokens), UncachedTokens: float64(l.UncachedTokens), Requests: float64(l.Requests) / requestUnit, Recent: float64(l.Recent),
 		SlotTime: float64(l.SlotTime) / millis, RecentSlots: float64(l.RecentSlots) / millis,
-		RecentCached: float64(l.RecentCached), MaxPause: time.Duration(l.Gap) * time.Millisecond, Rank: float64(l.Rank) / hundredths,
+		RecentCached: float64(l.RecentCached), MaxPause: time.Duration(l.MaxPause) * time.Millisecond, Rank: float64(l.Rank) / hundredths,
 	}
 }
 
@@ -83,7 +83,7 @@
 	l.SlotTime = max(0, l.SlotTime+sign*o.SlotTime)
 	l.RecentSlots = max(0, l.RecentSlots+sign*o.RecentSlots)
 	l.RecentCached = max(0, l.RecentCached+sign*o.RecentCached)
-	l.Gap, l.Rank = o.Gap, o.Rank
+	l.MaxPause, l.Rank = o.MaxPause, o.Rank
 }
 
 // Work is what one instance, or several, have under way and see coming.
