--- a/instance/relay/exchange.go
+++ b/instance/relay/exchange.go
@@ -70,7 +70,7 @@
 	o := u.observer.Sums(now)
 	u.mu.Unlock()
 	return servingsvc.Observation{
-		Begun: u.begun, Answers: int(o.Answers * answerUnit), Failures: int(o.Failures * answerUnit), Predicted: int(o.Predicted), Took: int(o.Took),
+		FirstIndex: u.begun, Answers: int(o.Answers * answerUnit), Failures: int(o.Failures * answerUnit), Predicted: int(o.Predicted), Took: int(o.Took),
 	}
 }
 
@@ -94,8 +94,8 @@
 	clear(f.observedByOthers)
 	for i := range list {
 		o := observedOf(&list[i])
-		o.Subtract(f.told[list[i].Begun])
-		f.observedByOthers[list[i].Begun] = o
+		o.Subtract(f.told[list[i].FirstIndex])
+		f.observedByOthers[list[i].FirstIndex] = o
 	}
 }
 
--- a/instance/relay/load_test.go
+++ b/instance/relay/load_test.go
@@ -212,10 +212,10 @@
 	for i, s := range services {
 		s.fleet.mu.Lock()
 		for _, o := range s.fleet.observations(time.Now()) {
-			if observed[o.Begun] == nil {
-				observed[o.Begun] = &servingsvc.Observation{Begun: o.Begun}
+			if observed[o.FirstIndex] == nil {
+				observed[o.FirstIndex] = &servingsvc.Observation{FirstIndex: o.FirstIndex}
 			}
-			sum := observed[o.Begun]
+			sum := observed[o.FirstIndex]
 			sum.Answers, sum.Failures, sum.Predicted, sum.Took = sum.Answers+o.Answers, sum.Failures+o.Failures, sum.Predicted+o.Predicted, sum.Took+o.Took
 		}
 		s.fleet.mu.Unlock()
--- a/instance/serving/observed.go
+++ b/instance/serving/observed.go
@@ -10,8 +10,8 @@
 // the fields of balance.Observed in whole numbers.
 type Observation struct {
 	wire.Array
-	// Begun names the incarnation, as in Load.
-	Begun uint64
+	// FirstIndex names the incarnation, as in Load.
+	FirstIndex uint64
 	// Answers and Failures are hundredths of an answer, Predicted and Took milliseconds.
 	Answers, Failures, Predicted, Took int
 }
@@ -73,10 +73,10 @@
 		}
 		for i := range r.list {
 			o := &r.list[i]
-			if total[o.Begun] == nil {
-				total[o.Begun] = &Observation{Begun: o.Begun}
+			if total[o.FirstIndex] == nil {
+				total[o.FirstIndex] = &Observation{FirstIndex: o.FirstIndex}
 			}
-			total[o.Begun].add(o)
+			total[o.FirstIndex].add(o)
 		}
 	}
 }
--- a/instance/serving/observed_test.go
+++ b/instance/serving/observed_test.go
@@ -17,12 +17,12 @@
 	bad, idle := uint64(7), uint64(8)
 	tell := func(from string) {
 		s.noteReport(from, &Report{Observes: true, Observed: []Observation{
-			{Begun: bad, Answers: 100, Failures: 100}, {Begun: idle, Answers: 100, Predicted: 50, Took: 60},
+			{FirstIndex: bad, Answers: 100, Failures: 100}, {FirstIndex: idle, Answers: 100, Predicted: 50, Took: 60},
 		}})
 	}
 	tell("a")
 	tell("b")
-	s.observed.members["m"] = observedReport{clock.Now(), []Observation{{Begun: bad, Answers: 200, Failures: 100}}}
+	s.observed.members["m"] = observedReport{clock.Now(), []Observation{{FirstIndex: bad, Answers: 200, Failures: 100}}}
 	s.noteReport("b", &Report{})
 
 	without, _ := s.summaryFor("a", 0, false)
@@ -31,6 +31,6 @@
 	all, err := told.Others(&Work{})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(all.Observes).To(BeTrue())
-	g.Expect(all.Observed).To(Equal([]Observation{{Begun: bad, Answers: 400, Failures: 300}}), "two answers of the idle one tell nothing")
+	g.Expect(all.Observed).To(Equal([]Observation{{FirstIndex: bad, Answers: 400, Failures: 300}}), "two answers of the idle one tell nothing")
 	g.Expect(s.observed.sum(clock.Now().Add(2*observedAge), true, 1)).To(BeEmpty(), "what nobody repeats fades")
 }
