--- a/instance/relay/exchange.go
+++ b/instance/relay/exchange.go
@@ -41,7 +41,7 @@
 	}
 	for _, p := range r.Placed {
 		// What was placed at an incarnation that has ended since is kept nowhere.
-		if u := f.byBegun[p.Begun]; u != nil {
+		if u := f.byBegun[p.FirstIndex]; u != nil {
 			u.kept.RecordAnnounced(f.othersAt, p.Prompt)
 		}
 	}
--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -169,7 +169,7 @@
 	}
 	u.begin(r, now)
 	if r.affinity != 0 && len(f.placed) < maxPlaced && u.kept.TryAnnounce(now, r.affinity) {
-		f.placed = append(f.placed, servingsvc.Placed{Prompt: r.affinity, Begun: u.begun})
+		f.placed = append(f.placed, servingsvc.Placed{Prompt: r.affinity, FirstIndex: u.begun})
 	}
 	return u, false
 }
--- a/instance/serving/loads.go
+++ b/instance/serving/loads.go
@@ -32,8 +32,8 @@
 type Placed struct {
 	wire.Array
 	Prompt uint64
-	// Begun names the incarnation, as in Load.
-	Begun uint64
+	// FirstIndex names the incarnation, as in Load.
+	FirstIndex uint64
 }
 
 // Report is what an instance tells of its work, or of that of all others.
--- a/instance/serving/loads_test.go
+++ b/instance/serving/loads_test.go
@@ -58,14 +58,14 @@
 		list, _ := l.since(number, but)
 		return list
 	}
-	l.add("a", []Placed{{Prompt: 1, Begun: 1}, {Prompt: 2, Begun: 2}})
-	l.add("b", []Placed{{Prompt: 3, Begun: 1}})
-	g.Expect(since(0, "a")).To(Equal([]Placed{{Prompt: 3, Begun: 1}}))
+	l.add("a", []Placed{{Prompt: 1, FirstIndex: 1}, {Prompt: 2, FirstIndex: 2}})
+	l.add("b", []Placed{{Prompt: 3, FirstIndex: 1}})
+	g.Expect(since(0, "a")).To(Equal([]Placed{{Prompt: 3, FirstIndex: 1}}))
 	g.Expect(since(0, "c")).To(HaveLen(3))
 	g.Expect(since(l.next, "c")).To(BeEmpty())
 	g.Expect(since(l.next+99, "c")).To(BeEmpty(), "a number of another member's log")
 	for range 3 * maxPlaced {
-		l.add("a", []Placed{{Prompt: 9, Begun: 3}})
+		l.add("a", []Placed{{Prompt: 9, FirstIndex: 3}})
 	}
 	g.Expect(len(l.notes)).To(BeNumerically("<=", 2*maxPlaced))
 	g.Expect(since(1, "c")).To(HaveLen(maxPlacedAnswer))
@@ -79,7 +79,7 @@
 	var l placedLog
 	const held = 3*maxPlacedAnswer + 10
 	for i := range held {
-		l.add("a", []Placed{{Prompt: uint64(i), Begun: 3}})
+		l.add("a", []Placed{{Prompt: uint64(i), FirstIndex: 3}})
 	}
 	told, next := 0, uint64(0)
 	for range 4 {
