--- a/instance/relay/fleet.go
+++ b/instance/relay/fleet.go
@@ -42,7 +42,7 @@
 	observedByOthers, told map[uint64]balance.Observed
 	toldAt                 time.Time
 	// placed lists the prompts that were sent to upstreams since the last report.
-	placed []servingsvc.Placed
+	placed []servingsvc.PromptPlacement
 	// limits are those that upstreams name, nil where they name none; queue counts who waits
 	// for them.
 	limits Limits
@@ -169,7 +169,7 @@
 	}
 	u.begin(r, now)
 	if r.affinity != 0 && len(f.placed) < maxPlaced && u.kept.TryAnnounce(now, r.affinity) {
-		f.placed = append(f.placed, servingsvc.Placed{Prompt: r.affinity, FirstIndex: u.begun})
+		f.placed = append(f.placed, servingsvc.PromptPlacement{Prompt: r.affinity, FirstIndex: u.begun})
 	}
 	return u, false
 }
--- a/instance/serving/loads.go
+++ b/instance/serving/loads.go
@@ -27,9 +27,9 @@
 // each answer was most of a member's work with 300 instances and 3,000 upstreams.
 const totalFor = 50 * time.Millisecond
 
-// Placed says that the shared parts of a prompt, by their hash, were sent to an
+// PromptPlacement says that the shared parts of a prompt, by their hash, were sent to an
 // upstream, which keeps them from then on.
-type Placed struct {
+type PromptPlacement struct {
 	wire.Array
 	Prompt uint64
 	// FirstIndex names the incarnation, as in Load.
@@ -40,7 +40,7 @@
 type Report struct {
 	Work Work `codec:"w"`
 	// Placed lists what was placed since the last report.
-	Placed []Placed `codec:"p,omitempty"`
+	Placed []PromptPlacement `codec:"p,omitempty"`
 	// Busy says that upstreams have much to read, so that news of loads matter.
 	Busy bool `codec:"b,omitempty"`
 	// Observes says that Observed is told, and asked for in the answer.
@@ -55,8 +55,8 @@
 	// Total is the encoded Work of all, of the one that asks as well.
 	Total []byte `codec:"w,omitempty"`
 	// Placed lists what others placed since the last answer.
-	Placed []Placed `codec:"p,omitempty"`
-	Busy   bool     `codec:"b,omitempty"`
+	Placed []PromptPlacement `codec:"p,omitempty"`
+	Busy   bool              `codec:"b,omitempty"`
 	// Observes says that Observed is told: the encoded observations of all, of the one that
 	// asks as well.
 	Observes bool   `codec:"o,omitempty"`
@@ -92,7 +92,7 @@
 
 // placedNote is one Placed with who told it.
 type placedNote struct {
-	Placed
+	PromptPlacement
 	from string
 }
 
@@ -110,7 +110,7 @@
 	next  uint64
 }
 
-func (l *placedLog) add(from string, placed []Placed) {
+func (l *placedLog) add(from string, placed []PromptPlacement) {
 	for _, p := range placed {
 		l.notes = append(l.notes, placedNote{p, from})
 		l.next++
@@ -123,7 +123,7 @@
 // since returns notes from a number on that others than the given one told, the oldest
 // first, and the number from which on to go on. A number of another member's log is too
 // high or too low; then all that is held, or nothing, is new, and either is harmless.
-func (l *placedLog) since(number uint64, but string) (list []Placed, next uint64) {
+func (l *placedLog) since(number uint64, but string) (list []PromptPlacement, next uint64) {
 	first := l.next - uint64(len(l.notes))
 	from := min(max(number, first), l.next)
 	for i, n := range l.notes[from-first:] {
@@ -131,7 +131,7 @@
 			return list, from + uint64(i)
 		}
 		if n.from != but {
-			list = append(list, n.Placed)
+			list = append(list, n.PromptPlacement)
 		}
 	}
 	return list, l.next
--- a/instance/serving/loads_test.go
+++ b/instance/serving/loads_test.go
@@ -54,18 +54,18 @@
 func TestPlacedPromptsReachTheOthersOnce(t *testing.T) {
 	g := NewWithT(t)
 	var l placedLog
-	since := func(number uint64, but string) []Placed {
+	since := func(number uint64, but string) []PromptPlacement {
 		list, _ := l.since(number, but)
 		return list
 	}
-	l.add("a", []Placed{{Prompt: 1, FirstIndex: 1}, {Prompt: 2, FirstIndex: 2}})
-	l.add("b", []Placed{{Prompt: 3, FirstIndex: 1}})
-	g.Expect(since(0, "a")).To(Equal([]Placed{{Prompt: 3, FirstIndex: 1}}))
+	l.add("a", []PromptPlacement{{Prompt: 1, FirstIndex: 1}, {Prompt: 2, FirstIndex: 2}})
+	l.add("b", []PromptPlacement{{Prompt: 3, FirstIndex: 1}})
+	g.Expect(since(0, "a")).To(Equal([]PromptPlacement{{Prompt: 3, FirstIndex: 1}}))
 	g.Expect(since(0, "c")).To(HaveLen(3))
 	g.Expect(since(l.next, "c")).To(BeEmpty())
 	g.Expect(since(l.next+99, "c")).To(BeEmpty(), "a number of another member's log")
 	for range 3 * maxPlaced {
-		l.add("a", []Placed{{Prompt: 9, FirstIndex: 3}})
+		l.add("a", []PromptPlacement{{Prompt: 9, FirstIndex: 3}})
 	}
 	g.Expect(len(l.notes)).To(BeNumerically("<=", 2*maxPlaced))
 	g.Expect(since(1, "c")).To(HaveLen(maxPlacedAnswer))
@@ -79,11 +79,11 @@
 	var l placedLog
 	const held = 3*maxPlacedAnswer + 10
 	for i := range held {
-		l.add("a", []Placed{{Prompt: uint64(i), FirstIndex: 3}})
+		l.add("a", []PromptPlacement{{Prompt: uint64(i), FirstIndex: 3}})
 	}
 	told, next := 0, uint64(0)
 	for range 4 {
-		var list []Placed
+		var list []PromptPlacement
 		list, next = l.since(next, "c")
 		told += len(list)
 	}
--- a/instance/serving/serving.go
+++ b/instance/serving/serving.go
@@ -83,7 +83,7 @@
 	observedAt, observedSent time.Time
 	limits                   limitBook
 	// unsent are the notes that the other members were not told yet.
-	unsent []Placed
+	unsent []PromptPlacement
 	// table is the table in force.
 	table tableCache
 	// leads is since when this member leads, zero while it does not.
