--- a/instance/follow/follow.go
+++ b/instance/follow/follow.go
@@ -256,7 +256,7 @@
 // ask puts one question and reports whether the member is one to stay with.
 func (f *Follower) ask(ctx context.Context, name string) bool {
 	view := f.view.Load()
-	q := servingsvc.Question{Index: view.Index, Forwards: true, Quarantine: view.Quarantine.index()}
+	q := servingsvc.WatchRequest{Index: view.Index, Forwards: true, Quarantine: view.Quarantine.index()}
 	if f.cfg.Report != nil {
 		q.Report = f.cfg.Report()
 	}
@@ -294,7 +294,7 @@
 }
 
 // meter puts what was counted here into a question.
-func (f *Follower) meter(q *servingsvc.Question, member string) (revision uint64) {
+func (f *Follower) meter(q *servingsvc.WatchRequest, member string) (revision uint64) {
 	if f.cfg.Meter == nil {
 		return 0
 	}
@@ -310,7 +310,7 @@
 
 // metered notes that a member has taken in what was counted here, and takes in its agreed
 // time.
-func (f *Follower) metered(q *servingsvc.Question, a *servingsvc.Answer, revision uint64, member string, sent time.Time) {
+func (f *Follower) metered(q *servingsvc.WatchRequest, a *servingsvc.Answer, revision uint64, member string, sent time.Time) {
 	if f.cfg.Meter == nil {
 		return
 	}
--- a/instance/serving/changes_test.go
+++ b/instance/serving/changes_test.go
@@ -13,7 +13,7 @@
 )
 
 // ask puts a question to a member and returns the answer, decoded.
-func (g *group) ask(at string, q serving.Question) serving.Answer {
+func (g *group) ask(at string, q serving.WatchRequest) serving.Answer {
 	g.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
@@ -45,16 +45,16 @@
 	}
 	var first serving.Answer
 	g.Eventually(func() int {
-		first = g.ask("m1", serving.Question{})
+		first = g.ask("m1", serving.WatchRequest{})
 		return len(first.Changes.Upstreams)
 	}).Should(Equal(many))
 	g.Expect(first.Encoded).NotTo(BeEmpty())
 	g.Expect(first.Changes.Table).NotTo(BeEmpty())
-	g.Expect(g.ask("m1", serving.Question{}).Changes).To(Equal(first.Changes))
+	g.Expect(g.ask("m1", serving.WatchRequest{}).Changes).To(Equal(first.Changes))
 
 	announce(many)
-	g.Eventually(func() int { return len(g.ask("m1", serving.Question{}).Changes.Upstreams) }).Should(Equal(many + 1))
-	g.Expect(g.ask("m1", serving.Question{Index: first.Changes.Index}).Changes.Upstreams).To(HaveLen(1))
+	g.Eventually(func() int { return len(g.ask("m1", serving.WatchRequest{}).Changes.Upstreams) }).Should(Equal(many + 1))
+	g.Expect(g.ask("m1", serving.WatchRequest{Index: first.Changes.Index}).Changes.Upstreams).To(HaveLen(1))
 }
 
 // Two hundred upstreams come at once, one log entry each. Told one by one, every instance
@@ -72,7 +72,7 @@
 	}()
 	known, answers, index := 0, 0, uint64(0)
 	for known < many && time.Since(begun) < patience {
-		a := g.ask("m0", serving.Question{Index: index, HoldMS: 200})
+		a := g.ask("m0", serving.WatchRequest{Index: index, HoldMS: 200})
 		known, index = known+len(a.Changes.Upstreams), a.Changes.Index
 		answers++
 	}
--- a/instance/serving/limits_test.go
+++ b/instance/serving/limits_test.go
@@ -14,7 +14,7 @@
 
 // limitsAt returns what an instance hears of limits from a member.
 func (g *group) limitsAt(name string, told ...ratelimit.Statement) []ratelimit.Statement {
-	return g.ask(name, serving.Question{Forwards: true, Report: serving.Report{Limits: told}}).Summary.Limits
+	return g.ask(name, serving.WatchRequest{Forwards: true, Report: serving.Report{Limits: told}}).Summary.Limits
 }
 
 // Guards against instances that are not told of an upstream's limit, since another instance, at
@@ -22,7 +22,7 @@
 func TestLimitsReachTheInstancesOfAllMembers(t *testing.T) {
 	g := newGroup(t, 3)
 	g.Expect(g.nodes["m0"].serving.Announce(t.Context(), state.Upstream{ID: "a", Service: "s", Address: "x:1", Slots: 4, Sequence: 1, State: state.Ready})).To(Succeed())
-	begun := g.ask("m0", serving.Question{}).Changes.Upstreams[0].FirstIndex
+	begun := g.ask("m0", serving.WatchRequest{}).Changes.Upstreams[0].FirstIndex
 	g.Expect(g.limitsAt("m1")).To(BeNil(), "without a limit nothing is told")
 	g.limitsAt("m0", ratelimit.Statement{Upstream: begun, PerSecond: 2.5})
 	g.Eventually(func() []ratelimit.Statement { return g.limitsAt("m1") }).Should(HaveLen(1))
@@ -49,11 +49,11 @@
 	need := func(told ...ratelimit.Statement) float64 {
 		report := serving.Report{Limits: told}
 		report.Work.Routes = []serving.RouteLoad{load}
-		g.ask("m0", serving.Question{Forwards: true, Report: report})
+		g.ask("m0", serving.WatchRequest{Forwards: true, Report: report})
 		return g.nodes["m0"].serving.Scalable()[0].Need
 	}
 	before := need()
-	begun := g.ask("m0", serving.Question{}).Changes.Upstreams[0].FirstIndex
+	begun := g.ask("m0", serving.WatchRequest{}).Changes.Upstreams[0].FirstIndex
 	after := need(ratelimit.Statement{Upstream: begun, PerSecond: 1})
 	g.Expect(after-before).To(BeNumerically("~", 0.9, 0.1), "one upstream takes a tenth or less of its like")
 }
--- a/instance/serving/metering.go
+++ b/instance/serving/metering.go
@@ -34,7 +34,7 @@
 }
 
 // take takes in what an instance told at a time of the steady clock.
-func (m *metering) take(from string, arrived time.Time, q *Question) {
+func (m *metering) take(from string, arrived time.Time, q *WatchRequest) {
 	if m == nil {
 		return
 	}
--- a/instance/serving/watch.go
+++ b/instance/serving/watch.go
@@ -29,8 +29,8 @@
 	newsBatch = 20 * time.Millisecond
 )
 
-// Question is what an instance that follows asks.
-type Question struct {
+// WatchRequest is what an instance that follows asks.
+type WatchRequest struct {
 	// Index is up to where it has the state; zero for nothing.
 	Index uint64 `codec:"n"`
 	// HoldMS is for how long the answer may wait for news, in milliseconds.
@@ -80,7 +80,7 @@
 // comes last, so that what it proves is as fresh as can be.
 func (s *Service) watch(ctx context.Context, from string, msg link.Message) (any, error) {
 	arrived := clock.Now()
-	var q Question
+	var q WatchRequest
 	if err := msg.Decode(&q); err != nil {
 		return nil, err
 	}
@@ -119,7 +119,7 @@
 	return list
 }
 
-func (s *Service) hold(ctx context.Context, g *consensus.Service, q *Question) {
+func (s *Service) hold(ctx context.Context, g *consensus.Service, q *WatchRequest) {
 	s.mu.Lock()
 	news := s.news
 	s.mu.Unlock()
