--- a/instance/follow/follow.go
+++ b/instance/follow/follow.go
@@ -269,7 +269,7 @@
 	ctx, cancel := context.WithTimeout(ctx, hold+f.cfg.Slack)
 	defer cancel()
 	sent := clock.Now()
-	var a servingsvc.Answer
+	var a servingsvc.WatchResponse
 	if err := f.cfg.Links.Call(ctx, name, servingsvc.ChannelWatch, q, &a); err != nil {
 		f.cfg.Log.Debug().Str("event", "watch_failed").Str("peer", name).Err(err).Msg("a member did not answer")
 		return false
@@ -310,7 +310,7 @@
 
 // metered notes that a member has taken in what was counted here, and takes in its agreed
 // time.
-func (f *Follower) metered(q *servingsvc.WatchRequest, a *servingsvc.Answer, revision uint64, member string, sent time.Time) {
+func (f *Follower) metered(q *servingsvc.WatchRequest, a *servingsvc.WatchResponse, revision uint64, member string, sent time.Time) {
 	if f.cfg.Meter == nil {
 		return
 	}
@@ -349,7 +349,7 @@
 
 // take brings in the changes. What is older than the view changes nothing: a view
 // never goes back.
-func (f *Follower) take(old *View, a *servingsvc.Answer) {
+func (f *Follower) take(old *View, a *servingsvc.WatchResponse) {
 	if len(a.Members) > 0 {
 		f.learnMembers(a.Members)
 	}
--- a/instance/follow/follow_test.go
+++ b/instance/follow/follow_test.go
@@ -26,7 +26,7 @@
 
 // member answers questions; a nil answer means that it doesn't.
 type member struct {
-	answer *servingsvc.Answer
+	answer *servingsvc.WatchResponse
 	delay  time.Duration
 }
 
@@ -44,20 +44,20 @@
 	case <-ctx.Done():
 		return fault.New(fault.OutcomeUnknown, "no answer")
 	}
-	*resp.(*servingsvc.Answer) = *m.answer
+	*resp.(*servingsvc.WatchResponse) = *m.answer
 	return nil
 }
 
-func (g *group) set(name string, a *servingsvc.Answer) {
+func (g *group) set(name string, a *servingsvc.WatchResponse) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.members[name] = &member{answer: a}
 }
 
-func answer(index, version uint64, confirmed bool, members ...string) *servingsvc.Answer {
+func answer(index, version uint64, confirmed bool, members ...string) *servingsvc.WatchResponse {
 	t := route.Table{Version: version}
 	b, _ := corecontrol.Marshal(&t)
-	return &servingsvc.Answer{Confirmed: confirmed, Members: members, Forwarders: 1,
+	return &servingsvc.WatchResponse{Confirmed: confirmed, Members: members, Forwarders: 1,
 		Changes: serving.Changes{Index: index, Version: version, Table: b, Full: true,
 			Upstreams: []serving.Upstream{{ID: "u", State: serving.Ready, Changed: index}}}}
 }
--- a/instance/serving/changes.go
+++ b/instance/serving/changes.go
@@ -20,7 +20,7 @@
 }
 
 // Decode decodes the changes if they came in encoded form.
-func (a *Answer) Decode() error {
+func (a *WatchResponse) Decode() error {
 	if len(a.Encoded) == 0 {
 		return nil
 	}
@@ -28,7 +28,7 @@
 }
 
 // changes puts the changes after an index into an answer.
-func (s *Service) changes(g *consensus.Service, since uint64, a *Answer) error {
+func (s *Service) changes(g *consensus.Service, since uint64, a *WatchResponse) error {
 	var index uint64
 	machine(g, func(m *serving.Machine) { index = m.Index() })
 	if a.Encoded = s.encodedSince(index, since); a.Encoded != nil {
--- a/instance/serving/changes_test.go
+++ b/instance/serving/changes_test.go
@@ -13,11 +13,11 @@
 )
 
 // ask puts a question to a member and returns the answer, decoded.
-func (g *group) ask(at string, q serving.WatchRequest) serving.Answer {
+func (g *group) ask(at string, q serving.WatchRequest) serving.WatchResponse {
 	g.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	var a serving.Answer
+	var a serving.WatchResponse
 	other := g.names[0]
 	if other == at {
 		other = g.names[1]
@@ -43,7 +43,7 @@
 	for i := range many {
 		announce(i)
 	}
-	var first serving.Answer
+	var first serving.WatchResponse
 	g.Eventually(func() int {
 		first = g.ask("m1", serving.WatchRequest{})
 		return len(first.Changes.Upstreams)
--- a/instance/serving/watch.go
+++ b/instance/serving/watch.go
@@ -51,8 +51,8 @@
 	Quarantine uint64 `codec:"q,omitempty"`
 }
 
-// Answer is what a member knows.
-type Answer struct {
+// WatchResponse is what a member knows.
+type WatchResponse struct {
 	Changes serving.Changes `codec:"c"`
 	// Encoded are the Changes in encoded form, in place of them, where many ask for the same.
 	Encoded []byte `codec:"e,omitempty"`
@@ -94,7 +94,7 @@
 		s.metering.take(from, arrived, &q)
 	}
 	s.hold(ctx, g, &q)
-	a := Answer{Domain: s.cfg.Domain, HeldMS: clock.Since(arrived).Milliseconds()}
+	a := WatchResponse{Domain: s.cfg.Domain, HeldMS: clock.Since(arrived).Milliseconds()}
 	confirm, cancel := context.WithTimeout(ctx, confirmTimeout)
 	_, err = g.Read(confirm)
 	cancel()
