--- a/instance/follow/follow.go
+++ b/instance/follow/follow.go
@@ -261,7 +261,7 @@
 		q.Report = f.cfg.Report()
 	}
 	hold := f.hold(&q.Report)
-	q.HoldMS = hold.Milliseconds()
+	q.MaxWaitMS = hold.Milliseconds()
 	if f.toldBy == name {
 		q.Told = f.told
 	}
--- a/instance/serving/changes_test.go
+++ b/instance/serving/changes_test.go
@@ -72,7 +72,7 @@
 	}()
 	known, answers, index := 0, 0, uint64(0)
 	for known < many && time.Since(begun) < patience {
-		a := g.ask("m0", serving.WatchRequest{Index: index, HoldMS: 200})
+		a := g.ask("m0", serving.WatchRequest{Index: index, MaxWaitMS: 200})
 		known, index = known+len(a.Changes.Upstreams), a.Changes.Index
 		answers++
 	}
--- a/instance/serving/watch.go
+++ b/instance/serving/watch.go
@@ -33,8 +33,8 @@
 type WatchRequest struct {
 	// Index is up to where it has the state; zero for nothing.
 	Index uint64 `codec:"n"`
-	// HoldMS is for how long the answer may wait for news, in milliseconds.
-	HoldMS int64 `codec:"h"`
+	// MaxWaitMS is for how long the answer may wait for news, in milliseconds.
+	MaxWaitMS int64 `codec:"h"`
 	// Forwards says that the instance forwards requests, so that it counts among
 	// those that share budgets.
 	Forwards bool `codec:"w"`
@@ -129,10 +129,10 @@
 	if behind && q.Index > 0 {
 		clock.Sleep(ctx, newsBatch)
 	}
-	if behind || q.HoldMS <= 0 {
+	if behind || q.MaxWaitMS <= 0 {
 		return
 	}
-	t := time.NewTimer(min(time.Duration(q.HoldMS)*time.Millisecond, maxHold))
+	t := time.NewTimer(min(time.Duration(q.MaxWaitMS)*time.Millisecond, maxHold))
 	defer t.Stop()
 	select {
 	case <-news:
