--- a/instance/follow/follow.go
+++ b/instance/follow/follow.go
@@ -286,7 +286,7 @@
 	if !a.Confirmed {
 		return false
 	}
-	at := sent.Add(time.Duration(a.HeldMS) * time.Millisecond)
+	at := sent.Add(time.Duration(a.WaitedMS) * time.Millisecond)
 	f.confirmed.Store(at.UnixNano())
 	f.until.Store(at.Add(f.cfg.Lease).UnixNano())
 	f.regained(name)
@@ -319,7 +319,7 @@
 	}
 	f.settled = a.Settled
 	if a.Agreed != 0 {
-		f.cfg.Meter.Observe(sent, clock.Now(), time.Duration(a.HeldMS)*time.Millisecond, time.Unix(0, a.Agreed))
+		f.cfg.Meter.Observe(sent, clock.Now(), time.Duration(a.WaitedMS)*time.Millisecond, time.Unix(0, a.Agreed))
 	}
 }
 
--- a/instance/serving/watch.go
+++ b/instance/serving/watch.go
@@ -59,7 +59,7 @@
 	// Confirmed says that a quorum has confirmed that nothing newer was committed,
 	// not earlier than HeldMS milliseconds after the question came.
 	Confirmed bool  `codec:"o"`
-	HeldMS    int64 `codec:"h"`
+	WaitedMS  int64 `codec:"h"`
 	// Domain is the failure domain of the member, Members the names of all.
 	Domain  string   `codec:"d"`
 	Members []string `codec:"m"`
@@ -94,7 +94,7 @@
 		s.metering.take(from, arrived, &q)
 	}
 	s.hold(ctx, g, &q)
-	a := WatchResponse{Domain: s.cfg.Domain, HeldMS: clock.Since(arrived).Milliseconds()}
+	a := WatchResponse{Domain: s.cfg.Domain, WaitedMS: clock.Since(arrived).Milliseconds()}
 	confirm, cancel := context.WithTimeout(ctx, confirmTimeout)
 	_, err = g.Read(confirm)
 	cancel()
