--- a/instance/follow/follow.go
+++ b/instance/follow/follow.go
@@ -263,7 +263,7 @@
 	hold := f.hold(&q.Report)
 	q.MaxWaitMS = hold.Milliseconds()
 	if f.toldBy == name {
-		q.Told = f.told
+		q.NextPlacement = f.told
 	}
 	revision := f.meter(&q, name)
 	ctx, cancel := context.WithTimeout(ctx, hold+f.cfg.Slack)
--- a/instance/serving/watch.go
+++ b/instance/serving/watch.go
@@ -40,8 +40,8 @@
 	Forwards bool `codec:"w"`
 	// Report is the work of the instance, and Told up to where it was told the others'
 	// by this member.
-	Report Report `codec:"r"`
-	Told   uint64 `codec:"t"`
+	Report        Report `codec:"r"`
+	NextPlacement uint64 `codec:"t"`
 	// Usage is what the instance has counted, where usage is reported, and Wall its time
 	// of day in nanoseconds since the Unix epoch, as long as the member's agreed time is
 	// not settled.
@@ -106,7 +106,7 @@
 	st := g.Status()
 	a.Members = names(st.Members)
 	a.Forwarders = s.forwarders()
-	a.Summary, a.Told = s.summaryFor(from, q.Told, q.Report.Observes)
+	a.Summary, a.Told = s.summaryFor(from, q.NextPlacement, q.Report.Observes)
 	a.Agreed, a.Settled = s.metering.agreed(clock.Now())
 	return a, nil
 }
