--- a/instance/follow/follow.go
+++ b/instance/follow/follow.go
@@ -281,7 +281,7 @@
 	f.metered(&q, &a, revision, name, sent)
 	f.domains[name] = a.Domain
 	f.take(view, &a)
-	f.told, f.toldBy, f.othersBusy = a.Told, name, a.Summary.Busy
+	f.told, f.toldBy, f.othersBusy = a.NextPlacement, name, a.Summary.Busy
 	f.tellOthers(&a.Summary, &q.Report.Work)
 	if !a.Confirmed {
 		return false
--- a/instance/serving/watch.go
+++ b/instance/serving/watch.go
@@ -66,8 +66,8 @@
 	// Forwarders is how many instances forward requests, as far as is known.
 	Forwarders int `codec:"f"`
 	// Summary is the work of all instances, and Told the number to ask from next.
-	Summary Summary `codec:"r"`
-	Told    uint64  `codec:"t"`
+	Summary       Summary `codec:"r"`
+	NextPlacement uint64  `codec:"t"`
 	// Agreed is the agreed time in nanoseconds since the Unix epoch; zero where nothing
 	// goes by it. Settled says that it will not be set any more.
 	Agreed  int64 `codec:"g,omitempty"`
@@ -106,7 +106,7 @@
 	st := g.Status()
 	a.Members = names(st.Members)
 	a.Forwarders = s.forwarders()
-	a.Summary, a.Told = s.summaryFor(from, q.NextPlacement, q.Report.Observes)
+	a.Summary, a.NextPlacement = s.summaryFor(from, q.NextPlacement, q.Report.Observes)
 	a.Agreed, a.Settled = s.metering.agreed(clock.Now())
 	return a, nil
 }
