--- a/instance/relay/exchange.go
+++ b/instance/relay/exchange.go
@@ -110,7 +110,7 @@
 			r.Work.Loads = append(r.Work.Loads, servingsvc.Load{FirstIndex: u.begun, Active: u.active, QueuedTokens: u.reading, UsedTokens: u.held})
 		}
 	}
-	if now.Sub(f.toldAt) >= servingsvc.ObserveEvery {
+	if now.Sub(f.toldAt) >= servingsvc.ObservationInterval {
 		r.Observes, r.Observed, f.toldAt = true, f.observations(now), now
 	}
 	for service, p := range f.pools {
--- a/instance/serving/loads.go
+++ b/instance/serving/loads.go
@@ -197,7 +197,7 @@
 		last = now
 		r := Report{Work: s.loads.sum(now, false), Placed: s.unsent, Busy: busy, Limits: s.limits.statements(now)}
 		s.unsent = nil
-		if now.Sub(s.observedSent) >= ObserveEvery {
+		if now.Sub(s.observedSent) >= ObservationInterval {
 			r.Observes, r.Observed, s.observedSent = true, s.observed.sum(now, false, 1), now
 		}
 		s.mu.Unlock()
@@ -278,7 +278,7 @@
 
 // encodeObserved needs mu. One encoded sum serves all who ask for a while.
 func (s *Service) encodeObserved(now time.Time) []byte {
-	if now.Sub(s.observedAt) < ObserveEvery/4 {
+	if now.Sub(s.observedAt) < ObservationInterval/4 {
 		return s.observedAll
 	}
 	s.observedAll, s.observedAt = nil, now
--- a/instance/serving/observed.go
+++ b/instance/serving/observed.go
@@ -24,10 +24,10 @@
 }
 
 const (
-	// ObserveEvery is the time between two exchanges of observations, which are sums over
+	// ObservationInterval is the time between two exchanges of observations, which are sums over
 	// some seconds. Told with each report of loads they made a member's bytes half as many
 	// again before 300 instances and 3,000 upstreams (1.9 to 3.0 MB a second).
-	ObserveEvery = time.Second
+	ObservationInterval = time.Second
 	// observedAge is for how long observations count without newer ones.
 	observedAge = 3 * time.Second
 	// leastTold is how many hundredths of an answer are worth telling all instances: fewer
