--- a/instance/serving/serving.go
+++ b/instance/serving/serving.go
@@ -33,9 +33,9 @@
 
 // Defaults of a Config.
 const (
-	// DefaultSilence is after what silence an upstream is told to be silent: some
+	// DefaultSilenceTimeout is after what silence an upstream is told to be silent: some
 	// three heartbeats.
-	DefaultSilence = 4500 * time.Millisecond
+	DefaultSilenceTimeout = 4500 * time.Millisecond
 	// DefaultTimeout bounds a change. Callers that get no answer try elsewhere.
 	DefaultTimeout = 3 * time.Second
 )
@@ -95,7 +95,7 @@
 // New returns a service that is not started; it registers its channels.
 func New(cfg Config) *Service {
 	if cfg.Silence <= 0 {
-		cfg.Silence = DefaultSilence
+		cfg.Silence = DefaultSilenceTimeout
 	}
 	if cfg.Timeout <= 0 {
 		cfg.Timeout = DefaultTimeout
