--- a/instance/roles/core.go
+++ b/instance/roles/core.go
@@ -89,7 +89,7 @@
 		}
 		s := &servingService{}
 		s.Service = serving.New(serving.Config{
-			Name: p.cfg.Peer, Domain: p.cfg.Domain, Links: links, Silence: p.cfg.Silence, Log: p.log, Replica: s.replica,
+			Name: p.cfg.Peer, Domain: p.cfg.Domain, Links: links, SilenceTimeout: p.cfg.Silence, Log: p.log, Replica: s.replica,
 			Usage: p.cfg.Duties.span() > 0,
 		})
 		return s, nil
--- a/instance/serving/digest.go
+++ b/instance/serving/digest.go
@@ -130,7 +130,7 @@
 		return
 	}
 	err := s.propose(ctx, &serving.Command{Silent: silent})
-	s.cfg.Log.Warn().Str("event", "upstreams_silent").Strs("upstreams", silent).Dur("after", s.cfg.Silence).
+	s.cfg.Log.Warn().Str("event", "upstreams_silent").Strs("upstreams", silent).Dur("after", s.cfg.SilenceTimeout).
 		Str("outcome", outcome(err)).Err(err).Msg("no member hears these upstreams")
 }
 
@@ -146,12 +146,12 @@
 			delete(s.heard, id)
 		}
 	}
-	if now.Sub(s.leads) < s.cfg.Silence {
+	if now.Sub(s.leads) < s.cfg.SilenceTimeout {
 		return nil
 	}
 	for i := range list {
 		u := &list[i]
-		if !u.Silent && u.State <= serving.Draining && now.Sub(s.heard[u.ID]) > s.cfg.Silence {
+		if !u.Silent && u.State <= serving.Draining && now.Sub(s.heard[u.ID]) > s.cfg.SilenceTimeout {
 			silent = append(silent, u.ID)
 		}
 	}
--- a/instance/serving/serving.go
+++ b/instance/serving/serving.go
@@ -47,8 +47,8 @@
 	// Replica returns the member of the control group that runs here, or nil.
 	Replica func() *consensus.Service
 	Links   Links
-	// Silence and Timeout; zero means the defaults.
-	Silence, Timeout time.Duration
+	// SilenceTimeout and Timeout; zero means the defaults.
+	SilenceTimeout, Timeout time.Duration
 	// Usage has the instances' counts of requests committed.
 	Usage bool
 	Log   zerolog.Logger
@@ -94,8 +94,8 @@
 
 // New returns a service that is not started; it registers its channels.
 func New(cfg Config) *Service {
-	if cfg.Silence <= 0 {
-		cfg.Silence = DefaultSilenceTimeout
+	if cfg.SilenceTimeout <= 0 {
+		cfg.SilenceTimeout = DefaultSilenceTimeout
 	}
 	if cfg.Timeout <= 0 {
 		cfg.Timeout = DefaultTimeout
