--- a/instance/serving/fleet.go
+++ b/instance/serving/fleet.go
@@ -19,8 +19,8 @@
 	table   route.Table
 }
 
-// Scalable returns what is known of the services of which upstreams can be ordered.
-func (s *Service) Scalable() (list []scale.Service) {
+// ScalableServices returns what is known of the services of which upstreams can be ordered.
+func (s *Service) ScalableServices() (list []scale.Service) {
 	g := s.cfg.Replica()
 	if g == nil {
 		return nil
--- a/instance/serving/limits_test.go
+++ b/instance/serving/limits_test.go
@@ -50,7 +50,7 @@
 		report := serving.Report{Limits: told}
 		report.Work.Routes = []serving.RouteLoad{load}
 		g.ask("m0", serving.WatchRequest{Forwards: true, Report: report})
-		return g.nodes["m0"].serving.Scalable()[0].Need
+		return g.nodes["m0"].serving.ScalableServices()[0].Need
 	}
 	before := need()
 	begun := g.ask("m0", serving.WatchRequest{}).Changes.Upstreams[0].FirstIndex
