--- a/instance/relay/exchange.go
+++ b/instance/relay/exchange.go
@@ -39,7 +39,7 @@
 	if r.Observes {
 		f.takeObserved(r.Observed)
 	}
-	for _, p := range r.Placed {
+	for _, p := range r.Placements {
 		// What was placed at an incarnation that has ended since is kept nowhere.
 		if u := f.byBegun[p.FirstIndex]; u != nil {
 			u.kept.RecordAnnounced(f.othersAt, p.Prompt)
@@ -102,7 +102,7 @@
 func (f *fleet) report() servingsvc.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := servingsvc.Report{Placed: f.placed}
+	r := servingsvc.Report{Placements: f.placed}
 	f.placed = nil
 	now := time.Now()
 	for _, u := range f.upstreams {
--- a/instance/relay/load_test.go
+++ b/instance/relay/load_test.go
@@ -242,13 +242,13 @@
 			sum.RecentCached += l.RecentCached
 		}
 	}
-	out := servingsvc.Report{Placed: services[to].fleet.placed, Observes: true}
+	out := servingsvc.Report{Placements: services[to].fleet.placed, Observes: true}
 	for _, o := range observed {
 		out.Observed = append(out.Observed, *o)
 	}
 	for i, s := range services {
 		if i != to {
-			out.Placed = append(out.Placed, s.fleet.placed...)
+			out.Placements = append(out.Placements, s.fleet.placed...)
 		}
 	}
 	for _, l := range loads {
--- a/instance/serving/loads.go
+++ b/instance/serving/loads.go
@@ -39,8 +39,8 @@
 // Report is what an instance tells of its work, or of that of all others.
 type Report struct {
 	Work Work `codec:"w"`
-	// Placed lists what was placed since the last report.
-	Placed []PromptPlacement `codec:"p,omitempty"`
+	// Placements lists what was placed since the last report.
+	Placements []PromptPlacement `codec:"p,omitempty"`
 	// Busy says that upstreams have much to read, so that news of loads matter.
 	Busy bool `codec:"b,omitempty"`
 	// Observes says that Observed is told, and asked for in the answer.
@@ -68,7 +68,7 @@
 // Others returns the work of all but one instance, which has reported own, and what all
 // observed.
 func (s *Summary) Others(own *Work) (*Report, error) {
-	r := &Report{Placed: s.Placed, Busy: s.Busy, Observes: s.Observes, Limits: s.Limits}
+	r := &Report{Placements: s.Placed, Busy: s.Busy, Observes: s.Observes, Limits: s.Limits}
 	if len(s.Observed) > 0 {
 		if err := link.Decode(s.Observed, &r.Observed); err != nil {
 			return nil, err
@@ -195,13 +195,13 @@
 			continue
 		}
 		last = now
-		r := Report{Work: s.loads.sum(now, false), Placed: s.unsent, Busy: busy, Limits: s.limits.statements(now)}
+		r := Report{Work: s.loads.sum(now, false), Placements: s.unsent, Busy: busy, Limits: s.limits.statements(now)}
 		s.unsent = nil
 		if now.Sub(s.observedSent) >= ObservationInterval {
 			r.Observes, r.Observed, s.observedSent = true, s.observed.sum(now, false, 1), now
 		}
 		s.mu.Unlock()
-		quiet := r.Work.empty() && len(r.Placed)+len(r.Observed)+len(r.Limits) == 0
+		quiet := r.Work.empty() && len(r.Placements)+len(r.Observed)+len(r.Limits) == 0
 		if quiet && idle {
 			continue
 		}
@@ -239,7 +239,7 @@
 	if r.Observes {
 		s.observed.members[from] = observedReport{clock.Now(), r.Observed}
 	}
-	s.placed.add(from, r.Placed)
+	s.placed.add(from, r.Placements)
 	s.limits.take(clock.Now(), r.Limits)
 	return nil, nil
 }
@@ -252,10 +252,10 @@
 	if r.Observes {
 		s.observed.watchers[from] = observedReport{clock.Now(), r.Observed}
 	}
-	s.placed.add(from, r.Placed)
+	s.placed.add(from, r.Placements)
 	s.limits.take(clock.Now(), r.Limits)
 	if len(s.unsent) < maxPlaced {
-		s.unsent = append(s.unsent, r.Placed...)
+		s.unsent = append(s.unsent, r.Placements...)
 	}
 }
 
