--- a/instance/serving/loads.go
+++ b/instance/serving/loads.go
@@ -54,9 +54,9 @@
 type Summary struct {
 	// Total is the encoded Work of all, of the one that asks as well.
 	Total []byte `codec:"w,omitempty"`
-	// Placed lists what others placed since the last answer.
-	Placed []PromptPlacement `codec:"p,omitempty"`
-	Busy   bool              `codec:"b,omitempty"`
+	// Placements lists what others placed since the last answer.
+	Placements []PromptPlacement `codec:"p,omitempty"`
+	Busy       bool              `codec:"b,omitempty"`
 	// Observes says that Observed is told: the encoded observations of all, of the one that
 	// asks as well.
 	Observes bool   `codec:"o,omitempty"`
@@ -68,7 +68,7 @@
 // Others returns the work of all but one instance, which has reported own, and what all
 // observed.
 func (s *Summary) Others(own *Work) (*Report, error) {
-	r := &Report{Placements: s.Placed, Busy: s.Busy, Observes: s.Observes, Limits: s.Limits}
+	r := &Report{Placements: s.Placements, Busy: s.Busy, Observes: s.Observes, Limits: s.Limits}
 	if len(s.Observed) > 0 {
 		if err := link.Decode(s.Observed, &r.Observed); err != nil {
 			return nil, err
@@ -269,7 +269,7 @@
 		s.total, s.totalAt = s.encodeTotal(now), now
 	}
 	out = Summary{Total: s.total, Busy: s.loads.busy(now, true), Limits: s.limits.statements(now)}
-	out.Placed, next = s.placed.since(since, name)
+	out.Placements, next = s.placed.since(since, name)
 	if observes {
 		out.Observes, out.Observed = true, s.encodeObserved(now)
 	}
