--- a/instance/relay/exchange.go
+++ b/instance/relay/exchange.go
@@ -36,7 +36,7 @@
 	if f.limits != nil {
 		f.limits.Take(r.Limits)
 	}
-	if r.Observes {
+	if r.HasObserved {
 		f.takeObserved(r.Observed)
 	}
 	for _, p := range r.Placements {
@@ -111,7 +111,7 @@
 		}
 	}
 	if now.Sub(f.toldAt) >= servingsvc.ObservationInterval {
-		r.Observes, r.Observed, f.toldAt = true, f.observations(now), now
+		r.HasObserved, r.Observed, f.toldAt = true, f.observations(now), now
 	}
 	for service, p := range f.pools {
 		perMS := f.pace(service).rate.PerMS()
--- a/instance/relay/load_test.go
+++ b/instance/relay/load_test.go
@@ -242,7 +242,7 @@
 			sum.RecentCached += l.RecentCached
 		}
 	}
-	out := servingsvc.Report{Placements: services[to].fleet.placed, Observes: true}
+	out := servingsvc.Report{Placements: services[to].fleet.placed, HasObserved: true}
 	for _, o := range observed {
 		out.Observed = append(out.Observed, *o)
 	}
--- a/instance/serving/loads.go
+++ b/instance/serving/loads.go
@@ -43,9 +43,9 @@
 	Placements []PromptPlacement `codec:"p,omitempty"`
 	// Busy says that upstreams have much to read, so that news of loads matter.
 	Busy bool `codec:"b,omitempty"`
-	// Observes says that Observed is told, and asked for in the answer.
-	Observes bool          `codec:"o,omitempty"`
-	Observed []Observation `codec:"v,omitempty"`
+	// HasObserved says that Observed is told, and asked for in the answer.
+	HasObserved bool          `codec:"o,omitempty"`
+	Observed    []Observation `codec:"v,omitempty"`
 	// Limits are those that upstreams name.
 	Limits []ratelimit.Statement `codec:"l,omitempty"`
 }
@@ -68,7 +68,7 @@
 // Others returns the work of all but one instance, which has reported own, and what all
 // observed.
 func (s *Summary) Others(own *Work) (*Report, error) {
-	r := &Report{Placements: s.Placements, Busy: s.Busy, Observes: s.Observes, Limits: s.Limits}
+	r := &Report{Placements: s.Placements, Busy: s.Busy, HasObserved: s.Observes, Limits: s.Limits}
 	if len(s.Observed) > 0 {
 		if err := link.Decode(s.Observed, &r.Observed); err != nil {
 			return nil, err
@@ -198,7 +198,7 @@
 		r := Report{Work: s.loads.sum(now, false), Placements: s.unsent, Busy: busy, Limits: s.limits.statements(now)}
 		s.unsent = nil
 		if now.Sub(s.observedSent) >= ObservationInterval {
-			r.Observes, r.Observed, s.observedSent = true, s.observed.sum(now, false, 1), now
+			r.HasObserved, r.Observed, s.observedSent = true, s.observed.sum(now, false, 1), now
 		}
 		s.mu.Unlock()
 		quiet := r.Work.empty() && len(r.Placements)+len(r.Observed)+len(r.Limits) == 0
@@ -236,7 +236,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loads.members[from] = loadReport{at: clock.Now(), work: r.Work, busy: r.Busy}
-	if r.Observes {
+	if r.HasObserved {
 		s.observed.members[from] = observedReport{clock.Now(), r.Observed}
 	}
 	s.placed.add(from, r.Placements)
@@ -249,7 +249,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loads.watchers[from] = loadReport{at: clock.Now(), work: r.Work, busy: r.Busy}
-	if r.Observes {
+	if r.HasObserved {
 		s.observed.watchers[from] = observedReport{clock.Now(), r.Observed}
 	}
 	s.placed.add(from, r.Placements)
--- a/instance/serving/observed_test.go
+++ b/instance/serving/observed_test.go
@@ -16,7 +16,7 @@
 	s := New(Config{Links: noLinks{}})
 	bad, idle := uint64(7), uint64(8)
 	tell := func(from string) {
-		s.noteReport(from, &Report{Observes: true, Observed: []Observation{
+		s.noteReport(from, &Report{HasObserved: true, Observed: []Observation{
 			{FirstIndex: bad, Answers: 100, Failures: 100}, {FirstIndex: idle, Answers: 100, Predicted: 50, Took: 60},
 		}})
 	}
@@ -30,7 +30,7 @@
 	told, _ := s.summaryFor("a", 0, true)
 	all, err := told.Others(&Work{})
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(all.Observes).To(BeTrue())
+	g.Expect(all.HasObserved).To(BeTrue())
 	g.Expect(all.Observed).To(Equal([]Observation{{FirstIndex: bad, Answers: 400, Failures: 300}}), "two answers of the idle one tell nothing")
 	g.Expect(s.observed.sum(clock.Now().Add(2*observedAge), true, 1)).To(BeEmpty(), "what nobody repeats fades")
 }
--- a/instance/serving/watch.go
+++ b/instance/serving/watch.go
@@ -106,7 +106,7 @@
 	st := g.Status()
 	a.Members = names(st.Members)
 	a.Forwarders = s.forwarders()
-	a.Summary, a.NextPlacement = s.summaryFor(from, q.NextPlacement, q.Report.Observes)
+	a.Summary, a.NextPlacement = s.summaryFor(from, q.NextPlacement, q.Report.HasObserved)
 	a.Agreed, a.Settled = s.metering.agreed(clock.Now())
 	return a, nil
 }
