--- a/instance/serving/loads.go
+++ b/instance/serving/loads.go
@@ -57,10 +57,10 @@
 	// Placements lists what others placed since the last answer.
 	Placements []PromptPlacement `codec:"p,omitempty"`
 	Busy       bool              `codec:"b,omitempty"`
-	// Observes says that Observed is told: the encoded observations of all, of the one that
+	// HasObserved says that Observed is told: the encoded observations of all, of the one that
 	// asks as well.
-	Observes bool   `codec:"o,omitempty"`
-	Observed []byte `codec:"v,omitempty"`
+	HasObserved bool   `codec:"o,omitempty"`
+	Observed    []byte `codec:"v,omitempty"`
 	// Limits are those that upstreams name, as all have heard of them.
 	Limits []ratelimit.Statement `codec:"l,omitempty"`
 }
@@ -68,7 +68,7 @@
 // Others returns the work of all but one instance, which has reported own, and what all
 // observed.
 func (s *Summary) Others(own *Work) (*Report, error) {
-	r := &Report{Placements: s.Placements, Busy: s.Busy, HasObserved: s.Observes, Limits: s.Limits}
+	r := &Report{Placements: s.Placements, Busy: s.Busy, HasObserved: s.HasObserved, Limits: s.Limits}
 	if len(s.Observed) > 0 {
 		if err := link.Decode(s.Observed, &r.Observed); err != nil {
 			return nil, err
@@ -271,7 +271,7 @@
 	out = Summary{Total: s.total, Busy: s.loads.busy(now, true), Limits: s.limits.statements(now)}
 	out.Placements, next = s.placed.since(since, name)
 	if observes {
-		out.Observes, out.Observed = true, s.encodeObserved(now)
+		out.HasObserved, out.Observed = true, s.encodeObserved(now)
 	}
 	return out, next
 }
