--- a/instance/serving/changes.go
+++ b/instance/serving/changes.go
@@ -6,20 +6,20 @@
 	"github.com/comfreyladder/comfreyladder/instance/link"
 )
 
-// fewUpstreams is up to how many changed upstreams an answer is encoded by itself: that
-// costs less than keeping it.
-const fewUpstreams = 8
+// maxUncachedUpstreams is the number of changed upstreams up to which a response is encoded
+// on its own, which costs less than caching it.
+const maxUncachedUpstreams = 8
 
-// encodedChanges holds encoded changes up to one index, by the index that they go from.
-// After a restart of all, every instance asks a member for the whole state at once: encoded
-// for each anew, 300 instances and 3,000 upstreams keep the members at work for longer than
-// the instances wait, which then ask the next member for the same.
+// encodedChanges caches encoded changes up to one index, by the index that they start from.
+// After a restart of all instances, each of them asks a member for the whole state at once.
+// With one encoding per request, 300 instances and 3,000 upstreams keep the members busy for
+// longer than the instances wait, which then ask the next member for the same.
 type encodedChanges struct {
 	index uint64
 	since map[uint64][]byte
 }
 
-// Decode decodes the changes if they came in encoded form.
+// Decode decodes Encoded into Changes if it is set.
 func (a *WatchResponse) Decode() error {
 	if len(a.Encoded) == 0 {
 		return nil
@@ -27,16 +27,16 @@
 	return link.Decode(a.Encoded, &a.Changes)
 }
 
-// changes puts the changes after an index into an answer.
+// changes sets the changes after an index in a response.
 func (s *Service) changes(g *consensus.Service, since uint64, a *WatchResponse) error {
 	var index uint64
-	machine(g, func(m *serving.Machine) { index = m.Index() })
+	viewServing(g, func(m *serving.Machine) { index = m.Index() })
 	if a.Encoded = s.encodedSince(index, since); a.Encoded != nil {
 		return nil
 	}
 	var c serving.Changes
-	machine(g, func(m *serving.Machine) { c = m.Since(since) })
-	if len(c.Table) == 0 && len(c.Upstreams) <= fewUpstreams {
+	viewServing(g, func(m *serving.Machine) { c = m.Since(since) })
+	if len(c.Table) == 0 && len(c.Upstreams) <= maxUncachedUpstreams {
 		a.Changes = c
 		return nil
 	}
--- a/instance/serving/changes_test.go
+++ b/instance/serving/changes_test.go
@@ -12,17 +12,17 @@
 	"github.com/comfreyladder/comfreyladder/instance/serving"
 )
 
-// ask puts a question to a member and returns the answer, decoded.
+// ask sends a request to a member and returns the decoded response.
 func (g *group) ask(at string, q serving.WatchRequest) serving.WatchResponse {
 	g.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	var a serving.WatchResponse
 	other := g.names[0]
 	if other == at {
 		other = g.names[1]
 	}
-	g.Expect(g.nodes[other].links.Call(ctx, at, serving.ChannelWatch, q, &a)).To(Succeed())
+	g.Expect(g.instances[other].links.Call(ctx, at, serving.ChannelWatch, q, &a)).To(Succeed())
 	g.Expect(a.Decode()).To(Succeed())
 	return a
 }
@@ -31,14 +31,14 @@
 	return coreserving.Upstream{ID: fmt.Sprint("u", i), Service: "s", Address: fmt.Sprint("10.0.0.1:", i+1), State: coreserving.Ready, Slots: 8}
 }
 
-// After a restart of all, every instance asks for the whole state at once, and each is told
-// an encoded form that serves them all. An upstream that was announced in between must be in
-// the next answer: one from an older form would send callers to where nobody is.
-func TestWholeStateIsToldAsItIs(t *testing.T) {
+// After a restart of all instances, each asks for the whole state at once, and one encoded
+// form serves all of them. An upstream that was announced in between must be in the next
+// response: a stale encoded form would send callers to an upstream that is gone.
+func TestEncodedStateIsCurrent(t *testing.T) {
 	g := newGroup(t, 3)
 	const many = 20
 	announce := func(i int) {
-		g.Eventually(func() error { return g.nodes["m0"].serving.Announce(context.Background(), upstreamAt(i)) }).Should(Succeed())
+		g.Eventually(func() error { return g.instances["m0"].serving.Announce(context.Background(), upstreamAt(i)) }).Should(Succeed())
 	}
 	for i := range many {
 		announce(i)
@@ -57,26 +57,26 @@
 	g.Expect(g.ask("m1", serving.WatchRequest{Index: first.Changes.Index}).Changes.Upstreams).To(HaveLen(1))
 }
 
-// Two hundred upstreams come at once, one log entry each. Told one by one, every instance
-// asks 200 times within that second, of members that are busy enough. Their news must come
-// in a few answers, and none be left out.
-func TestNewsOfManyUpstreamsComeTogether(t *testing.T) {
+// 200 upstreams register within one second, with one log entry each. With one response per
+// entry, every instance would send 200 requests in that second to members that are already
+// busy. The changes must arrive in a few responses, and none may be missing.
+func TestChangesOfManyUpstreamsAreBatched(t *testing.T) {
 	g := newGroup(t, 3)
 	const many = 200
-	begun := time.Now()
+	startedAt := time.Now()
 	go func() {
 		for i := range many {
-			go func() { _ = g.nodes["m0"].serving.Announce(context.Background(), upstreamAt(i)) }()
+			go func() { _ = g.instances["m0"].serving.Announce(context.Background(), upstreamAt(i)) }()
 			time.Sleep(2 * time.Millisecond)
 		}
 	}()
 	known, answers, index := 0, 0, uint64(0)
-	for known < many && time.Since(begun) < patience {
+	for known < many && time.Since(startedAt) < timeout {
 		a := g.ask("m0", serving.WatchRequest{Index: index, MaxWaitMS: 200})
 		known, index = known+len(a.Changes.Upstreams), a.Changes.Index
 		answers++
 	}
 	g.Expect(known).To(Equal(many))
-	g.Expect(answers).To(BeNumerically("<=", 5+int(time.Since(begun)/(20*time.Millisecond))))
-	t.Logf("%d answers in %v", answers, time.Since(begun))
+	g.Expect(answers).To(BeNumerically("<=", 5+int(time.Since(startedAt)/(20*time.Millisecond))))
+	t.Logf("%d answers in %v", answers, time.Since(startedAt))
 }
--- a/instance/serving/demand.go
+++ b/instance/serving/demand.go
@@ -5,16 +5,16 @@
 	"github.com/comfreyladder/comfreyladder/instance/clock"
 )
 
-// Demand is what all instances see coming to the engines of a service.
+// Demand is the expected load of a service as seen by all instances.
 type Demand struct {
-	// Loads are by route.
+	// Loads maps routes to their loads.
 	Loads map[string]balance.RouteLoad
-	// PerMS is how many prompt tokens an engine reads in a millisecond.
+	// PerMS is the number of prompt tokens that an engine prefills per millisecond.
 	PerMS float64
 }
 
-// Demand returns the demand by service; known says that any instance told lately what it
-// sees.
+// Demand returns the demand by service. known reports whether any instance or member has
+// sent a recent report.
 func (s *Service) Demand() (demand map[string]Demand, known bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/instance/serving/digest.go
+++ b/instance/serving/digest.go
@@ -14,26 +14,26 @@
 const channelDigest = "serving.digest"
 
 const (
-	// digestEvery is the time between two exchanges of what members heard.
-	digestEvery = time.Second
-	// forgetWatcher is for how long an instance counts that asks no more. It is
-	// longer than the window of a retry budget, which it may have spent its share of.
-	forgetWatcher = 20 * time.Second
-	// forgetHeard bounds the memory of heartbeats.
-	forgetHeard = time.Minute
+	// digestInterval is the time between two digests to the other members.
+	digestInterval = time.Second
+	// watcherRetention is how long an instance counts after its last request. It is longer than
+	// the window of a retry budget, of which the instance may have spent its share.
+	watcherRetention = 20 * time.Second
+	// heartbeatRetention is how long the time of a heartbeat is kept.
+	heartbeatRetention = time.Minute
 )
 
-// digest tells other members what this one heard since the last one.
+// digest tells the other members what this member received since its last digest.
 type digest struct {
-	// Heard lists upstreams, Watchers instances that forward requests.
+	// Heard lists the upstreams that sent heartbeats, Watchers the instances that forward requests.
 	Heard    []string `codec:"h"`
 	Watchers []string `codec:"w"`
-	// Clocks are those of the member, where anything goes by the agreed time.
+	// Clocks are the clocks of the member if the agreed time is used.
 	Clocks *clocks `codec:"c,omitempty"`
 }
 
-func (s *Service) exchange(ctx context.Context) {
-	ticker := time.NewTicker(digestEvery)
+func (s *Service) exchangeDigests(ctx context.Context) {
+	ticker := time.NewTicker(digestInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -46,13 +46,13 @@
 			continue
 		}
 		st := g.Status()
-		s.tell(&st)
-		s.findSilent(ctx, g, &st)
-		s.forgetLimits(g, clock.Now())
+		s.sendDigest(&st)
+		s.proposeSilent(ctx, g, &st)
+		s.pruneLimits(g, clock.Now())
 	}
 }
 
-func (s *Service) tell(st *consensus.Status) {
+func (s *Service) sendDigest(st *consensus.Status) {
 	d := s.takeDigest()
 	d.Clocks = s.metering.clocks(clock.Now())
 	for _, name := range otherNames(st.Members, st.ID) {
@@ -66,14 +66,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var d digest
-	for id := range s.fresh {
+	for id := range s.unsentHeard {
 		d.Heard = append(d.Heard, id)
 	}
-	for name := range s.own {
+	for name := range s.unsentWatchers {
 		d.Watchers = append(d.Watchers, name)
 	}
-	clear(s.fresh)
-	clear(s.own)
+	clear(s.unsentHeard)
+	clear(s.unsentWatchers)
 	return d
 }
 
@@ -87,71 +87,71 @@
 	defer s.mu.Unlock()
 	now := clock.Now()
 	for _, id := range d.Heard {
-		s.heard[id] = now
+		s.lastHeard[id] = now
 	}
 	for _, name := range d.Watchers {
-		s.watched[name] = now
+		s.watchers[name] = now
 	}
 	return nil, nil
 }
 
-func (s *Service) noteWatcher(name string) {
+func (s *Service) recordWatcher(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.watched[name] = clock.Now()
-	s.own[name] = true
+	s.watchers[name] = clock.Now()
+	s.unsentWatchers[name] = true
 }
 
 func (s *Service) forwarders() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for name, at := range s.watched {
-		if clock.Since(at) > forgetWatcher {
-			delete(s.watched, name)
+	for name, at := range s.watchers {
+		if clock.Since(at) > watcherRetention {
+			delete(s.watchers, name)
 		}
 	}
-	return len(s.watched)
+	return len(s.watchers)
 }
 
-// findSilent proposes, at the leader, the upstreams that no member has heard for a
-// while. A new leader waits as long first: what its predecessor heard it does not
-// know, and upstreams that never fell silent would lose their work.
-func (s *Service) findSilent(ctx context.Context, g *consensus.Service, st *consensus.Status) {
+// proposeSilent marks, on the leader, the upstreams that no member received a heartbeat from
+// for SilenceTimeout. A new leader first waits that long: it does not know which heartbeats
+// its predecessor received, and upstreams that never fell silent would lose their work.
+func (s *Service) proposeSilent(ctx context.Context, g *consensus.Service, st *consensus.Status) {
 	if st.Role != raft.Leader {
 		s.mu.Lock()
-		s.leads = time.Time{}
+		s.leaderSince = time.Time{}
 		s.mu.Unlock()
 		return
 	}
 	var list []serving.Upstream
-	machine(g, func(m *serving.Machine) { list = m.Upstreams() })
-	silent := s.silent(list)
+	viewServing(g, func(m *serving.Machine) { list = m.Upstreams() })
+	silent := s.silentUpstreams(list)
 	if len(silent) == 0 {
 		return
 	}
 	err := s.propose(ctx, &serving.Command{Silent: silent})
 	s.cfg.Log.Warn().Str("event", "upstreams_silent").Strs("upstreams", silent).Dur("after", s.cfg.SilenceTimeout).
-		Str("outcome", outcome(err)).Err(err).Msg("no member hears these upstreams")
+		Str("outcome", outcome(err)).Err(err).Msg("no member receives heartbeats from these upstreams")
 }
 
-func (s *Service) silent(list []serving.Upstream) (silent []string) {
+func (s *Service) silentUpstreams(list []serving.Upstream) (silent []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	if s.leads.IsZero() {
-		s.leads = now
+	if s.leaderSince.IsZero() {
+		s.leaderSince = now
 	}
-	for id, at := range s.heard {
-		if now.Sub(at) > forgetHeard {
-			delete(s.heard, id)
+	for id, at := range s.lastHeard {
+		if now.Sub(at) > heartbeatRetention {
+			delete(s.lastHeard, id)
 		}
 	}
-	if now.Sub(s.leads) < s.cfg.SilenceTimeout {
+	if now.Sub(s.leaderSince) < s.cfg.SilenceTimeout {
 		return nil
 	}
 	for i := range list {
 		u := &list[i]
-		if !u.Silent && u.State <= serving.Draining && now.Sub(s.heard[u.ID]) > s.cfg.SilenceTimeout {
+		if !u.Silent && u.State <= serving.Draining && now.Sub(s.lastHeard[u.ID]) > s.cfg.SilenceTimeout {
 			silent = append(silent, u.ID)
 		}
 	}
--- a/instance/serving/faults_test.go
+++ b/instance/serving/faults_test.go
@@ -16,60 +16,60 @@
 	return slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == name })
 }
 
-// Operators see changes vanish, or a process that ends again and again: the disk of one
-// member, then of all, refuses writes for a while. A member that can't write stops to
-// vote and to acknowledge; its process stays, and it is a member again afterwards.
-func TestRefusingDisksAreWaitedOut(t *testing.T) {
+// Guards against lost changes and processes that end repeatedly: the disk of one member, then
+// of all, refuses writes for a while. A member that cannot write must stop voting and
+// acknowledging, keep its process, and become a member again afterwards.
+func TestMembersRecoverFromWriteErrors(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t, 3)
 	for i, name := range g.names {
 		version := uint64(2 + i)
-		g.nodes[name].refuse(true)
+		g.instances[name].refuse(true)
 		g.acknowledge(version, without(g.names, name)...)
-		g.nodes[name].refuse(false)
+		g.instances[name].refuse(false)
 		g.Eventually(func() uint64 { return g.read(name) }).Should(Equal(version))
 	}
-	for _, n := range g.nodes {
+	for _, n := range g.instances {
 		n.refuse(true)
 	}
 	for _, name := range g.names {
 		g.Expect(g.put(9, name)).To(BeFalse(), "nobody can keep it")
 	}
-	for _, n := range g.nodes {
+	for _, n := range g.instances {
 		n.refuse(false)
 	}
 	g.acknowledge(10, g.names...)
-	for _, n := range g.nodes {
+	for _, n := range g.instances {
 		g.Eventually(func() uint64 { return g.read(n.name) }).Should(Equal(uint64(10)))
 		g.Expect(n.fatal).To(BeEmpty(), "no process ends for its disk")
 	}
 }
 
-// Guards against calls that hang for as long as a disk does: their callers are told at the
-// deadline that nobody knows, and go elsewhere.
-func TestAHangingDiskKeepsNoCallWaiting(t *testing.T) {
+// Guards against calls that hang for as long as a disk does: their callers must be told at
+// the deadline that the outcome is unknown, so that they try another member.
+func TestHangingDiskDoesNotBlockCalls(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t, 3)
 	g.acknowledge(2, g.names...)
 	for _, name := range g.names {
 		release := make(chan struct{})
-		g.nodes[name].disk.SetSyncFails(func(string) error { <-release; return nil })
+		g.instances[name].disk.SetSyncFails(func(string) error { <-release; return nil })
 		answered := make(chan bool, 2)
 		go func() { answered <- g.put(9, name) }()
 		go func() { answered <- g.put(9, name) }()
 		for range cap(answered) {
-			g.Eventually(answered, 2*changeFor).Should(Receive(BeFalse()))
+			g.Eventually(answered, 2*changeTimeout).Should(Receive(BeFalse()))
 		}
 		close(release)
-		g.nodes[name].disk.SetSyncFails(nil)
+		g.instances[name].disk.SetSyncFails(nil)
 		g.Eventually(func() bool { return g.put(9, name) }).Should(BeTrue())
 	}
 }
 
-// Operators on the two sides of a split each see their change acknowledged, and one of
-// them is gone afterwards. Only a side with a quorum may acknowledge or call what it
-// has the newest, wherever the leader was; all that was acknowledged is there in the end.
-func TestHalvesOfASplitDoNotBothAcknowledge(t *testing.T) {
+// Guards against changes that are acknowledged on both sides of a partition, so that one of
+// them is lost afterwards. Only a side with a quorum may acknowledge a change or report its
+// state as the newest, wherever the leader was; all acknowledged changes are there in the end.
+func TestOnlyOneSideOfPartitionAcknowledges(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t, 4)
 	version := uint64(1)
@@ -103,11 +103,11 @@
 	}
 }
 
-// An acknowledged change is gone after one disk was lost while all others lost power,
-// right after the acknowledgement: it had been written, not synced, at a majority, or
-// the empty disk voted for an old state. The lost disk is once that of the member that
-// acknowledged, once that of another one.
-func TestAcknowledgedSurvivesALostDiskBesideAPowerLoss(t *testing.T) {
+// Guards against the loss of an acknowledged change when, right after the acknowledgement, one
+// disk is lost while all others lose power: either a majority had written the change without
+// syncing it, or the empty disk voted for an old state. The lost disk is once that of the
+// member that acknowledged, once that of another one.
+func TestAcknowledgedSurvivesDiskLossAndPowerLoss(t *testing.T) {
 	t.Parallel()
 	g := newGroup(t, 3)
 	version := uint64(1)
@@ -115,25 +115,25 @@
 	for _, round := range rounds {
 		version++
 		g.acknowledge(version, round.at)
-		for _, n := range g.nodes {
+		for _, n := range g.instances {
 			n.stop()
 			n.disk.Crash(0)
 		}
-		g.nodes[round.lost].loseDisk()
-		for _, n := range g.nodes {
+		g.instances[round.lost].loseDisk()
+		for _, n := range g.instances {
 			n.start(false)
 		}
 		for _, name := range without(g.names, round.lost) {
 			g.Eventually(func() uint64 { return g.read(name) }).Should(Equal(version))
 		}
 		g.Eventually(func() uint64 { return g.read(round.lost) }).Should(Equal(version), "the empty disk joins again")
-		g.Eventually(g.whole).WithPolling(50*time.Millisecond).Should(BeTrue(), "three members vote again")
+		g.Eventually(g.hasThreeVoters).WithPolling(50*time.Millisecond).Should(BeTrue(), "three members vote again")
 	}
 }
 
-// whole reports whether the group has its three voters and nobody else.
-func (g *group) whole() bool {
-	for _, n := range g.nodes {
+// hasThreeVoters reports whether the group consists of exactly three voters.
+func (g *group) hasThreeVoters() bool {
+	for _, n := range g.instances {
 		r := n.control.Replica()
 		if r == nil {
 			return false
--- a/instance/serving/fleet.go
+++ b/instance/serving/fleet.go
@@ -13,13 +13,13 @@
 	"github.com/comfreyladder/comfreyladder/instance/consensus"
 )
 
-// tableCache holds the decoded table of a version.
+// tableCache caches the decoded routing table of a version.
 type tableCache struct {
 	version uint64
 	table   route.Table
 }
 
-// ScalableServices returns what is known of the services of which upstreams can be ordered.
+// ScalableServices returns the state of the services whose upstreams can be ordered.
 func (s *Service) ScalableServices() (list []scale.Service) {
 	g := s.cfg.Replica()
 	if g == nil {
@@ -42,16 +42,16 @@
 		out.Known = told
 		if d, known := demand[v.Name]; known && v.Engine != nil {
 			engine := &balance.Engine{PerMS: d.PerMS, Slots: float64(v.Engine.Slots), Count: float64(ready)}
-			out.Need = balance.EstimateNeed(d.Loads, engine).Comfortable + s.lack(v.Name, upstreams, balance.EachPerSecond(d.Loads, engine))
+			out.Need = balance.EstimateNeed(d.Loads, engine).Comfortable + s.limitShortfall(v.Name, upstreams, balance.EachPerSecond(d.Loads, engine))
 		}
 		list = append(list, out)
 	}
 	return list
 }
 
-// lack returns how many upstreams' work a service's ready ones leave undone by the limits that
-// they name.
-func (s *Service) lack(service string, upstreams []serving.Upstream, eachPerSecond float64) (sum float64) {
+// limitShortfall returns the work that the ready upstreams of a service cannot accept because
+// of their announced rate limits, as a number of upstreams.
+func (s *Service) limitShortfall(service string, upstreams []serving.Upstream, eachPerSecond float64) (sum float64) {
 	for i := range upstreams {
 		u := &upstreams[i]
 		if u.Service != service || !u.Usable() || u.Silent {
@@ -64,16 +64,16 @@
 	return sum
 }
 
-// tableAndUpstreams returns the table in force and all upstreams.
+// tableAndUpstreams returns the routing table in force and all upstreams.
 func (s *Service) tableAndUpstreams(g *consensus.Service) (*route.Table, []serving.Upstream) {
 	var c serving.Changes
-	machine(g, func(m *serving.Machine) { c = m.Since(0) })
+	viewServing(g, func(m *serving.Machine) { c = m.Since(0) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c.Version != s.table.version {
 		next := tableCache{version: c.Version}
 		if err := corecontrol.Unmarshal(c.Table, &next.table); err != nil {
-			s.cfg.Log.Error().Err(err).Str("event", "table_unreadable").Uint64("version", c.Version).Msg("a table can't be read; the one before stays")
+			s.cfg.Log.Error().Err(err).Str("event", "table_unreadable").Uint64("version", c.Version).Msg("cannot decode the routing table; the previous one stays in force")
 			next.table = s.table.table
 		}
 		s.table = next
@@ -81,8 +81,8 @@
 	return &s.table.table, c.Upstreams
 }
 
-// countUpstreams counts a service's upstreams by domain and kind, and returns how many
-// are ready.
+// countUpstreams counts the upstreams of a service by failure domain and kind, and returns
+// the number of ready ones.
 func countUpstreams(v *scale.Service, upstreams []serving.Upstream) (ready int) {
 	for i := range upstreams {
 		u := &upstreams[i]
--- a/instance/serving/group_test.go
+++ b/instance/serving/group_test.go
@@ -20,25 +20,25 @@
 )
 
 const (
-	patience  = 30 * time.Second
-	changeFor = 700 * time.Millisecond
+	timeout       = 30 * time.Second
+	changeTimeout = 700 * time.Millisecond
 )
 
-// group is a control group in one process: real members, links and serving state, on
-// disks in memory.
+// group is a control group in one process: real members, links and serving state, with disks
+// in memory.
 type group struct {
 	*WithT
-	t     *testing.T
-	mu    sync.Mutex
-	names []string
-	nodes map[string]*node
-	// side says on which side of a split a member is; all are on one without a split.
-	side map[string]int
-	book sync.Map
+	t         *testing.T
+	mu        sync.Mutex
+	names     []string
+	instances map[string]*testInstance
+	// side is the side of a partition that a member is on. Without a partition all are on one side.
+	side      map[string]int
+	addresses sync.Map
 }
 
-// node is one member's machine.
-type node struct {
+// testInstance is one member with its disk and links.
+type testInstance struct {
 	g       *group
 	name    string
 	disk    *disktest.Memory
@@ -50,7 +50,7 @@
 
 // Address implements link.AddressBook.
 func (g *group) Address(name string) (string, bool) {
-	v, ok := g.book.Load(name)
+	v, ok := g.addresses.Load(name)
 	if !ok {
 		return "", false
 	}
@@ -58,18 +58,18 @@
 }
 
 func newGroup(t *testing.T, members int) *group {
-	g := &group{WithT: NewWithT(t), t: t, nodes: map[string]*node{}, side: map[string]int{}}
-	g.SetDefaultEventuallyTimeout(patience)
+	g := &group{WithT: NewWithT(t), t: t, instances: map[string]*testInstance{}, side: map[string]int{}}
+	g.SetDefaultEventuallyTimeout(timeout)
 	for i := range members {
 		name := fmt.Sprintf("m%d", i)
 		g.names = append(g.names, name)
-		g.nodes[name] = &node{g: g, name: name, disk: disktest.NewMemory(), fatal: make(chan error, 1)}
+		g.instances[name] = &testInstance{g: g, name: name, disk: disktest.NewMemory(), fatal: make(chan error, 1)}
 	}
-	for _, n := range g.nodes {
+	for _, n := range g.instances {
 		n.start(true)
 	}
 	t.Cleanup(func() {
-		for _, n := range g.nodes {
+		for _, n := range g.instances {
 			n.stop()
 		}
 	})
@@ -80,14 +80,14 @@
 // seeds are the first three members.
 func (g *group) seeds() []string { return g.names[:min(3, len(g.names))] }
 
-// together reports whether messages pass between two members.
-func (g *group) together(a, b string) bool {
+// connected reports whether messages pass between two members.
+func (g *group) connected(a, b string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.side[a] == g.side[b]
 }
 
-// split puts the members on sides; without arguments it heals.
+// split partitions the members into sides; without arguments it heals the partition.
 func (g *group) split(sides ...[]string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -99,7 +99,7 @@
 	}
 }
 
-func (n *node) start(bootstrap bool) {
+func (n *testInstance) start(bootstrap bool) {
 	g := n.g
 	links, err := link.New(link.Config{Self: n.name, Listen: "127.0.0.1:0", Open: true, Book: g, Log: zerolog.Nop()})
 	g.Expect(err).NotTo(HaveOccurred())
@@ -107,7 +107,7 @@
 	wire := splitLinks{links, n}
 	n.serving = serving.New(serving.Config{
 		Name: n.name, Domain: "north", Replica: func() *consensusService { return n.control.Replica() },
-		Links: wire, Timeout: changeFor, Log: zerolog.Nop(),
+		Links: wire, Timeout: changeTimeout, Log: zerolog.Nop(),
 	})
 	var founders []string
 	if slices.Contains(g.seeds(), n.name) {
@@ -121,12 +121,12 @@
 	})
 	ctx := context.Background()
 	g.Expect(links.Start(ctx)).To(Succeed())
-	g.book.Store(n.name, links.Addr().String())
+	g.addresses.Store(n.name, links.Addr().String())
 	g.Expect(n.control.Start(ctx)).To(Succeed())
 	g.Expect(n.serving.Start(ctx)).To(Succeed())
 }
 
-func (n *node) others() (list []string) {
+func (n *testInstance) others() (list []string) {
 	for _, name := range n.g.seeds() {
 		if name != n.name {
 			list = append(list, name)
@@ -135,11 +135,11 @@
 	return list
 }
 
-func (n *node) stop() {
+func (n *testInstance) stop() {
 	if n.links == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	_ = n.serving.Stop(ctx)
 	_ = n.control.Stop(ctx)
@@ -147,10 +147,10 @@
 	n.links = nil
 }
 
-// loseDisk empties the member's disk.
-func (n *node) loseDisk() { n.disk = disktest.NewMemory() }
+// loseDisk replaces the member's disk by an empty one.
+func (n *testInstance) loseDisk() { n.disk = disktest.NewMemory() }
 
-func (n *node) refuse(on bool) {
+func (n *testInstance) refuse(on bool) {
 	if !on {
 		n.disk.SetSyncFails(nil)
 		return
@@ -158,21 +158,21 @@
 	n.disk.SetSyncFails(func(string) error { return fault.New(fault.Unavailable, "no space left on device") })
 }
 
-// splitLinks are links on which nothing passes between the sides of a split.
+// splitLinks drops all messages between the sides of a partition.
 type splitLinks struct {
 	*link.Service
-	n *node
+	n *testInstance
 }
 
 func (l splitLinks) Send(to, channel string, msg any) error {
-	if !l.n.g.together(l.n.name, to) {
+	if !l.n.g.connected(l.n.name, to) {
 		return nil
 	}
 	return l.Service.Send(to, channel, msg)
 }
 
 func (l splitLinks) Call(ctx context.Context, to, channel string, req, resp any) error {
-	if !l.n.g.together(l.n.name, to) {
+	if !l.n.g.connected(l.n.name, to) {
 		<-ctx.Done()
 		return fault.Wrap(ctx.Err(), fault.Unavailable, "nothing passes between the sides")
 	}
@@ -190,9 +190,9 @@
 
 func source(version uint64) string { return fmt.Sprintf("table %d", version) }
 
-// put sends a version to one member once, and reports whether it was acknowledged.
+// put sends a version to one member once and reports whether it was acknowledged.
 func (g *group) put(version uint64, at string) bool {
-	return g.nodes[at].serving.Put(context.Background(), table(version), []byte(source(version))) == nil
+	return g.instances[at].serving.Put(context.Background(), table(version), []byte(source(version))) == nil
 }
 
 // acknowledge sends a version to the members in turn until it is acknowledged.
@@ -205,9 +205,9 @@
 	}).Should(BeTrue(), "version %d is acknowledged", version)
 }
 
-// read returns the newest version by one member; zero when it can't be sure.
+// read returns the newest version according to one member; zero if the member cannot confirm it.
 func (g *group) read(at string) uint64 {
-	version, text, err := g.nodes[at].serving.Newest(context.Background())
+	version, text, err := g.instances[at].serving.Newest(context.Background())
 	if err != nil {
 		return 0
 	}
--- a/instance/serving/loads.go
+++ b/instance/serving/loads.go
@@ -15,58 +15,58 @@
 const channelLoads = "serving.loads"
 
 const (
-	// loadsEvery is the time between two exchanges of loads among members while
-	// upstreams are busy, and loadsSeldom while they are not.
-	loadsEvery  = 100 * time.Millisecond
-	loadsSeldom = 300 * time.Millisecond
-	// loadsAge is for how long a load counts without a newer one.
-	loadsAge = 1500 * time.Millisecond
+	// loadsInterval is the time between two exchanges of loads among members while upstreams
+	// are busy, and idleLoadsInterval while they are not.
+	loadsInterval     = 100 * time.Millisecond
+	idleLoadsInterval = 300 * time.Millisecond
+	// maxLoadAge is how long a load counts without a newer report.
+	maxLoadAge = 1500 * time.Millisecond
 )
 
-// totalFor is for how long one sum of all loads serves all who ask: encoding it anew for
-// each answer was most of a member's work with 300 instances and 3,000 upstreams.
-const totalFor = 50 * time.Millisecond
+// totalCacheTime is how long one encoded sum of all loads serves all requests. Encoding it for
+// each response was most of a member's work with 300 instances and 3,000 upstreams.
+const totalCacheTime = 50 * time.Millisecond
 
-// PromptPlacement says that the shared parts of a prompt, by their hash, were sent to an
-// upstream, which keeps them from then on.
+// PromptPlacement records that the shared parts of a prompt, identified by their hash, were
+// sent to an upstream, which caches them from then on.
 type PromptPlacement struct {
 	wire.Array
 	Prompt uint64
-	// FirstIndex names the incarnation, as in Load.
+	// FirstIndex identifies the incarnation of the upstream, as in Load.
 	FirstIndex uint64
 }
 
-// Report is what an instance tells of its work, or of that of all others.
+// Report is the work of one instance, or of all others.
 type Report struct {
 	Work Work `codec:"w"`
-	// Placements lists what was placed since the last report.
+	// Placements lists the prompts placed since the last report.
 	Placements []PromptPlacement `codec:"p,omitempty"`
-	// Busy says that upstreams have much to read, so that news of loads matter.
+	// Busy reports that upstreams have many tokens to prefill, so that recent loads matter.
 	Busy bool `codec:"b,omitempty"`
-	// HasObserved says that Observed is told, and asked for in the answer.
+	// HasObserved reports that Observed is included, and requests it in the response.
 	HasObserved bool          `codec:"o,omitempty"`
 	Observed    []Observation `codec:"v,omitempty"`
-	// Limits are those that upstreams name.
+	// Limits are the rate limits that upstreams announced.
 	Limits []ratelimit.Statement `codec:"l,omitempty"`
 }
 
-// Summary is what a member tells of the work of all instances.
+// Summary is the work of all instances as known to one member.
 type Summary struct {
-	// Total is the encoded Work of all, of the one that asks as well.
+	// Total is the encoded Work of all instances, including the one that asks.
 	Total []byte `codec:"w,omitempty"`
-	// Placements lists what others placed since the last answer.
+	// Placements lists the prompts that others placed since the last response.
 	Placements []PromptPlacement `codec:"p,omitempty"`
 	Busy       bool              `codec:"b,omitempty"`
-	// HasObserved says that Observed is told: the encoded observations of all, of the one that
-	// asks as well.
+	// HasObserved reports that Observed is included: the encoded observations of all instances,
+	// including the one that asks.
 	HasObserved bool   `codec:"o,omitempty"`
 	Observed    []byte `codec:"v,omitempty"`
-	// Limits are those that upstreams name, as all have heard of them.
+	// Limits are the rate limits that upstreams announced, as reported by all instances.
 	Limits []ratelimit.Statement `codec:"l,omitempty"`
 }
 
-// Others returns the work of all but one instance, which has reported own, and what all
-// observed.
+// Others returns the work of all instances but one, which has reported own, and the
+// observations of all.
 func (s *Summary) Others(own *Work) (*Report, error) {
 	r := &Report{Placements: s.Placements, Busy: s.Busy, HasObserved: s.HasObserved, Limits: s.Limits}
 	if len(s.Observed) > 0 {
@@ -90,64 +90,64 @@
 	busy bool
 }
 
-// placedNote is one Placed with who told it.
-type placedNote struct {
+// reportedPlacement is a placement with the name of its sender.
+type reportedPlacement struct {
 	PromptPlacement
 	from string
 }
 
-// maxPlaced bounds the notes that a member holds for instances that ask seldom or have just
-// started: those of half a minute at 300 new notes a second. maxPlacedAnswer bounds those in
-// one answer.
+// maxPlacements bounds the placements that a member holds for instances that ask rarely or have
+// just started: those of half a minute at 300 new placements a second. maxPlacementsPerResponse
+// bounds those in one response.
 const (
-	maxPlaced       = 8192
-	maxPlacedAnswer = 1024
+	maxPlacements            = 8192
+	maxPlacementsPerResponse = 1024
 )
 
-// placedLog holds the latest notes in order. next is the number of the one to come.
-type placedLog struct {
-	notes []placedNote
-	next  uint64
+// placementLog holds the latest placements in order. next is the number of the next one.
+type placementLog struct {
+	entries []reportedPlacement
+	next    uint64
 }
 
-func (l *placedLog) add(from string, placed []PromptPlacement) {
+func (l *placementLog) add(from string, placed []PromptPlacement) {
 	for _, p := range placed {
-		l.notes = append(l.notes, placedNote{p, from})
+		l.entries = append(l.entries, reportedPlacement{p, from})
 		l.next++
 	}
-	if extra := len(l.notes) - maxPlaced; extra > maxPlaced/4 {
-		l.notes = append([]placedNote(nil), l.notes[extra:]...)
+	if extra := len(l.entries) - maxPlacements; extra > maxPlacements/4 {
+		l.entries = append([]reportedPlacement(nil), l.entries[extra:]...)
 	}
 }
 
-// since returns notes from a number on that others than the given one told, the oldest
-// first, and the number from which on to go on. A number of another member's log is too
-// high or too low; then all that is held, or nothing, is new, and either is harmless.
-func (l *placedLog) since(number uint64, but string) (list []PromptPlacement, next uint64) {
-	first := l.next - uint64(len(l.notes))
+// since returns the placements from a number on, the oldest first, except those that the
+// named sender reported, and the number to continue from. A number from another member's
+// log is too high or too low; then nothing or all that is held is new, and either is harmless.
+func (l *placementLog) since(number uint64, except string) (list []PromptPlacement, next uint64) {
+	first := l.next - uint64(len(l.entries))
 	from := min(max(number, first), l.next)
-	for i, n := range l.notes[from-first:] {
-		if len(list) == maxPlacedAnswer {
+	for i, n := range l.entries[from-first:] {
+		if len(list) == maxPlacementsPerResponse {
 			return list, from + uint64(i)
 		}
-		if n.from != but {
+		if n.from != except {
 			list = append(list, n.PromptPlacement)
 		}
 	}
 	return list, l.next
 }
 
-// loadBook adds up the loads that instances report, by who reported them: instances
-// to the member that they ask, and members to each other.
-type loadBook struct{ watchers, members map[string]loadReport }
+// loadReports holds the latest load reports by sender: watchers are the instances that ask
+// this member, members the other members.
+type loadReports struct{ watchers, members map[string]loadReport }
 
-func newLoadBook() loadBook {
-	return loadBook{watchers: map[string]loadReport{}, members: map[string]loadReport{}}
+func newLoadReports() loadReports {
+	return loadReports{watchers: map[string]loadReport{}, members: map[string]loadReport{}}
 }
 
-// sum adds up the loads of the instances that ask here, and those of the other members
-// if asked for.
-func (b *loadBook) sum(now time.Time, others bool) Work {
+// sum adds up the loads of the instances that ask this member, and those of the other
+// members if others is set.
+func (b *loadReports) sum(now time.Time, others bool) Work {
 	total := newSum()
 	total.addAll(now, b.watchers)
 	if others {
@@ -156,24 +156,24 @@
 	return total.work()
 }
 
-// busy reports whether any instance finds upstreams busy.
-func (b *loadBook) busy(now time.Time, others bool) bool {
+// busy reports whether any instance considers upstreams busy.
+func (b *loadReports) busy(now time.Time, others bool) bool {
 	return anyBusy(now, b.watchers) || others && anyBusy(now, b.members)
 }
 
 func anyBusy(now time.Time, reports map[string]loadReport) bool {
 	for _, r := range reports {
-		if r.busy && now.Sub(r.at) < loadsAge {
+		if r.busy && now.Sub(r.at) < maxLoadAge {
 			return true
 		}
 	}
 	return false
 }
 
-// shareLoads tells the other members what the instances that ask here have under way,
-// and what they have placed.
+// shareLoads sends the loads and placements of the instances that ask this member to the
+// other members.
 func (s *Service) shareLoads(ctx context.Context) {
-	ticker := time.NewTicker(loadsEvery)
+	ticker := time.NewTicker(loadsInterval)
 	defer ticker.Stop()
 	idle := false
 	last := clock.Now()
@@ -190,15 +190,15 @@
 		s.mu.Lock()
 		now := clock.Now()
 		busy := s.loads.busy(now, false)
-		if !busy && now.Sub(last) < loadsSeldom {
+		if !busy && now.Sub(last) < idleLoadsInterval {
 			s.mu.Unlock()
 			continue
 		}
 		last = now
-		r := Report{Work: s.loads.sum(now, false), Placements: s.unsent, Busy: busy, Limits: s.limits.statements(now)}
-		s.unsent = nil
-		if now.Sub(s.observedSent) >= ObservationInterval {
-			r.HasObserved, r.Observed, s.observedSent = true, s.observed.sum(now, false, 1), now
+		r := Report{Work: s.loads.sum(now, false), Placements: s.unsentPlacements, Busy: busy, Limits: s.limits.statements(now)}
+		s.unsentPlacements = nil
+		if now.Sub(s.observedSentAt) >= ObservationInterval {
+			r.HasObserved, r.Observed, s.observedSentAt = true, s.observed.sum(now, false, 1), now
 		}
 		s.mu.Unlock()
 		quiet := r.Work.empty() && len(r.Placements)+len(r.Observed)+len(r.Limits) == 0
@@ -239,63 +239,64 @@
 	if r.HasObserved {
 		s.observed.members[from] = observedReport{clock.Now(), r.Observed}
 	}
-	s.placed.add(from, r.Placements)
-	s.limits.take(clock.Now(), r.Limits)
+	s.placements.add(from, r.Placements)
+	s.limits.merge(clock.Now(), r.Limits)
 	return nil, nil
 }
 
-// noteReport takes what an instance that asks here tells.
-func (s *Service) noteReport(from string, r *Report) {
+// recordReport records the report of an instance that asks this member.
+func (s *Service) recordReport(from string, r *Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loads.watchers[from] = loadReport{at: clock.Now(), work: r.Work, busy: r.Busy}
 	if r.HasObserved {
 		s.observed.watchers[from] = observedReport{clock.Now(), r.Observed}
 	}
-	s.placed.add(from, r.Placements)
-	s.limits.take(clock.Now(), r.Limits)
-	if len(s.unsent) < maxPlaced {
-		s.unsent = append(s.unsent, r.Placements...)
+	s.placements.add(from, r.Placements)
+	s.limits.merge(clock.Now(), r.Limits)
+	if len(s.unsentPlacements) < maxPlacements {
+		s.unsentPlacements = append(s.unsentPlacements, r.Placements...)
 	}
 }
 
-// summaryFor returns what all told, and the number from which on the next answer goes;
-// observes asks for the observations too.
+// summaryFor returns the summary of all reports and the number of the placement to send
+// next. observes includes the observations.
 func (s *Service) summaryFor(name string, since uint64, observes bool) (out Summary, next uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	if now.Sub(s.totalAt) >= totalFor {
-		s.total, s.totalAt = s.encodeTotal(now), now
+	if now.Sub(s.encodedTotalAt) >= totalCacheTime {
+		s.encodedTotal, s.encodedTotalAt = s.encodeTotal(now), now
 	}
-	out = Summary{Total: s.total, Busy: s.loads.busy(now, true), Limits: s.limits.statements(now)}
-	out.Placements, next = s.placed.since(since, name)
+	out = Summary{Total: s.encodedTotal, Busy: s.loads.busy(now, true), Limits: s.limits.statements(now)}
+	out.Placements, next = s.placements.since(since, name)
 	if observes {
 		out.HasObserved, out.Observed = true, s.encodeObserved(now)
 	}
 	return out, next
 }
 
-// encodeObserved needs mu. One encoded sum serves all who ask for a while.
+// encodeObserved returns the encoded sum of all observations, which is shared by requests
+// for a quarter of ObservationInterval. The caller must hold mu.
 func (s *Service) encodeObserved(now time.Time) []byte {
-	if now.Sub(s.observedAt) < ObservationInterval/4 {
-		return s.observedAll
+	if now.Sub(s.encodedObservedAt) < ObservationInterval/4 {
+		return s.encodedObserved
 	}
-	s.observedAll, s.observedAt = nil, now
-	list := s.observed.sum(now, true, leastTold)
+	s.encodedObserved, s.encodedObservedAt = nil, now
+	list := s.observed.sum(now, true, minSharedAnswers)
 	if len(list) == 0 {
 		return nil
 	}
 	encoded, err := link.Encode(list)
 	if err != nil {
-		s.cfg.Log.Error().Err(err).Str("event", "loads_unreadable").Msg("the observations of all can't be told")
+		s.cfg.Log.Error().Err(err).Str("event", "loads_unreadable").Msg("cannot encode the observations of all instances")
 		return nil
 	}
-	s.observedAll = encoded
+	s.encodedObserved = encoded
 	return encoded
 }
 
-// encodeTotal needs mu.
+// encodeTotal encodes the work of all instances. The caller must hold mu.
 func (s *Service) encodeTotal(now time.Time) []byte {
 	work := s.loads.sum(now, true)
 	if work.empty() {
@@ -303,7 +304,7 @@
 	}
 	encoded, err := link.Encode(&work)
 	if err != nil {
-		s.cfg.Log.Error().Err(err).Str("event", "loads_unreadable").Msg("the loads of all can't be told")
+		s.cfg.Log.Error().Err(err).Str("event", "loads_unreadable").Msg("cannot encode the loads of all instances")
 		return nil
 	}
 	return encoded
--- a/instance/serving/loads_bench_test.go
+++ b/instance/serving/loads_bench_test.go
@@ -7,9 +7,9 @@
 	"github.com/comfreyladder/comfreyladder/instance/clock"
 )
 
-// BenchmarkSummary is what the loads of one answer cost a member before 300 instances and
-// 3,000 upstreams that are all at work, on the mean: 6.4 microseconds, as one encoded sum
-// serves all answers for 50 ms. With a sum encoded for each answer it was 14 ms and 1.1 MB,
+// BenchmarkSummary measures the load summary of one response on a member with 300 instances
+// and 3,000 upstreams that are all at work: 6.4 microseconds on the mean, as one encoded sum
+// serves all responses for 50 ms. With a sum encoded for each response it was 14 ms and 1.1 MB,
 // both beside other work on the machine.
 func BenchmarkSummary(b *testing.B) {
 	const instances, upstreams, each = 100, 3000, 30
--- a/instance/serving/loads_test.go
+++ b/instance/serving/loads_test.go
@@ -16,9 +16,9 @@
 	}
 }
 
-// Instances ask different members, and each must see the work of all the others but
-// not its own twice. What an instance that died had under way fades.
-func TestLoadsOfOthersAddUp(t *testing.T) {
+// Instances ask different members. Each must see the work of all others and not count its own
+// twice. The work of an instance that stopped expires.
+func TestAddsUpLoadsOfOthers(t *testing.T) {
 	g := NewWithT(t)
 	s := New(Config{Links: noLinks{}})
 	now := clock.Now()
@@ -26,34 +26,34 @@
 	s.loads.watchers["b"] = loadReport{at: now, work: work(2)}
 	s.loads.members["m"] = loadReport{at: now, work: work(4)}
 	told, _ := s.summaryFor("a", 0, false)
-	own := work(1)
-	others, err := told.Others(&own)
+	ownWork := work(1)
+	others, err := told.Others(&ownWork)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(others.Work).To(Equal(work(6)))
 	g.Expect(s.loads.sum(now, false)).To(Equal(work(3)))
-	gone := s.loads.sum(now.Add(2*loadsAge), true)
+	gone := s.loads.sum(now.Add(2*maxLoadAge), true)
 	g.Expect(gone.empty()).To(BeTrue())
 }
 
-// The sum that an instance is told may be older than its latest report. Taken off, that
-// must leave nothing below zero, or the upstream would look idler than any other.
-func TestOwnWorkBeyondTheSumLeavesNothing(t *testing.T) {
+// The sum in a response may be older than the latest report of the instance. Subtracting the
+// report must not give values below zero, or the upstream would seem idler than all others.
+func TestSubtractDoesNotGoBelowZero(t *testing.T) {
 	g := NewWithT(t)
 	total, own := work(1), work(3)
 	total.subtract(&own)
 	g.Expect(total.empty()).To(BeTrue())
 }
 
-// noLinks are links to nobody.
+// noLinks discards all messages.
 type noLinks struct{}
 
 func (noLinks) Send(string, string, any) error { return nil }
 
 func (noLinks) Handle(string, link.Handler, ...link.ChannelOption) {}
 
-func TestPlacedPromptsReachTheOthersOnce(t *testing.T) {
+func TestPlacementsReachOthersOnce(t *testing.T) {
 	g := NewWithT(t)
-	var l placedLog
+	var l placementLog
 	since := func(number uint64, but string) []PromptPlacement {
 		list, _ := l.since(number, but)
 		return list
@@ -64,20 +64,20 @@
 	g.Expect(since(0, "c")).To(HaveLen(3))
 	g.Expect(since(l.next, "c")).To(BeEmpty())
 	g.Expect(since(l.next+99, "c")).To(BeEmpty(), "a number of another member's log")
-	for range 3 * maxPlaced {
+	for range 3 * maxPlacements {
 		l.add("a", []PromptPlacement{{Prompt: 9, FirstIndex: 3}})
 	}
-	g.Expect(len(l.notes)).To(BeNumerically("<=", 2*maxPlaced))
-	g.Expect(since(1, "c")).To(HaveLen(maxPlacedAnswer))
+	g.Expect(len(l.entries)).To(BeNumerically("<=", 2*maxPlacements))
+	g.Expect(since(1, "c")).To(HaveLen(maxPlacementsPerResponse))
 }
 
-// An instance starts again. Of the prompts that engines keep it is told the latest thousand
-// only; the others it sends to be read anew, or refuses in a burst as too much to read. It
-// must be told all that is held, in a few answers.
-func TestInstanceThatStartedIsToldAllThatIsHeld(t *testing.T) {
+// Guards against a restarted instance that gets only the latest thousand of the prompts cached
+// on engines. It would send the others to engines without them, or refuse them in a burst as too
+// much to prefill. It must get all placements that are held, in a few responses.
+func TestRestartedInstanceGetsAllPlacements(t *testing.T) {
 	g := NewWithT(t)
-	var l placedLog
-	const held = 3*maxPlacedAnswer + 10
+	var l placementLog
+	const held = 3*maxPlacementsPerResponse + 10
 	for i := range held {
 		l.add("a", []PromptPlacement{{Prompt: uint64(i), FirstIndex: 3}})
 	}
--- a/instance/serving/metering.go
+++ b/instance/serving/metering.go
@@ -14,15 +14,15 @@
 	"github.com/comfreyladder/comfreyladder/instance/consensus"
 )
 
-// clocks is a timebase.Reading on its way, in nanoseconds since the Unix epoch.
+// clocks is an encoded timebase.Reading, in nanoseconds since the Unix epoch.
 type clocks struct {
 	wire.Array
 	Wall, Agreed int64
 	Settled      bool
 }
 
-// metering gathers what instances counted, until it is committed, and agrees with the other
-// members on the time. It is safe for concurrent use; a nil one does nothing.
+// metering collects the request counts of the instances until they are committed, and agrees
+// on the time with the other members. It is safe for concurrent use; a nil metering does nothing.
 type metering struct {
 	mu        sync.Mutex
 	collector *usage.Collector
@@ -33,8 +33,9 @@
 	return &metering{collector: usage.NewCollector(), clock: timebase.New(time.Now)}
 }
 
-// take takes in what an instance told at a time of the steady clock.
-func (m *metering) take(from string, arrived time.Time, q *WatchRequest) {
+// record records the counts and the clock of an instance whose request arrived at the given
+// time of the monotonic clock.
+func (m *metering) record(from string, arrived time.Time, q *WatchRequest) {
 	if m == nil {
 		return
 	}
@@ -48,7 +49,7 @@
 	}
 }
 
-// observe takes in the clocks of another member.
+// observe records the clocks of another member.
 func (m *metering) observe(now time.Time, from string, c *clocks) {
 	if m == nil || c == nil {
 		return
@@ -58,7 +59,7 @@
 	m.clock.Observe(now, from, timebase.Reading{Wall: time.Unix(0, c.Wall), Agreed: time.Unix(0, c.Agreed), Settled: c.Settled})
 }
 
-// clocks returns this member's.
+// clocks returns the clocks of this member.
 func (m *metering) clocks(now time.Time) *clocks {
 	if m == nil {
 		return nil
@@ -69,7 +70,7 @@
 	return &clocks{Wall: r.Wall.UnixNano(), Agreed: r.Agreed.UnixNano(), Settled: r.Settled}
 }
 
-// agreed returns the agreed time in nanoseconds since the Unix epoch, zero for none.
+// agreed returns the agreed time in nanoseconds since the Unix epoch; zero if there is none.
 func (m *metering) agreed(now time.Time) (at int64, settled bool) {
 	if m == nil {
 		return 0, false
@@ -83,7 +84,7 @@
 func (m *metering) uncommitted(next int64) ([]usage.Report, uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.collector.Forget(next - keepCounted)
+	m.collector.Forget(next - retainedWindows)
 	return m.collector.Uncommitted()
 }
 
@@ -94,24 +95,24 @@
 }
 
 const (
-	// commitEvery is the time between two commits of what instances counted: what a member
-	// has heard since the last one is lost if it ends together with the instances.
-	commitEvery = 500 * time.Millisecond
-	// keepCounted is for how many windows after their close counts are kept here, so that
-	// late ones are told to operators.
-	keepCounted = 3
+	// commitInterval is the time between two commits of request counts. Counts that a member
+	// received since its last commit are lost if it ends together with the instances.
+	commitInterval = 500 * time.Millisecond
+	// retainedWindows is for how many windows after their close counts are retained, so that late
+	// ones are reported to operators.
+	retainedWindows = 3
 )
 
-// Agreed returns the agreed time, and whether it will not be set any more.
+// Agreed returns the agreed time and whether it will not be set again.
 func (s *Service) Agreed() (time.Time, bool) {
 	at, settled := s.metering.agreed(clock.Now())
 	return time.Unix(0, at), settled
 }
 
-// commitUsage commits what instances told this member. Every member does, so that nothing
-// depends on one that leads or is asked.
+// commitUsage commits the counts that instances sent to this member. Every member does so, so
+// that nothing depends on the leader or on a single member.
 func (s *Service) commitUsage(ctx context.Context) {
-	ticker := time.NewTicker(commitEvery)
+	ticker := time.NewTicker(commitInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -127,21 +128,21 @@
 
 func (s *Service) commitCounts(ctx context.Context, g *consensus.Service) {
 	var next int64
-	usageMachine(g, func(m *usagestate.Machine) { next, _ = m.Next() })
+	viewUsage(g, func(m *usagestate.Machine) { next, _ = m.Next() })
 	list, revision := s.metering.uncommitted(next)
 	if len(list) == 0 {
 		return
 	}
 	data, err := corecontrol.Marshal(&usagestate.Command{Counts: list})
 	if err != nil {
-		s.cfg.Log.Error().Err(err).Str("event", "usage_unreadable").Msg("counts can't be encoded")
+		s.cfg.Log.Error().Err(err).Str("event", "usage_unreadable").Msg("cannot encode the request counts")
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.Timeout)
 	defer cancel()
 	if _, _, err := g.Propose(ctx, usagestate.Name, data); err != nil {
-		// They are totals: told again, they change nothing if they were committed after all.
-		s.cfg.Log.Warn().Err(err).Str("event", "usage_not_committed").Int("instances", len(list)).Msg("counts of requests are not committed yet")
+		// Counts are totals: sending them again changes nothing if they were committed after all.
+		s.cfg.Log.Warn().Err(err).Str("event", "usage_not_committed").Int("instances", len(list)).Msg("request counts are not committed yet")
 		return
 	}
 	s.metering.committed(revision)
--- a/instance/serving/observed.go
+++ b/instance/serving/observed.go
@@ -6,13 +6,13 @@
 	"github.com/comfreyladder/comfreyladder/core/wire"
 )
 
-// Observation is what one instance, or several, observed of an upstream's answers lately:
-// the fields of balance.Observed in whole numbers.
+// Observation holds the recent measurements of an upstream's answers by one or several
+// instances: the fields of balance.Observed as integers.
 type Observation struct {
 	wire.Array
-	// FirstIndex names the incarnation, as in Load.
+	// FirstIndex identifies the incarnation, as in Load.
 	FirstIndex uint64
-	// Answers and Failures are hundredths of an answer, Predicted and Took milliseconds.
+	// Answers and Failures are in hundredths of an answer, Predicted and Took in milliseconds.
 	Answers, Failures, Predicted, Took int
 }
 
@@ -25,14 +25,14 @@
 
 const (
 	// ObservationInterval is the time between two exchanges of observations, which are sums over
-	// some seconds. Told with each report of loads they made a member's bytes half as many
-	// again before 300 instances and 3,000 upstreams (1.9 to 3.0 MB a second).
+	// some seconds. Sent with each load report, they raised the traffic of a member with 300
+	// instances and 3,000 upstreams by half, from 1.9 to 3.0 MB a second.
 	ObservationInterval = time.Second
-	// observedAge is for how long observations count without newer ones.
-	observedAge = 3 * time.Second
-	// leastTold is how many hundredths of an answer are worth telling all instances: fewer
-	// can't tell an upstream from its peers.
-	leastTold = 300
+	// maxObservedAge is how long observations count without newer ones.
+	maxObservedAge = 3 * time.Second
+	// minSharedAnswers is the number of answers, in hundredths, from which the observations of an
+	// upstream are sent to all instances. Fewer cannot distinguish an upstream from its peers.
+	minSharedAnswers = 300
 )
 
 type observedReport struct {
@@ -40,16 +40,17 @@
 	list []Observation
 }
 
-// observedBook holds the latest observations by who told them.
-type observedBook struct{ watchers, members map[string]observedReport }
+// observedReports holds the latest observations by sender, as in loadReports.
+type observedReports struct{ watchers, members map[string]observedReport }
 
-func newObservedBook() observedBook {
-	return observedBook{watchers: map[string]observedReport{}, members: map[string]observedReport{}}
+func newObservedReports() observedReports {
+	return observedReports{watchers: map[string]observedReport{}, members: map[string]observedReport{}}
 }
 
-// sum adds up what the instances that ask here observed, and the other members' if asked
-// for. Upstreams with less than least hundredths of an answer and no failure are left out.
-func (b *observedBook) sum(now time.Time, others bool, least int) []Observation {
+// sum adds up the observations of the instances that ask this member, and those of the other
+// members if others is set. It omits upstreams with less than least hundredths of an answer
+// and no failure.
+func (b *observedReports) sum(now time.Time, others bool, least int) []Observation {
 	total := map[uint64]*Observation{}
 	addObserved(total, now, b.watchers)
 	if others {
@@ -64,10 +65,10 @@
 	return list
 }
 
-// addObserved adds the reports that are not too old, and forgets the others.
+// addObserved adds the reports that are at most maxObservedAge old and deletes the others.
 func addObserved(total map[uint64]*Observation, now time.Time, reports map[string]observedReport) {
 	for name, r := range reports {
-		if now.Sub(r.at) > observedAge {
+		if now.Sub(r.at) > maxObservedAge {
 			delete(reports, name)
 			continue
 		}
--- a/instance/serving/serving.go
+++ b/instance/serving/serving.go
@@ -1,10 +1,10 @@
-// Package serving runs the replicated state that instances forward requests by, at
-// the instances of the control group: it takes tables from operators and
-// announcements from upstreams, and answers the questions of the instances that
-// follow (package follow).
+// Package serving is the service of the replicated serving state on the members of the
+// control group. It accepts routing tables from operators and announcements from
+// upstreams, and answers the watch requests of the instances that follow the state
+// (package follow).
 //
-// Every answer that says "this is the newest" rests on a read that a quorum has
-// confirmed after the question came.
+// Every response that claims to be current rests on a read that a quorum confirmed
+// after the request arrived.
 package serving
 
 import (
@@ -25,7 +25,7 @@
 	"github.com/comfreyladder/comfreyladder/instance/link"
 )
 
-// Links is what this service needs of instance/link.
+// Links is the part of instance/link that this service uses.
 type Links interface {
 	Send(to, channel string, msg any) error
 	Handle(channel string, h link.Handler, options ...link.ChannelOption)
@@ -33,66 +33,69 @@
 
 // Defaults of a Config.
 const (
-	// DefaultSilenceTimeout is after what silence an upstream is told to be silent: some
-	// three heartbeats.
+	// DefaultSilenceTimeout is the time without a heartbeat after which an upstream is
+	// marked silent: about three heartbeat intervals.
 	DefaultSilenceTimeout = 4500 * time.Millisecond
-	// DefaultTimeout bounds a change. Callers that get no answer try elsewhere.
+	// DefaultTimeout bounds a change. Callers that get no response in time try another member.
 	DefaultTimeout = 3 * time.Second
 )
 
-// Config of a Service.
+// Config holds the settings of a Service.
 type Config struct {
-	// Name is this instance's name, Domain its failure domain.
+	// Name is the name of this instance and Domain its failure domain.
 	Name, Domain string
-	// Replica returns the member of the control group that runs here, or nil.
+	// Replica returns the control group member that runs on this instance, or nil.
 	Replica func() *consensus.Service
 	Links   Links
-	// SilenceTimeout and Timeout; zero means the defaults.
+	// SilenceTimeout and Timeout default to DefaultSilenceTimeout and DefaultTimeout.
 	SilenceTimeout, Timeout time.Duration
-	// Usage has the instances' counts of requests committed.
+	// Usage makes the members commit the request counts of the instances.
 	Usage bool
 	Log   zerolog.Logger
 }
 
-// Service is the serving state at one member. It is safe for concurrent use.
+// Service is the serving state service of one member. It is safe for concurrent use.
 type Service struct {
 	cfg    Config
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 
 	mu sync.Mutex
-	// news is closed and made anew with each change of the state.
-	news  chan struct{}
-	index uint64
-	// quarantined is the index of the list of quarantined requests.
-	quarantined uint64
-	heard       map[string]time.Time
-	fresh       map[string]bool
-	watched     map[string]time.Time
-	own         map[string]bool
-	loads       loadBook
-	// total is the encoded work of all instances, as of totalAt.
-	total   []byte
-	totalAt time.Time
-	encoded encodedChanges
-	placed  placedLog
-	// observed are the observations, observedAll those of all, encoded, as of observedAt;
-	// observedSent is when the other members were told.
-	observed                 observedBook
-	observedAll              []byte
-	observedAt, observedSent time.Time
-	limits                   limitBook
-	// unsent are the notes that the other members were not told yet.
-	unsent []PromptPlacement
-	// table is the table in force.
+	// changed is closed and replaced at each change of the state.
+	changed chan struct{}
+	index   uint64
+	// quarantineIndex is the log index of the last change of the quarantine list.
+	quarantineIndex uint64
+	// lastHeard maps upstreams to the time of their last heartbeat at any member, and
+	// watchers maps forwarding instances to the time of their last request. unsentHeard and
+	// unsentWatchers hold those that the next digest lists.
+	lastHeard      map[string]time.Time
+	unsentHeard    map[string]bool
+	watchers       map[string]time.Time
+	unsentWatchers map[string]bool
+	loads          loadReports
+	// encodedTotal is the encoded work of all instances, computed at encodedTotalAt.
+	encodedTotal   []byte
+	encodedTotalAt time.Time
+	encoded        encodedChanges
+	placements     placementLog
+	// observed holds the observations; encodedObserved is their encoded sum, computed at
+	// encodedObservedAt. observedSentAt is when they were last sent to the other members.
+	observed                          observedReports
+	encodedObserved                   []byte
+	encodedObservedAt, observedSentAt time.Time
+	limits                            limitTracker
+	// unsentPlacements were not sent to the other members yet.
+	unsentPlacements []PromptPlacement
+	// table caches the routing table in force.
 	table tableCache
-	// leads is since when this member leads, zero while it does not.
-	leads time.Time
-	// metering has a mutex of its own; nil where nothing is counted.
+	// leaderSince is the time at which this member became the leader; zero while it is not.
+	leaderSince time.Time
+	// metering has its own mutex. It is nil if usage is not counted.
 	metering *metering
 }
 
-// New returns a service that is not started; it registers its channels.
+// New returns a service that is not started and registers its channels.
 func New(cfg Config) *Service {
 	if cfg.SilenceTimeout <= 0 {
 		cfg.SilenceTimeout = DefaultSilenceTimeout
@@ -101,8 +104,8 @@
 		cfg.Timeout = DefaultTimeout
 	}
 	s := &Service{
-		cfg: cfg, news: make(chan struct{}), heard: map[string]time.Time{}, fresh: map[string]bool{},
-		watched: map[string]time.Time{}, own: map[string]bool{}, loads: newLoadBook(), observed: newObservedBook(), limits: newLimitBook(),
+		cfg: cfg, changed: make(chan struct{}), lastHeard: map[string]time.Time{}, unsentHeard: map[string]bool{},
+		watchers: map[string]time.Time{}, unsentWatchers: map[string]bool{}, loads: newLoadReports(), observed: newObservedReports(), limits: newLimitTracker(),
 	}
 	if cfg.Usage {
 		s.metering = newMetering()
@@ -117,7 +120,7 @@
 func (s *Service) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
-	s.done.Go(func() { s.exchange(ctx) })
+	s.done.Go(func() { s.exchangeDigests(ctx) })
 	s.done.Go(func() { s.shareLoads(ctx) })
 	if s.metering != nil {
 		s.done.Go(func() { s.commitUsage(ctx) })
@@ -134,7 +137,7 @@
 	return nil
 }
 
-var errNoMember = fault.New(fault.Unavailable, "this instance is no member of the control group yet").WithRetryAfter(time.Second)
+var errNoMember = fault.New(fault.Unavailable, "this instance is not a member of the control group yet").WithRetryAfter(time.Second)
 
 func (s *Service) replica() (*consensus.Service, error) {
 	g := s.cfg.Replica()
@@ -144,49 +147,50 @@
 	return g, nil
 }
 
-// machine runs f on the state; f must not keep what it gets.
-func machine(g *consensus.Service, f func(*serving.Machine)) {
+// viewServing runs f on the serving state; f must not retain its argument.
+func viewServing(g *consensus.Service, f func(*serving.Machine)) {
 	g.View(func(_ uint64, m *corecontrol.Mux) { f(m.Machine(serving.Name).(*serving.Machine)) })
 }
 
-// usageMachine runs f on the counts; f must not keep what it gets.
-func usageMachine(g *consensus.Service, f func(*usage.Machine)) {
+// viewUsage runs f on the usage counts; f must not retain its argument.
+func viewUsage(g *consensus.Service, f func(*usage.Machine)) {
 	g.View(func(_ uint64, m *corecontrol.Mux) { f(m.Machine(usage.Name).(*usage.Machine)) })
 }
 
-// quarantineMachine runs f on the quarantined requests; f must not keep what it gets.
-func quarantineMachine(g *consensus.Service, f func(*quarantine.Machine)) {
+// viewQuarantine runs f on the quarantine list; f must not retain its argument.
+func viewQuarantine(g *consensus.Service, f func(*quarantine.Machine)) {
 	g.View(func(_ uint64, m *corecontrol.Mux) { f(m.Machine(quarantine.Name).(*quarantine.Machine)) })
 }
 
-// indexes returns the log indexes of the last changes of the state and of the quarantine.
-func indexes(g *consensus.Service) (index, quarantined uint64) {
-	machine(g, func(m *serving.Machine) { index = m.Index() })
-	quarantineMachine(g, func(m *quarantine.Machine) { quarantined = m.Index() })
+// stateIndexes returns the log indexes of the last changes of the serving state and of
+// the quarantine list.
+func stateIndexes(g *consensus.Service) (index, quarantined uint64) {
+	viewServing(g, func(m *serving.Machine) { index = m.Index() })
+	viewQuarantine(g, func(m *quarantine.Machine) { quarantined = m.Index() })
 	return index, quarantined
 }
 
-// Applied is told of each entry of the control log that this member applied.
+// Applied is called after each control log entry that this member applied.
 func (s *Service) Applied(uint64) {
 	g := s.cfg.Replica()
 	if g == nil {
 		return
 	}
-	index, quarantined := indexes(g)
+	index, quarantined := stateIndexes(g)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if index == s.index && quarantined == s.quarantined {
+	if index == s.index && quarantined == s.quarantineIndex {
 		return
 	}
-	s.index, s.quarantined = index, quarantined
-	close(s.news)
-	s.news = make(chan struct{})
+	s.index, s.quarantineIndex = index, quarantined
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// Put has a table replicated, with the form in which it came. It returns when the
-// table, or one of a higher version, is in force; whoever sends it again, or sends
-// an older one, gets the same answer. It fails with fault.Invalid when the table is
-// faulty, whatever its version, and otherwise as consensus.Propose does.
+// Put replicates a routing table together with its source text. It returns once this
+// table, or one of a higher version, is in force; repeating a table or sending an older
+// one gives the same result. It fails with fault.Invalid if the table is invalid,
+// whatever its version, and otherwise like consensus.Propose.
 func (s *Service) Put(ctx context.Context, t *route.Table, source []byte) error {
 	if err := t.Validate(); err != nil {
 		return err
@@ -197,7 +201,7 @@
 	}
 	err = s.propose(ctx, &serving.Command{Put: &serving.Put{Version: t.Version, Table: encoded, Source: source}})
 	s.cfg.Log.Info().Str("event", "table_put").Uint64("version", t.Version).Int("bytes", len(source)).
-		Int("routes", len(t.Routes)).Str("outcome", outcome(err)).Err(err).Msg("table from an operator")
+		Int("routes", len(t.Routes)).Str("outcome", outcome(err)).Err(err).Msg("routing table from an operator")
 	return err
 }
 
@@ -223,8 +227,8 @@
 	return err
 }
 
-// Newest returns the newest version and the form in which it came, after a quorum
-// has confirmed that it is. It fails with fault.Unavailable, also while there is none.
+// Newest returns the newest version and its source text after a quorum confirmed that it
+// is the newest. It fails with fault.Unavailable, also while there is no table.
 func (s *Service) Newest(ctx context.Context) (version uint64, source []byte, err error) {
 	g, err := s.replica()
 	if err != nil {
@@ -235,16 +239,16 @@
 	if _, err := g.Read(ctx); err != nil {
 		return 0, nil, err
 	}
-	machine(g, func(m *serving.Machine) { version, source = m.Source() })
+	viewServing(g, func(m *serving.Machine) { version, source = m.Source() })
 	if version == 0 {
-		return 0, nil, fault.New(fault.Unavailable, "there is no table yet").WithRetryAfter(time.Second)
+		return 0, nil, fault.New(fault.Unavailable, "there is no routing table yet").WithRetryAfter(time.Second)
 	}
 	return version, source, nil
 }
 
-// Announce takes a heartbeat of an upstream. One that says nothing new is not
-// replicated. When Announce returns without a failure, every confirmed answer from
-// then on has it.
+// Announce handles a heartbeat of an upstream. A heartbeat that does not change the state
+// is not replicated. Once Announce returns without an error, every confirmed response
+// reflects it.
 func (s *Service) Announce(ctx context.Context, u serving.Upstream) error {
 	g, err := s.replica()
 	if err != nil {
@@ -252,8 +256,8 @@
 	}
 	var known serving.Upstream
 	var ok bool
-	machine(g, func(m *serving.Machine) { known, ok = m.Upstream(u.ID) })
-	s.note(u.ID)
+	viewServing(g, func(m *serving.Machine) { known, ok = m.Upstream(u.ID) })
+	s.recordHeartbeat(u.ID)
 	if ok && !serving.ChangesState(&known, &u) {
 		return nil
 	}
@@ -264,18 +268,18 @@
 	return err
 }
 
-// Leave takes the leave of an upstream that started at a Unix millisecond; zero where it
-// does not say when. When it returns without a failure, every confirmed answer from then
-// on has it.
-func (s *Service) Leave(ctx context.Context, id string, born int64) error {
-	err := s.propose(ctx, &serving.Command{Leave: id, LeaveStartedAt: born})
-	s.cfg.Log.Info().Str("event", "upstream_left").Str("upstream", id).Int64("born", born).Str("outcome", outcome(err)).Err(err).Msg("an upstream leaves")
+// Leave deregisters an upstream that started at startedAt, in Unix milliseconds; zero if
+// the start is unknown. Once Leave returns without an error, every confirmed response
+// reflects it.
+func (s *Service) Leave(ctx context.Context, id string, startedAt int64) error {
+	err := s.propose(ctx, &serving.Command{Leave: id, LeaveStartedAt: startedAt})
+	s.cfg.Log.Info().Str("event", "upstream_left").Str("upstream", id).Int64("born", startedAt).Str("outcome", outcome(err)).Err(err).Msg("upstream deregistered")
 	return err
 }
 
-func (s *Service) note(id string) {
+func (s *Service) recordHeartbeat(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard[id] = clock.Now()
-	s.fresh[id] = true
+	s.lastHeard[id] = clock.Now()
+	s.unsentHeard[id] = true
 }
--- a/instance/serving/watch.go
+++ b/instance/serving/watch.go
@@ -13,71 +13,74 @@
 	"github.com/comfreyladder/comfreyladder/instance/link"
 )
 
-// ChannelWatch carries Question and Answer.
+// ChannelWatch is the link channel of WatchRequest and WatchResponse.
 const ChannelWatch = "serving.watch"
 
 const (
-	// maxHold bounds for how long a question is held.
-	maxHold = 5 * time.Second
-	// confirmTimeout bounds the read that an answer rests on. A member that is cut
-	// off must say so soon, so that whoever asked goes to another one.
+	// maxWait bounds the time for which a request is held.
+	maxWait = 5 * time.Second
+	// confirmTimeout bounds the confirming read of a response. A member that is cut off must
+	// say so quickly, so that the caller tries another one.
 	confirmTimeout = 300 * time.Millisecond
-	// newsBatch is for how long an answer waits for more news after the first. Upstreams
-	// come and go by the hundred, one log entry each; answered one by one, instances ask
-	// again and again while a member has least time for it. Short beside the seconds that an
-	// operator or a leaving upstream may wait until all know.
-	newsBatch = 20 * time.Millisecond
+	// changeBatchDelay is how long a response waits for more changes after the first one.
+	// Upstreams come and go by the hundred, with one log entry each; with one response per
+	// entry, instances would ask again and again while the member is busiest. The delay is
+	// short compared with the seconds that an operator or a leaving upstream may wait until
+	// all instances know.
+	changeBatchDelay = 20 * time.Millisecond
 )
 
-// WatchRequest is what an instance that follows asks.
+// WatchRequest asks a member for changes of the serving state.
 type WatchRequest struct {
-	// Index is up to where it has the state; zero for nothing.
+	// Index is the log index up to which the instance has the state; zero for none.
 	Index uint64 `codec:"n"`
-	// MaxWaitMS is for how long the answer may wait for news, in milliseconds.
+	// MaxWaitMS is how long the response may wait for a change, in milliseconds.
 	MaxWaitMS int64 `codec:"h"`
-	// Forwards says that the instance forwards requests, so that it counts among
-	// those that share budgets.
+	// Forwards reports whether the instance forwards requests and so counts among those that
+	// share budgets.
 	Forwards bool `codec:"w"`
-	// Report is the work of the instance, and Told up to where it was told the others'
-	// by this member.
+	// Report is the work of the instance. NextPlacement is the number of the first placement
+	// that this member has not sent to it.
 	Report        Report `codec:"r"`
 	NextPlacement uint64 `codec:"t"`
-	// Usage is what the instance has counted, where usage is reported, and Wall its time
-	// of day in nanoseconds since the Unix epoch, as long as the member's agreed time is
-	// not settled.
+	// Usage holds the request counts of the instance if usage is reported. Wall is its wall
+	// clock in nanoseconds since the Unix epoch, sent until the agreed time of the member is
+	// settled.
 	Usage *usage.Report `codec:"u,omitempty"`
 	Wall  int64         `codec:"l,omitempty"`
-	// Quarantine is up to where it has the list of quarantined requests; zero for nothing.
+	// Quarantine is the log index up to which the instance has the quarantine list; zero for none.
 	Quarantine uint64 `codec:"q,omitempty"`
 }
 
-// WatchResponse is what a member knows.
+// WatchResponse holds what a member knows.
 type WatchResponse struct {
 	Changes serving.Changes `codec:"c"`
-	// Encoded are the Changes in encoded form, in place of them, where many ask for the same.
+	// Encoded replaces Changes by their encoded form, which is shared by requests for the
+	// same changes.
 	Encoded []byte `codec:"e,omitempty"`
-	// Confirmed says that a quorum has confirmed that nothing newer was committed,
-	// not earlier than HeldMS milliseconds after the question came.
+	// Confirmed reports whether a quorum confirmed that nothing newer was committed, not
+	// earlier than WaitedMS milliseconds after the request arrived.
 	Confirmed bool  `codec:"o"`
 	WaitedMS  int64 `codec:"h"`
-	// Domain is the failure domain of the member, Members the names of all.
+	// Domain is the failure domain of the member, Members the names of all members.
 	Domain  string   `codec:"d"`
 	Members []string `codec:"m"`
-	// Forwarders is how many instances forward requests, as far as is known.
+	// Forwarders is the known number of instances that forward requests.
 	Forwarders int `codec:"f"`
-	// Summary is the work of all instances, and Told the number to ask from next.
+	// Summary is the work of all instances. NextPlacement is the number of the placement to
+	// ask for next.
 	Summary       Summary `codec:"r"`
 	NextPlacement uint64  `codec:"t"`
-	// Agreed is the agreed time in nanoseconds since the Unix epoch; zero where nothing
-	// goes by it. Settled says that it will not be set any more.
+	// Agreed is the agreed time in nanoseconds since the Unix epoch; zero if nothing uses it.
+	// Settled reports that it will not be set again.
 	Agreed  int64 `codec:"g,omitempty"`
 	Settled bool  `codec:"s,omitempty"`
-	// Quarantine is what has changed in the list of quarantined requests; nil for nothing.
+	// Quarantine holds the changes of the quarantine list; nil if there are none.
 	Quarantine *quarantine.Changes `codec:"q,omitempty"`
 }
 
-// watch holds a question until there is news or its time is over. The confirmation
-// comes last, so that what it proves is as fresh as can be.
+// watch holds a request until the state changes or its wait is over. The confirming read
+// comes last, so that the confirmed state is as recent as possible.
 func (s *Service) watch(ctx context.Context, from string, msg link.Message) (any, error) {
 	arrived := clock.Now()
 	var q WatchRequest
@@ -89,11 +92,11 @@
 		return nil, err
 	}
 	if q.Forwards {
-		s.noteWatcher(from)
-		s.noteReport(from, &q.Report)
-		s.metering.take(from, arrived, &q)
+		s.recordWatcher(from)
+		s.recordReport(from, &q.Report)
+		s.metering.record(from, arrived, &q)
 	}
-	s.hold(ctx, g, &q)
+	s.awaitChange(ctx, g, &q)
 	a := WatchResponse{Domain: s.cfg.Domain, WaitedMS: clock.Since(arrived).Milliseconds()}
 	confirm, cancel := context.WithTimeout(ctx, confirmTimeout)
 	_, err = g.Read(confirm)
@@ -102,16 +105,16 @@
 	if err := s.changes(g, q.Index, &a); err != nil {
 		return nil, err
 	}
-	quarantineMachine(g, func(m *quarantine.Machine) { a.Quarantine = m.Since(q.Quarantine) })
+	viewQuarantine(g, func(m *quarantine.Machine) { a.Quarantine = m.Since(q.Quarantine) })
 	st := g.Status()
-	a.Members = names(st.Members)
+	a.Members = memberNames(st.Members)
 	a.Forwarders = s.forwarders()
 	a.Summary, a.NextPlacement = s.summaryFor(from, q.NextPlacement, q.Report.HasObserved)
 	a.Agreed, a.Settled = s.metering.agreed(clock.Now())
 	return a, nil
 }
 
-func names(members raft.Members) []string {
+func memberNames(members raft.Members) []string {
 	var list []string
 	for _, m := range members {
 		list = append(list, m.Name)
@@ -119,24 +122,24 @@
 	return list
 }
 
-func (s *Service) hold(ctx context.Context, g *consensus.Service, q *WatchRequest) {
+func (s *Service) awaitChange(ctx context.Context, g *consensus.Service, q *WatchRequest) {
 	s.mu.Lock()
-	news := s.news
+	news := s.changed
 	s.mu.Unlock()
-	index, quarantined := indexes(g)
-	// An instance that has heard of no quarantine hears of the first one with the next news.
+	index, quarantined := stateIndexes(g)
+	// An instance without a quarantine list gets the first entry with the next change.
 	behind := index > q.Index || quarantined > q.Quarantine && q.Quarantine > 0
 	if behind && q.Index > 0 {
-		clock.Sleep(ctx, newsBatch)
+		clock.Sleep(ctx, changeBatchDelay)
 	}
 	if behind || q.MaxWaitMS <= 0 {
 		return
 	}
-	t := time.NewTimer(min(time.Duration(q.MaxWaitMS)*time.Millisecond, maxHold))
+	t := time.NewTimer(min(time.Duration(q.MaxWaitMS)*time.Millisecond, maxWait))
 	defer t.Stop()
 	select {
 	case <-news:
-		clock.Sleep(ctx, newsBatch)
+		clock.Sleep(ctx, changeBatchDelay)
 	case <-t.C:
 	case <-ctx.Done():
 	}
--- a/instance/serving/work.go
+++ b/instance/serving/work.go
@@ -7,18 +7,19 @@
 	"github.com/comfreyladder/comfreyladder/core/wire"
 )
 
-// Load is what one instance, or several, have under way at an upstream. Upstreams' own
-// reports lag and cost; what was sent to them is known at once.
+// Load is the work in progress of one or several instances at an upstream. It is counted by
+// the instances: reports of the upstreams lag and cost, while what was sent to them is known
+// at once.
 type Load struct {
 	wire.Array
-	// ID is empty: Begun names the upstream. It keeps its place for instances of another
-	// version.
+	// ID is empty: FirstIndex identifies the upstream. The field keeps its place in the encoded
+	// array for instances of other versions.
 	ID string
-	// Active counts requests, QueuedTokens the prompt tokens that wait to be read for them,
-	// UsedTokens those that they hold in memory.
+	// Active counts requests, QueuedTokens their prompt tokens that wait for prefill, and
+	// UsedTokens the tokens that they hold in memory.
 	Active, QueuedTokens, UsedTokens int
-	// FirstIndex names the incarnation, by the log index at which it was first heard of: a third
-	// of the bytes of its ID, several times a second to each instance.
+	// FirstIndex identifies the incarnation by the log index at which it was registered. That
+	// takes a third of the bytes of its ID, several times a second to each instance.
 	FirstIndex uint64
 }
 
@@ -28,46 +29,46 @@
 	l.UsedTokens = max(0, l.UsedTokens+sign*o.UsedTokens)
 }
 
-// RouteLoad is what one instance, or several, see of a route's requests to a service: the
-// fields of balance.RouteLoad in whole numbers.
+// RouteLoad is the load of a route on a service as seen by one or several instances: the
+// fields of balance.RouteLoad as integers.
 type RouteLoad struct {
 	wire.Array
 	Service, Route string
-	// Tokens, UncachedTokens and Recent are prompt tokens, Requests thousandths of one.
+	// Tokens, UncachedTokens and Recent are in prompt tokens, Requests in thousandths of a request.
 	Tokens, UncachedTokens, Requests, Recent int
 	// SlotTime and RecentSlots are in milliseconds.
 	SlotTime, RecentSlots int
-	// MaxPause is in milliseconds, Rank in hundredths; they are the route's, not added up.
+	// MaxPause is in milliseconds, Rank in hundredths. They belong to the route and are not added up.
 	MaxPause, Rank int
-	// RecentCached is the part of Recent for requests whose shared tokens are cached.
+	// RecentCached is the part of Recent from requests whose shared tokens are cached.
 	RecentCached int
-	// PerMS is how many prompt tokens an engine reads in a millisecond, in hundredths, as
-	// instances have learned it: the mean over their requests.
+	// PerMS is the number of prompt tokens that an engine prefills per millisecond, in hundredths,
+	// as measured by the instances: the mean over their requests.
 	PerMS int
 }
 
-// Loads travel in whole numbers: requests in thousandths, times in milliseconds, ranks and
-// paces in hundredths.
+// Loads are encoded as integers: requests in thousandths, times in milliseconds, ranks and
+// prefill rates in hundredths.
 const (
-	requestUnit = 1000
-	millis      = 1000
-	hundredths  = 100
+	requestsScale   = 1000
+	millisPerSecond = 1000
+	hundredths      = 100
 )
 
-// RouteLoadOf returns a load in the form in which it travels.
+// RouteLoadOf converts a load to its encoded form.
 func RouteLoadOf(service, route string, l *balance.RouteLoad, perMS float64) RouteLoad {
 	return RouteLoad{
-		Service: service, Route: route, Tokens: int(l.Tokens), UncachedTokens: int(l.UncachedTokens), Requests: int(l.Requests * requestUnit), Recent: int(l.Recent),
-		SlotTime: int(l.SlotTime * millis), RecentSlots: int(l.RecentSlots * millis),
+		Service: service, Route: route, Tokens: int(l.Tokens), UncachedTokens: int(l.UncachedTokens), Requests: int(l.Requests * requestsScale), Recent: int(l.Recent),
+		SlotTime: int(l.SlotTime * millisPerSecond), RecentSlots: int(l.RecentSlots * millisPerSecond),
 		RecentCached: int(l.RecentCached), MaxPause: int(l.MaxPause.Milliseconds()), Rank: int(l.Rank * hundredths), PerMS: int(perMS * hundredths),
 	}
 }
 
-// Load returns the load that was told.
+// Load converts a load from its encoded form.
 func (l *RouteLoad) Load() balance.RouteLoad {
 	return balance.RouteLoad{
-		Tokens: float64(l.Tokens), UncachedTokens: float64(l.UncachedTokens), Requests: float64(l.Requests) / requestUnit, Recent: float64(l.Recent),
-		SlotTime: float64(l.SlotTime) / millis, RecentSlots: float64(l.RecentSlots) / millis,
+		Tokens: float64(l.Tokens), UncachedTokens: float64(l.UncachedTokens), Requests: float64(l.Requests) / requestsScale, Recent: float64(l.Recent),
+		SlotTime: float64(l.SlotTime) / millisPerSecond, RecentSlots: float64(l.RecentSlots) / millisPerSecond,
 		RecentCached: float64(l.RecentCached), MaxPause: time.Duration(l.MaxPause) * time.Millisecond, Rank: float64(l.Rank) / hundredths,
 	}
 }
@@ -86,7 +87,7 @@
 	l.MaxPause, l.Rank = o.MaxPause, o.Rank
 }
 
-// Work is what one instance, or several, have under way and see coming.
+// Work is the current and expected work of one or several instances.
 type Work struct {
 	Loads  []Load      `codec:"l,omitempty"`
 	Routes []RouteLoad `codec:"r,omitempty"`
@@ -94,8 +95,8 @@
 
 func (w *Work) empty() bool { return len(w.Loads)+len(w.Routes) == 0 }
 
-// subtract takes off the part of one instance. A sum that was made before its latest
-// report may lack something of it, so nothing falls below zero.
+// subtract removes the work of one instance. A sum that was computed before the instance's
+// latest report may lack some of it, so no value falls below zero.
 func (w *Work) subtract(part *Work) {
 	s := newSum()
 	s.add(w, 1)
@@ -105,7 +106,7 @@
 
 type routeKey struct{ service, route string }
 
-// sum adds up work.
+// sum accumulates work.
 type sum struct {
 	loads  map[uint64]*Load
 	routes map[routeKey]*RouteLoad
@@ -113,7 +114,7 @@
 
 func newSum() sum { return sum{map[uint64]*Load{}, map[routeKey]*RouteLoad{}} }
 
-// add adds work, or with a sign of -1 takes it off.
+// add adds work, or subtracts it if sign is -1.
 func (s sum) add(w *Work, sign int) {
 	for i := range w.Loads {
 		l := &w.Loads[i]
@@ -132,10 +133,10 @@
 	}
 }
 
-// addAll adds the reports that are not too old, and forgets the others.
+// addAll adds the reports that are at most maxLoadAge old and deletes the others.
 func (s sum) addAll(now time.Time, reports map[string]loadReport) {
 	for name, r := range reports {
-		if now.Sub(r.at) > loadsAge {
+		if now.Sub(r.at) > maxLoadAge {
 			delete(reports, name)
 			continue
 		}
@@ -143,7 +144,7 @@
 	}
 }
 
-// work returns the sum, without what is nothing.
+// work returns the sum without empty entries.
 func (s sum) work() (w Work) {
 	for _, l := range s.loads {
 		if l.Active+l.QueuedTokens+l.UsedTokens > 0 {
