--- a/instance/duty/fakes_test.go
+++ b/instance/duty/fakes_test.go
@@ -145,7 +145,7 @@
 	n.Service = duty.New(duty.Config{
 		Instance: name, Machine: name, Group: func() duty.Group { return n }, Provider: &path{n},
 		Agreed: func() (time.Time, bool) { return time.Now(), true },
-		Usage:  &duty.Usage{Span: span, Delay: delay}, Scale: &duty.Scale{Look: w.fleet.look, DryRun: w.dryRun}, Lease: lease, PerSecond: 50,
+		Usage:  &duty.Usage{Span: span, Delay: delay}, Scale: &duty.Scale{Services: w.fleet.look, DryRun: w.dryRun}, Lease: lease, PerSecond: 50,
 		// Ticks in step with each other would let everything happen in one order.
 		Tick: 20*time.Millisecond + time.Duration(rand.IntN(20))*time.Millisecond,
 		Now:  n.now, Log: zerolog.Nop(),
--- a/instance/duty/scale.go
+++ b/instance/duty/scale.go
@@ -10,9 +10,9 @@
 
 // Scale says how upstreams are ordered.
 type Scale struct {
-	// Look returns what is known of the services of which upstreams can be ordered.
-	Look func() []scale.Service
-	Plan scale.Config
+	// Services returns what is known of the services of which upstreams can be ordered.
+	Services func() []scale.Service
+	Plan     scale.Config
 	// DryRun logs what would be ordered, and orders nothing.
 	DryRun bool
 }
@@ -115,7 +115,7 @@
 	if s.scale.orders == nil {
 		s.scale.orders, s.scale.planners = map[subject]*order{}, map[string]*scale.Planner{}
 	}
-	for _, v := range s.cfg.Scale.Look() {
+	for _, v := range s.cfg.Scale.Services() {
 		s.orderService(now, &v)
 	}
 }
--- a/instance/roles/duties.go
+++ b/instance/roles/duties.go
@@ -46,7 +46,7 @@
 		if orders != nil {
 			// A copy: what the settings say is compared with what they say later.
 			known := *orders
-			known.Look = state.ScalableServices
+			known.Services = state.ScalableServices
 			orders = &known
 		}
 		client := upstream.New(upstream.Config{DialTimeout: providerDial, FirstByte: duty.DefaultCallTimeout})
