--- a/instance/duty/scale.go
+++ b/instance/duty/scale.go
@@ -28,8 +28,8 @@
 // OrderStatus tells how an order stands.
 type OrderStatus struct {
 	Order
-	// Given is the count that the provider took last, Ready how many serve.
-	Given, Ready int
+	// Accepted is the count that the provider took last, Ready how many serve.
+	Accepted, Ready int
 	// Last is why the latest call failed, empty if it did not.
 	Last string
 }
@@ -97,7 +97,7 @@
 
 func (d *scaleDuty) status() (list []OrderStatus) {
 	for k, o := range d.orders {
-		st := OrderStatus{Order: Order{k.service, k.domain, o.wanted, k.preemptible}, Given: o.given, Ready: o.ready}
+		st := OrderStatus{Order: Order{k.service, k.domain, o.wanted, k.preemptible}, Accepted: o.given, Ready: o.ready}
 		if o.last != nil {
 			st.Last = o.last.Error()
 		}
