--- a/instance/duty/view.go
+++ b/instance/duty/view.go
@@ -51,10 +51,10 @@
 	Domain      string `json:"domain"`
 	Preemptible bool   `json:"preemptible,omitempty"`
 	// Wanted is what the plan asks for, Given what the provider took last, Ready what serves.
-	Wanted int    `json:"wanted"`
-	Given  int    `json:"given"`
-	Ready  int    `json:"ready"`
-	Failed string `json:"failed,omitempty"`
+	Wanted   int    `json:"wanted"`
+	Accepted int    `json:"given"`
+	Ready    int    `json:"ready"`
+	Failed   string `json:"failed,omitempty"`
 }
 
 // Path is where a member tells its View, beside its metrics.
--- a/operator/commands/show/duties.go
+++ b/operator/commands/show/duties.go
@@ -40,7 +40,7 @@
 		if o.Preemptible {
 			kind = "preemptible"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%d\t%s\n", o.Service, o.Domain, kind, o.Wanted, o.Given, o.Ready, cmp.Or(o.Failed, "-"))
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%d\t%s\n", o.Service, o.Domain, kind, o.Wanted, o.Accepted, o.Ready, cmp.Or(o.Failed, "-"))
 	}
 	_ = t.Flush()
 }
