--- a/instance/duty/scale.go
+++ b/instance/duty/scale.go
@@ -30,8 +30,8 @@
 	Order
 	// Accepted is the count that the provider took last, Ready how many serve.
 	Accepted, Ready int
-	// Last is why the latest call failed, empty if it did not.
-	Last string
+	// LastError is why the latest call failed, empty if it did not.
+	LastError string
 }
 
 const (
@@ -99,7 +99,7 @@
 	for k, o := range d.orders {
 		st := OrderStatus{Order: Order{k.service, k.domain, o.wanted, k.preemptible}, Accepted: o.given, Ready: o.ready}
 		if o.last != nil {
-			st.Last = o.last.Error()
+			st.LastError = o.last.Error()
 		}
 		list = append(list, st)
 	}
--- a/instance/duty/view.go
+++ b/instance/duty/view.go
@@ -78,7 +78,7 @@
 		}
 	}
 	for _, o := range st.Orders {
-		v.Orders = append(v.Orders, OrderView{o.Service, o.Domain, o.Preemptible, o.Count, o.Accepted, o.Ready, o.Last})
+		v.Orders = append(v.Orders, OrderView{o.Service, o.Domain, o.Preemptible, o.Count, o.Accepted, o.Ready, o.LastError})
 	}
 	slices.SortFunc(v.Orders, func(a, b OrderView) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Domain, b.Domain), cmp.Compare(rank(a), rank(b)))
