--- a/instance/duty/view.go
+++ b/instance/duty/view.go
@@ -30,8 +30,8 @@
 
 // WindowView is the report of a window.
 type WindowView struct {
-	Window int64     `json:"window"`
-	Begins time.Time `json:"begins"`
+	Window   int64     `json:"window"`
+	StartsAt time.Time `json:"begins"`
 	// State is "open" until the report was taken, then "acknowledged", or "refused" as faulty.
 	State string `json:"state"`
 	// Overdue says that it is open after it was due.
@@ -97,7 +97,7 @@
 func (s *Service) viewWindow(now time.Time, c *usagestate.Closed) WindowView {
 	end := usage.EndOf(c.Window, s.cfg.Usage.Span)
 	w := WindowView{
-		Window: c.Window, Begins: end.Add(-s.cfg.Usage.Span), State: cmp.Or(string(c.Outcome), StateOpen),
+		Window: c.Window, StartsAt: end.Add(-s.cfg.Usage.Span), State: cmp.Or(string(c.Outcome), StateOpen),
 		Overdue:   c.Outcome == usagestate.Open && now.After(end.Add(s.cfg.Usage.Delay)),
 		Instances: c.Instances, Missing: c.Missing, Late: c.Late, Organisations: make(map[string]uint64, len(c.Totals)),
 	}
--- a/instance/duty/view_test.go
+++ b/instance/duty/view_test.go
@@ -30,7 +30,7 @@
 			sum += n
 		}
 		Expect(sum).To(Equal(told.Requests))
-		Expect(told.Begins).To(Equal(time.Unix(told.Window*int64(span.Seconds()), 0).UTC()))
+		Expect(told.StartsAt).To(Equal(time.Unix(told.Window*int64(span.Seconds()), 0).UTC()))
 		for _, n := range w.live() {
 			Expect(n.Service.View().Windows).NotTo(BeEmpty(), n.name)
 			Expect(n.Service.View().Holder).To(Equal(holder.name))
--- a/operator/commands/show/duties.go
+++ b/operator/commands/show/duties.go
@@ -29,7 +29,7 @@
 	fmt.Fprintln(t, "WINDOW\tBEGINS\tREPORT\tREQUESTS\tORGANISATIONS\tINSTANCES\tNOT HEARD\tTOO LATE")
 	for i := range v.Windows {
 		x := &v.Windows[i]
-		fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%d\t%d\t%d\t%d\n", x.Window, x.Begins.Format(time.RFC3339), state(x), x.Requests,
+		fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%d\t%d\t%d\t%d\n", x.Window, x.StartsAt.Format(time.RFC3339), state(x), x.Requests,
 			len(x.Organisations), x.Instances, x.Missing, x.Late)
 	}
 	if len(v.Orders) > 0 {
@@ -55,7 +55,7 @@
 
 // Window prints the report of one window.
 func Window(w io.Writer, x *duty.WindowView) {
-	fmt.Fprintf(w, "window %d, from %s: %s, %d requests. %d instances told of it", x.Window, x.Begins.Format(time.RFC3339), state(x), x.Requests, x.Instances)
+	fmt.Fprintf(w, "window %d, from %s: %s, %d requests. %d instances told of it", x.Window, x.StartsAt.Format(time.RFC3339), state(x), x.Requests, x.Instances)
 	if x.Missing > 0 || x.Late > 0 {
 		fmt.Fprintf(w, "; %d had not told all when it was closed, and %d requests were told after that", x.Missing, x.Late)
 	}
