--- a/instance/duty/duty.go
+++ b/instance/duty/duty.go
@@ -68,8 +68,8 @@
 
 // Config of a Service.
 type Config struct {
-	// Instance is this instance's name in calls, Machine the one that tells machines apart.
-	Instance, Machine string
+	// Instance is this instance's name in calls, Peer the one that tells machines apart.
+	Instance, Peer string
 	// Group returns the member of the control group that runs here, or nil.
 	Group func() Group
 	// Agreed returns the agreed time, and whether it will not be set any more.
@@ -157,7 +157,7 @@
 func New(cfg Config) *Service {
 	cfg.fill()
 	s := &Service{
-		cfg: cfg, holder: cfg.Machine + "/" + rand.Text(), loop: loop.New(inboxSize, cfg.Now),
+		cfg: cfg, holder: cfg.Peer + "/" + rand.Text(), loop: loop.New(inboxSize, cfg.Now),
 		limiter: rate.NewLimiter(rate.Limit(rateShare*cfg.PerSecond), max(1, int(rateShare*cfg.PerSecond/4))),
 		usage:   usageDuty{attempts: map[int64]*attempt{}},
 	}
--- a/instance/duty/fakes_test.go
+++ b/instance/duty/fakes_test.go
@@ -143,7 +143,7 @@
 	n := &node{w: w, name: name, mux: newMux(), gate: make(chan struct{}), trip: trip}
 	close(n.gate)
 	n.Service = duty.New(duty.Config{
-		Instance: name, Machine: name, Group: func() duty.Group { return n }, Provider: &path{n},
+		Instance: name, Peer: name, Group: func() duty.Group { return n }, Provider: &path{n},
 		Agreed: func() (time.Time, bool) { return time.Now(), true },
 		Usage:  &duty.Usage{Span: span, Delay: delay}, Scale: &duty.Scale{Services: w.fleet.look, DryRun: w.dryRun}, Lease: lease, PerSecond: 50,
 		// Ticks in step with each other would let everything happen in one order.
--- a/instance/duty/lease.go
+++ b/instance/duty/lease.go
@@ -121,7 +121,7 @@
 
 func (s *Service) acquireRequest(now time.Time) fence.Request {
 	return fence.Request{
-		Verb: fence.Acquire, Subject: Subject, Holder: s.holder, Instance: s.cfg.Machine, ReturnDelay: s.cfg.Lease,
+		Verb: fence.Acquire, Subject: Subject, Holder: s.holder, Instance: s.cfg.Peer, ReturnDelay: s.cfg.Lease,
 		TTL: s.cfg.terms().TTL, WaitDone: s.lease.IsSettled(now), ExpiredRevision: s.seat.revision,
 	}
 }
--- a/instance/roles/duties.go
+++ b/instance/roles/duties.go
@@ -51,7 +51,7 @@
 		}
 		client := upstream.New(upstream.Config{DialTimeout: providerDial, FirstByte: duty.DefaultCallTimeout})
 		s := duty.New(duty.Config{
-			Instance: p.cfg.Instance, Machine: p.cfg.Peer, Agreed: state.Agreed, Provider: p.dialect.Provider(d.Provider, client),
+			Instance: p.cfg.Instance, Peer: p.cfg.Peer, Agreed: state.Agreed, Provider: p.dialect.Provider(d.Provider, client),
 			Usage: d.Usage, Scale: orders, Lease: d.Lease, PerSecond: d.PerSecond, Log: p.log,
 			Group: func() duty.Group {
 				if g := state.replica(); g != nil {
