--- a/instance/duty/duty.go
+++ b/instance/duty/duty.go
@@ -85,7 +85,7 @@
 	// PerSecond is how many calls the provider takes from all instances.
 	PerSecond float64
 
-	Tick, CallTimeout, GiveUp time.Duration
+	Tick, CallTimeout, ReleaseAfter time.Duration
 	// Now is the clock that leases are counted by; nil means clock.Now.
 	Now func() time.Time
 	Log zerolog.Logger
@@ -94,7 +94,7 @@
 func (c *Config) fill() {
 	defaults.Set(&c.Tick, DefaultTick)
 	defaults.Set(&c.CallTimeout, DefaultCallTimeout)
-	defaults.Set(&c.GiveUp, DefaultGiveUp)
+	defaults.Set(&c.ReleaseAfter, DefaultGiveUp)
 	if c.Now == nil {
 		c.Now = clock.Now
 	}
--- a/instance/duty/lease.go
+++ b/instance/duty/lease.go
@@ -43,7 +43,7 @@
 // keep renews the lease, or gives it up.
 func (s *Service) keep(now time.Time, g Group) {
 	t := &s.tenure
-	if s.draining.Load() || !t.unreachable.IsZero() && now.Sub(t.unreachable) >= s.cfg.GiveUp {
+	if s.draining.Load() || !t.unreachable.IsZero() && now.Sub(t.unreachable) >= s.cfg.ReleaseAfter {
 		s.giveUp(now, g)
 		return
 	}
@@ -102,14 +102,14 @@
 	s.seat.busy = true
 	s.calls.Go(func() {
 		pause := time.Duration(rand.Int64N(int64(away)))
-		ctx, cancel := context.WithTimeout(s.ctx, pause+s.cfg.GiveUp)
+		ctx, cancel := context.WithTimeout(s.ctx, pause+s.cfg.ReleaseAfter)
 		defer cancel()
 		clock.Sleep(ctx, pause)
 		err := s.cfg.Provider.Connect(ctx)
 		s.loop.Post(func(now time.Time) {
 			s.seat.busy = false
 			if err != nil {
-				s.seat.next = now.Add(s.cfg.GiveUp / 2)
+				s.seat.next = now.Add(s.cfg.ReleaseAfter / 2)
 				return
 			}
 			if s.free(now, g) {
@@ -131,7 +131,7 @@
 	s.seat.busy = true
 	asked := s.cfg.Now()
 	s.calls.Go(func() {
-		ctx, cancel := context.WithTimeout(s.ctx, r.TTL+s.cfg.GiveUp)
+		ctx, cancel := context.WithTimeout(s.ctx, r.TTL+s.cfg.ReleaseAfter)
 		defer cancel()
 		grant, err := propose(ctx, g, r)
 		s.loop.Post(func(now time.Time) {
