--- a/instance/duty/duty.go
+++ b/instance/duty/duty.go
@@ -61,9 +61,9 @@
 	// DefaultCallTimeout bounds the wait for an answer: a provider may take 50 times as
 	// long as usual, and a call that is given up is sent again.
 	DefaultCallTimeout = 4 * time.Second
-	// DefaultGiveUp is after what time without a connection to the provider a holder gives
+	// DefaultReleaseAfter is after what time without a connection to the provider a holder gives
 	// the lease up.
-	DefaultGiveUp = time.Second
+	DefaultReleaseAfter = time.Second
 )
 
 // Config of a Service.
@@ -94,7 +94,7 @@
 func (c *Config) fill() {
 	defaults.Set(&c.Tick, DefaultTick)
 	defaults.Set(&c.CallTimeout, DefaultCallTimeout)
-	defaults.Set(&c.ReleaseAfter, DefaultGiveUp)
+	defaults.Set(&c.ReleaseAfter, DefaultReleaseAfter)
 	if c.Now == nil {
 		c.Now = clock.Now
 	}
