--- a/instance/duty/status.go
+++ b/instance/duty/status.go
@@ -14,8 +14,8 @@
 	Holder string
 	// Number is the fencing number of the own lease, zero without one; Left is for how long
 	// it may be counted on.
-	Number uint64
-	Left   time.Duration
+	Number    uint64
+	LeaseLeft time.Duration
 	// Next is the window to be closed next, Windows the latest closed ones.
 	Next    int64
 	Windows []usagestate.Closed
@@ -39,7 +39,7 @@
 	s.published = now
 	st := &Status{}
 	if s.lease.Number > 0 {
-		st.Number, st.Left = s.lease.Number, s.lease.Until.Sub(now)
+		st.Number, st.LeaseLeft = s.lease.Number, s.lease.Until.Sub(now)
 	}
 	if !s.tenure.unreachable.IsZero() {
 		st.Unreachable = now.Sub(s.tenure.unreachable)
--- a/instance/duty/view.go
+++ b/instance/duty/view.go
@@ -68,7 +68,7 @@
 	st := s.Status()
 	v := &View{
 		Instance: s.cfg.Instance, Holder: st.Holder, Number: st.Number,
-		LeaseLeftMS: st.Left.Milliseconds(), UnreachableMS: st.Unreachable.Milliseconds(),
+		LeaseLeftMS: st.LeaseLeft.Milliseconds(), UnreachableMS: st.Unreachable.Milliseconds(),
 	}
 	v.DryRun = s.cfg.Scale != nil && s.cfg.Scale.DryRun
 	if s.cfg.Usage != nil {
