--- a/instance/duty/call.go
+++ b/instance/duty/call.go
@@ -7,46 +7,46 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// attempt is where the sending of one thing stands.
+// attempt is the state of sending one report or order.
 type attempt struct {
-	// busy says that a call is under way, next is when the next one may be made.
-	busy   bool
-	next   time.Time
-	failed int
-	// last is what became of the latest call.
-	last error
+	// busy reports whether a call is in flight. nextAt is the earliest time of the next one.
+	busy     bool
+	nextAt   time.Time
+	failures int
+	// lastErr is the error of the latest call.
+	lastErr error
 }
 
 const (
-	// retryFirst is the pause after a failed call; it doubles with each one, up to
-	// retryMost.
-	retryFirst = 150 * time.Millisecond
-	retryMost  = 2 * time.Second
+	// minRetryDelay is the delay after a failed call. It doubles with each failure, up to
+	// maxRetryDelay.
+	minRetryDelay = 150 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
 )
 
 // due reports whether a call may be made now.
-func (a *attempt) due(now time.Time) bool { return !a.busy && !now.Before(a.next) }
+func (a *attempt) due(now time.Time) bool { return !a.busy && !now.Before(a.nextAt) }
 
-// retry puts off the next call after a failure.
-func (a *attempt) retry(now time.Time, err error) {
-	pause := min(retryMost, retryFirst<<min(a.failed, 4))
-	a.failed++
-	a.last = err
+// backOff delays the next call after a failure.
+func (a *attempt) backOff(now time.Time, err error) {
+	pause := min(maxRetryDelay, minRetryDelay<<min(a.failures, 4))
+	a.failures++
+	a.lastErr = err
 	if hint := fault.From(err).RetryAfter; hint > 0 {
-		pause = max(pause, min(hint, retryMost))
+		pause = max(pause, min(hint, maxRetryDelay))
 	}
-	a.next = now.Add(pause)
+	a.nextAt = now.Add(pause)
 }
 
-// call makes one call to the provider without holding up the loop. It returns false where
-// the provider's rate leaves no room.
+// call makes one call to the provider without blocking the loop. It returns false if the rate limit
+// does not allow a call now.
 func (s *Service) call(now time.Time, a *attempt, send func(ctx context.Context, by Authority) error, done func(now time.Time, err error)) bool {
 	if !s.limiter.AllowN(now, 1) {
 		return false
 	}
 	by := Authority{Holder: s.cfg.Instance, Number: s.lease.Number, NotAfter: s.lease.Until}
 	t := &s.tenure
-	t.flying++
+	t.callsInFlight++
 	a.busy = true
 	tenureCtx := t.ctx
 	s.calls.Go(func() {
@@ -56,7 +56,7 @@
 		s.loop.Post(func(now time.Time) {
 			a.busy = false
 			if tenureCtx == s.tenure.ctx {
-				s.landed(now, err)
+				s.callEnded(now, err)
 			}
 			done(now, err)
 		})
@@ -64,18 +64,18 @@
 	return true
 }
 
-// landed notes that a call under the present lease has ended.
-func (s *Service) landed(now time.Time, err error) {
+// callEnded records that a call under the current lease has ended.
+func (s *Service) callEnded(now time.Time, err error) {
 	t := &s.tenure
-	t.flying--
+	t.callsInFlight--
 	switch fault.CodeOf(err) {
 	case fault.NotRun:
-		if t.unreachable.IsZero() {
-			t.unreachable = now
+		if t.unreachableSince.IsZero() {
+			t.unreachableSince = now
 		}
 	case fault.OutcomeUnknown:
-		t.landed = now.Add(flight)
+		t.effectsEndAt = now.Add(maxEffectDelay)
 	default:
-		t.unreachable = time.Time{}
+		t.unreachableSince = time.Time{}
 	}
 }
--- a/instance/duty/duty.go
+++ b/instance/duty/duty.go
@@ -1,11 +1,11 @@
-// Package duty makes the calls to a provider that one instance at a time may make: usage
+// Package duty makes the calls to a provider that only one instance at a time may make: usage
 // reports, and orders of upstreams.
 //
-// Every member of the control group runs it; the one that holds the lease
-// (core/control/fence) acts. What it sends is agreed on before: reports are closed windows
-// of the replicated counts (core/control/usage). No call leaves after its lease: the lease
-// is looked at right before the bytes leave, and the connection delivers nothing later
-// (upstream.Call.NotAfter). docs/design/duties.md says what was weighed.
+// Every member of the control group runs it; the holder of the lease (core/control/fence) makes
+// the calls. The content of reports is agreed on before they are sent: they are closed windows of
+// the replicated counts (core/control/usage). No call is sent after the lease has ended: the lease
+// is checked right before the bytes are sent, and the connection delivers nothing later
+// (upstream.Call.NotAfter). The alternatives are compared in docs/design/duties.md.
 package duty
 
 import (
@@ -25,31 +25,31 @@
 	"github.com/comfreyladder/comfreyladder/instance/loop"
 )
 
-// Subject is the subject of the lease for all duties. Failure domains, which are subjects
-// too, have no name with a slash.
+// Subject is the subject of the lease for all duties. Failure domains are subjects too, but their
+// names contain no slash.
 const Subject = "/duties"
 
-// Group is the member of the control group that runs here.
+// Group is the control group member that runs on this instance.
 type Group interface {
 	Propose(ctx context.Context, machine string, data []byte) (result []byte, index uint64, err error)
 	View(f func(index uint64, m *control.Mux))
 }
 
-// Authority is what a call is made under.
+// Authority is the authority under which a call is made.
 type Authority struct {
-	// Holder is the instance that calls, Number its fencing number.
+	// Holder is the instance that makes the call, Number its fencing number.
 	Holder string
 	Number uint64
 	// NotAfter is the time of instance/clock after which no byte of the call may arrive.
 	NotAfter time.Time
 }
 
-// Provider takes the calls. It translates; it neither repeats nor decides. A call fails with
-// fault.Invalid when it is faulty, so that the same one can't succeed; with fault.Conflict
-// when what it orders is not to be had now; with fault.Overloaded when calls come too fast;
-// with fault.NotRun when no byte of it left; and else with fault.OutcomeUnknown.
+// Provider sends the calls. It translates them, but neither repeats them nor decides about them. A
+// call fails with fault.Invalid if it is invalid, so that repeating it cannot succeed; with
+// fault.Conflict if what it orders is not available now; with fault.Overloaded if calls come too
+// fast; with fault.NotRun if none of its bytes were sent; and otherwise with fault.OutcomeUnknown.
 type Provider interface {
-	// Connect finds out whether the provider can be reached. It makes no call.
+	// Connect checks whether the provider can be reached. It makes no call.
 	Connect(ctx context.Context) error
 	Report(ctx context.Context, a Authority, r *Report) error
 	Order(ctx context.Context, a Authority, o *Order) error
@@ -58,35 +58,35 @@
 // Defaults of a Config.
 const (
 	DefaultTick = 100 * time.Millisecond
-	// DefaultCallTimeout bounds the wait for an answer: a provider may take 50 times as
-	// long as usual, and a call that is given up is sent again.
+	// DefaultCallTimeout bounds the wait for an answer: a provider may take 50 times as long as usual,
+	// and a call that timed out is sent again.
 	DefaultCallTimeout = 4 * time.Second
-	// DefaultReleaseAfter is after what time without a connection to the provider a holder gives
-	// the lease up.
+	// DefaultReleaseAfter is how long a holder without a connection to the provider keeps the lease.
 	DefaultReleaseAfter = time.Second
 )
 
-// Config of a Service.
+// Config holds the settings of a Service.
 type Config struct {
-	// Instance is this instance's name in calls, Peer the one that tells machines apart.
+	// Instance is the name of this instance in calls, Peer the name that distinguishes it from other
+	// instances.
 	Instance, Peer string
-	// Group returns the member of the control group that runs here, or nil.
+	// Group returns the control group member that runs on this instance, or nil.
 	Group func() Group
-	// Agreed returns the agreed time, and whether it will not be set any more.
+	// Agreed returns the agreed time, and whether it will not be set again.
 	Agreed   func() (time.Time, bool)
 	Provider Provider
-	// Usage says how usage is reported; nil where it is not. Scale says how upstreams are
-	// ordered; nil where they are not.
+	// Usage configures usage reports; nil disables them. Scale configures orders of upstreams; nil
+	// disables them.
 	Usage *Usage
 	Scale *Scale
-	// Lease is within what time the duties may not go from one machine to another one and
-	// back. The lease itself lasts half as long.
+	// Lease is the time within which the duties may not move from one instance to another and back.
+	// The lease itself lasts half as long.
 	Lease time.Duration
-	// PerSecond is how many calls the provider takes from all instances.
+	// PerSecond is the number of calls per second that the provider accepts from all instances.
 	PerSecond float64
 
 	Tick, CallTimeout, ReleaseAfter time.Duration
-	// Now is the clock that leases are counted by; nil means clock.Now.
+	// Now is the clock of the lease; nil means clock.Now.
 	Now func() time.Time
 	Log zerolog.Logger
 }
@@ -100,25 +100,26 @@
 	}
 }
 
-// terms are those of the lease.
-func (c *Config) terms() fence.Timing {
+// timing returns the timing of the lease.
+func (c *Config) timing() fence.Timing {
 	ttl := c.Lease / 2
-	return fence.Timing{TTL: ttl, Margin: ttl / marginPart, MaxEffectDelay: flight}
+	return fence.Timing{TTL: ttl, Margin: ttl / marginDivisor, MaxEffectDelay: maxEffectDelay}
 }
 
 const (
-	// marginPart is which part of a lease its holder does not count on.
-	marginPart = 10
-	// flight is the longest time from the last byte of a call to its arrival.
-	flight = 200 * time.Millisecond
-	// rateShare is the part of the provider's rate that is used: its count begins anew at
-	// another moment, and with another holder.
+	// marginDivisor is the divisor of the TTL that gives the margin: the part of a lease that its
+	// holder does not use.
+	marginDivisor = 10
+	// maxEffectDelay is the longest time from the last byte of a call to its arrival.
+	maxEffectDelay = 200 * time.Millisecond
+	// rateShare is the part of the provider's rate that is used: the provider starts to count at
+	// another time, and another holder starts a count of its own.
 	rateShare = 0.5
 )
 
 const inboxSize = 256
 
-// Service is one member's part in the duties.
+// Service is the duty service of one member.
 type Service struct {
 	cfg    Config
 	holder string
@@ -127,30 +128,29 @@
 	cancel context.CancelFunc
 	calls  sync.WaitGroup
 	status atomic.Pointer[Status]
-	// draining is set once the lease is to be given up for good, released once it is.
+	// draining is set when the lease is to be released for good, released once it is.
 	draining, released, started atomic.Bool
 
-	// What follows is owned by the loop.
-	lease   fence.HeldLease
-	tenure  tenure
-	seat    seat
-	limiter *rate.Limiter
-	usage   usageDuty
-	scale   scaleDuty
-	// published is when the status was made.
-	published time.Time
+	// The fields below are owned by the loop.
+	lease     fence.HeldLease
+	tenure    tenure
+	candidacy candidacy
+	limiter   *rate.Limiter
+	usage     usageDuty
+	scale     scaleDuty
+	// publishedAt is when the status was last published.
+	publishedAt time.Time
 }
 
-// tenure is what belongs to one number.
+// tenure is the state of the time under one fencing number.
 type tenure struct {
 	ctx    context.Context
 	cancel context.CancelFunc
-	// flying counts calls under way; landed is when none of them can arrive any more.
-	flying int
-	landed time.Time
-	// unreachable is since when no connection to the provider could be made; zero while
-	// one can.
-	unreachable time.Time
+	// callsInFlight counts the calls in flight. No call that has ended can arrive after effectsEndAt.
+	callsInFlight int
+	effectsEndAt  time.Time
+	// unreachableSince is when connections to the provider began to fail; zero while they succeed.
+	unreachableSince time.Time
 }
 
 // New returns a service that is not started.
@@ -174,8 +174,8 @@
 	return nil
 }
 
-// Drain implements kernel.Drainer: calls under way end, and the lease is given up, so that
-// a successor need not wait for its end.
+// Drain implements kernel.Drainer. It lets calls in flight end and releases the lease, so that a
+// successor need not wait for the lease to expire.
 func (s *Service) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	ticker := time.NewTicker(s.cfg.Tick)
@@ -190,7 +190,7 @@
 	return nil
 }
 
-// Stop implements kernel.Service. A lease that is still held runs out.
+// Stop implements kernel.Service. A lease that is still held expires.
 func (s *Service) Stop(context.Context) error {
 	s.cancel()
 	if s.started.Load() {
@@ -200,21 +200,21 @@
 	return nil
 }
 
-// tick does what time and the present state demand.
+// tick maintains the lease and makes the calls that are due.
 func (s *Service) tick(now time.Time) {
 	g := s.cfg.Group()
-	s.hold(now, g)
-	if g != nil && s.mayAct(now) {
+	s.maintainLease(now, g)
+	if g != nil && s.mayCall(now) {
 		s.reportUsage(now, g)
 		s.orderUpstreams(now, g)
 	}
-	if s.draining.Load() && s.lease.Number == 0 && !s.seat.busy {
+	if s.draining.Load() && s.lease.Number == 0 && !s.candidacy.busy {
 		s.released.Store(true)
 	}
 	s.publish(now, g)
 }
 
-// mayAct reports whether calls may be made now.
-func (s *Service) mayAct(now time.Time) bool {
+// mayCall reports whether calls may be made now.
+func (s *Service) mayCall(now time.Time) bool {
 	return s.lease.Valid(now) && s.lease.IsSettled(now) && !s.draining.Load()
 }
--- a/instance/duty/duty_test.go
+++ b/instance/duty/duty_test.go
@@ -13,31 +13,31 @@
 	"github.com/comfreyladder/comfreyladder/core/usage"
 )
 
-// play runs a story in virtual time, with three members unless it starts others.
-func play(t *testing.T, story func(w *world)) {
+// simulate runs a scenario in virtual time, with three members unless it starts others.
+func simulate(t *testing.T, scenario func(w *simulation)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		RegisterTestingT(t)
-		w := newWorld(t, "a", "b", "c")
+		w := newSimulation(t, "a", "b", "c")
 		defer func() {
 			w.stopAll()
 			time.Sleep(time.Second)
 		}()
-		story(w)
-		w.kept()
+		scenario(w)
+		w.checkRules()
 	})
 }
 
-// kept checks the provider's rules.
-func (w *world) kept() {
+// checkRules fails the test if the provider's rules were violated.
+func (w *simulation) checkRules() {
 	w.t.Helper()
 	w.provider.mu.Lock()
 	defer w.provider.mu.Unlock()
-	Expect(w.provider.broken).To(BeEmpty())
+	Expect(w.provider.violations).To(BeEmpty())
 }
 
-// holder returns the member that holds the duties, once there is one.
-func (w *world) holder() *node {
+// holder waits for a member that holds the duties and returns it.
+func (w *simulation) holder() *testMember {
 	w.t.Helper()
 	for range 200 {
 		for _, n := range w.live() {
@@ -51,9 +51,9 @@
 	return nil
 }
 
-// reported checks that the windows that began after a time and are due have been reported
-// in time, each once.
-func (w *world) reported(since time.Time) {
+// checkReported checks that the windows that began after a time and are due were reported in time
+// with the right content.
+func (w *simulation) checkReported(since time.Time) {
 	w.t.Helper()
 	first := usage.WindowAt(since, span) + 1
 	last := usage.WindowAt(time.Now().Add(-delay), span) - 1
@@ -63,11 +63,11 @@
 		Expect(ok).To(BeTrue(), "window %d was not reported", window)
 		Expect(body).To(Equal("[{o 20}]"), "window %d", window)
 	}
-	w.inTime(first, last)
+	w.checkInTime(first, last)
 }
 
-// inTime checks that reports came in time; they may be repeated later.
-func (w *world) inTime(first, last int64) {
+// checkInTime checks that reports arrived in time; they may be repeated later.
+func (w *simulation) checkInTime(first, last int64) {
 	w.t.Helper()
 	seen := map[int64]bool{}
 	for _, a := range w.provider.arrivals() {
@@ -80,10 +80,10 @@
 }
 
 func TestEachWindowIsReportedOnce(t *testing.T) {
-	play(t, func(w *world) {
-		begun := time.Now()
+	simulate(t, func(w *simulation) {
+		startedAt := time.Now()
 		time.Sleep(60 * time.Second)
-		w.reported(begun)
+		w.checkReported(startedAt)
 		seen := map[int64]int{}
 		for _, a := range w.provider.arrivals() {
 			if a.order != nil {
@@ -96,11 +96,11 @@
 	})
 }
 
-// The holder is killed after its report has arrived and before the answer, and more counts
-// come in. An organisation would be billed by two reports that differ if its successor
-// added up again: it sends what was agreed on.
-func TestASuccessorSendsTheSameReport(t *testing.T) {
-	play(t, func(w *world) {
+// The holder is killed after its report has arrived and before the answer, and more counts are
+// committed. If its successor computed the totals again, the organisation would be billed by two
+// different reports. It must send the agreed totals.
+func TestSuccessorSendsSameReport(t *testing.T) {
+	simulate(t, func(w *simulation) {
 		time.Sleep(12 * time.Second)
 		w.provider.set(func(p *provider) { p.answer = time.Minute })
 		window := usage.WindowAt(time.Now(), span)
@@ -112,7 +112,7 @@
 		}
 		before := w.holder()
 		before.kill()
-		w.tell(1, window, 999)
+		w.commitCount(1, window, 999)
 		w.provider.set(func(p *provider) { p.answer = 0 })
 		time.Sleep(20 * time.Second)
 		Expect(w.holder()).NotTo(BeIdenticalTo(before))
@@ -126,17 +126,17 @@
 	})
 }
 
-// The holder freezes while the answer to its renewal is on its way, another one takes over,
-// and it wakes up after that. Nothing of it may arrive any more.
-func TestAFrozenHolderSendsNothingLate(t *testing.T) {
-	play(t, func(w *world) {
+// The holder freezes while its renewal is being answered or a call is about to be sent, another
+// member takes over, and the holder resumes after that. None of its calls may arrive any more.
+func TestFrozenHolderSendsNothingLate(t *testing.T) {
+	simulate(t, func(w *simulation) {
 		time.Sleep(12 * time.Second)
 		begun := time.Now()
 		for i := range 12 {
-			// At another moment between two renewals each time.
+			// Freezes at a different time between two renewals in each round.
 			time.Sleep(time.Duration(i) * 53 * time.Millisecond)
 			n := w.holder()
-			n.freezeNext([]place{renewing, sending}[i%2])
+			n.freezeNext([]freezePoint{renewing, sending}[i%2])
 			for !n.frozen() {
 				time.Sleep(10 * time.Millisecond)
 			}
@@ -148,16 +148,16 @@
 			w.provider.set(func(p *provider) { p.lost = 0 })
 		}
 		time.Sleep(15 * time.Second)
-		w.reported(begun)
+		w.checkReported(begun)
 	})
 }
 
-// Members stop one after the other and hand over at once, as in a restart of all, while
-// calls are made all the time. The one that starts first is back before the last one has
-// acted for long: by the order of calls they would act to and fro.
-func TestMembersThatRestartInTurn(t *testing.T) {
-	play(t, func(w *world) {
-		w.nodes["c"].kill()
+// Members stop one after the other and hand over at once, as in a rolling restart, while calls are
+// made all the time. The member that restarted first is back before the last one has held the duties
+// for long: without a delay the duties would return to it within the time that the rules forbid.
+func TestRollingRestart(t *testing.T) {
+	simulate(t, func(w *simulation) {
+		w.members["c"].kill()
 		time.Sleep(11 * time.Second)
 		w.provider.set(func(p *provider) { p.lost = 1 << 30 })
 		time.Sleep(10 * time.Second)
@@ -173,23 +173,22 @@
 		time.Sleep(10 * time.Second)
 		begun := time.Now()
 		time.Sleep(20 * time.Second)
-		w.reported(begun)
+		w.checkReported(begun)
 	})
 }
 
-// A call is on its way when the holder stops, and takes longer than its successor's first
-// one.
-func TestACallUnderWayArrivesBeforeTheNextHolders(t *testing.T) {
-	play(t, func(w *world) {
+// A call is in flight when the holder stops, and takes longer than the first call of its successor.
+func TestCallInFlightArrivesBeforeSuccessorsCalls(t *testing.T) {
+	simulate(t, func(w *simulation) {
 		time.Sleep(11 * time.Second)
 		w.provider.set(func(p *provider) { p.lost = 1 << 30 })
 		for range 20 {
 			n := w.holder()
 			n.mu.Lock()
-			n.trip = 190 * time.Millisecond
+			n.latency = 190 * time.Millisecond
 			n.mu.Unlock()
 			time.Sleep(5 * time.Second)
-			for n.flies(0) == 0 {
+			for n.addInFlight(0) == 0 {
 				time.Sleep(time.Millisecond)
 			}
 			Expect(n.Drain(context.Background())).To(Succeed())
@@ -200,18 +199,18 @@
 	})
 }
 
-// An instance is cut off for six seconds and tells what it counted after that: its callers'
-// organisation is billed right. One that is gone for good holds up no report for longer
-// than it may be late.
-func TestInstancesThatAreCutOffAreWaitedFor(t *testing.T) {
-	play(t, func(w *world) {
+// An instance is cut off for six seconds and reports its counts after that: the organisation of its
+// callers must be billed correctly. An instance that is gone for good must not delay a report beyond
+// its due time.
+func TestReportWaitsForInstancesThatAreCutOff(t *testing.T) {
+	simulate(t, func(w *simulation) {
 		begun := time.Now()
 		time.Sleep(14 * time.Second)
 		w.setSilent(2)
 		time.Sleep(6 * time.Second)
 		w.setSilent(0)
 		time.Sleep(25 * time.Second)
-		w.reported(begun)
+		w.checkReported(begun)
 		w.setSilent(2)
 		since := time.Now()
 		time.Sleep(30 * time.Second)
@@ -220,14 +219,13 @@
 			body, _ := w.provider.got(window)
 			Expect(body).To(Equal("[{o 10}]"))
 		}
-		w.inTime(first, first+2)
+		w.checkInTime(first, first+2)
 	})
 }
 
-// A member is cut off from the provider while it holds the duties, and the others are not:
-// no window may be missed for it.
-func TestDutiesGoToWhoReachesTheProvider(t *testing.T) {
-	play(t, func(w *world) {
+// The holder is cut off from the provider while another member is not: no window may be missed.
+func TestLeaseMovesToMemberThatReachesProvider(t *testing.T) {
+	simulate(t, func(w *simulation) {
 		begun := time.Now()
 		for range 4 {
 			time.Sleep(10 * time.Second)
@@ -249,15 +247,15 @@
 			Expect(w.holder().Status().Number).To(Equal(number+1), "who can't reach the provider doesn't try")
 		}
 		time.Sleep(15 * time.Second)
-		w.reported(begun)
+		w.checkReported(begun)
 	})
 }
 
-// Two members lose the way to the provider by turns, each for less time than the other one
-// may not act again.
-func TestDutiesDoNotGoToAndFro(t *testing.T) {
-	play(t, func(w *world) {
-		w.nodes["c"].kill()
+// Two members lose their connection to the provider in turn, each for less time than the other one
+// has to wait before it may hold the duties again.
+func TestLeaseDoesNotAlternateBetweenMembers(t *testing.T) {
+	simulate(t, func(w *simulation) {
+		w.members["c"].kill()
 		for range 30 {
 			time.Sleep(2 * time.Second)
 			n := w.holder()
@@ -267,13 +265,13 @@
 		time.Sleep(10 * time.Second)
 		begun := time.Now()
 		time.Sleep(20 * time.Second)
-		w.reported(begun)
+		w.checkReported(begun)
 	})
 }
 
-// The half of the group with the holder is cut off, then the cut heals.
-func TestAHolderWithoutAQuorumStops(t *testing.T) {
-	play(t, func(w *world) {
+// The holder is cut off from the group, and later connected again.
+func TestHolderWithoutQuorumStops(t *testing.T) {
+	simulate(t, func(w *simulation) {
 		begun := time.Now()
 		time.Sleep(11 * time.Second)
 		n := w.holder()
@@ -282,13 +280,13 @@
 		Expect(w.holder().name).NotTo(Equal(n.name))
 		n.setCut(false)
 		time.Sleep(20 * time.Second)
-		w.reported(begun)
+		w.checkReported(begun)
 	})
 }
 
-// All members are killed at once, again and again, and start with what the log holds.
-func TestAllKilled(t *testing.T) {
-	play(t, func(w *world) {
+// All members are killed at once, repeatedly, and restart from the log.
+func TestRecoversAfterAllMembersAreKilled(t *testing.T) {
+	simulate(t, func(w *simulation) {
 		begun := time.Now()
 		for range 4 {
 			time.Sleep(7 * time.Second)
@@ -301,28 +299,28 @@
 			}
 		}
 		time.Sleep(20 * time.Second)
-		w.reported(begun)
+		w.checkReported(begun)
 	})
 }
 
-// The lead goes to a member whose clock is ahead by more than a lease, and back: by the
-// log's time the lease is over at once, while its holder still counts on it.
-func TestTheLogsTimeEndsNoLeaseEarly(t *testing.T) {
-	play(t, func(w *world) {
+// The leadership moves to a member whose clock is ahead by more than a lease, and back: by the time
+// of the log the lease ends at once, while its holder still relies on it.
+func TestLogTimeDoesNotEndLeaseEarly(t *testing.T) {
+	simulate(t, func(w *simulation) {
 		time.Sleep(11 * time.Second)
 		for _, ahead := range []time.Duration{10 * time.Second, 0, 25 * time.Second} {
 			w.mu.Lock()
-			w.ahead = ahead
+			w.clockAhead = ahead
 			w.mu.Unlock()
 			time.Sleep(15 * time.Second)
 		}
 	})
 }
 
-// The provider takes two seconds for an answer, then answers nothing for some, then calls
-// come too fast for it: reports are late by no more than it is.
-func TestASlowAndABusyProvider(t *testing.T) {
-	play(t, func(w *world) {
+// The provider takes 2.5 seconds for an answer, then refuses calls for their rate, then loses
+// answers: reports must not be later than the provider makes them.
+func TestSlowAndOverloadedProvider(t *testing.T) {
+	simulate(t, func(w *simulation) {
 		begun := time.Now()
 		time.Sleep(7 * time.Second)
 		w.provider.set(func(p *provider) { p.answer = 2500 * time.Millisecond })
@@ -331,15 +329,15 @@
 		time.Sleep(20 * time.Second)
 		w.provider.set(func(p *provider) { p.lost = 6 })
 		time.Sleep(30 * time.Second)
-		w.reported(begun)
+		w.checkReported(begun)
 		Expect(len(w.provider.arrivals())).To(BeNumerically("<", 40), "calls cost")
 		Expect(w.holder().Status().Number).To(Equal(uint64(1)), "another holder would fare no better")
 	})
 }
 
-// The provider can't be reached by anybody for a while; then all windows are due at once.
+// No member can reach the provider for a while; then all windows are due at once.
 func TestLateWindowsAreReportedTogether(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *simulation) {
 		time.Sleep(11 * time.Second)
 		w.provider.set(func(p *provider) { p.unreachable = map[string]bool{"a": true, "b": true, "c": true} })
 		begun := time.Now()
@@ -355,9 +353,9 @@
 	})
 }
 
-// A holder that stops hands over: its successor acts at once.
-func TestAHolderThatStopsHandsOver(t *testing.T) {
-	play(t, func(w *world) {
+// A holder that stops releases the lease, and its successor takes over at once.
+func TestStoppingHolderHandsOver(t *testing.T) {
+	simulate(t, func(w *simulation) {
 		time.Sleep(8 * time.Second)
 		n := w.holder()
 		begun := time.Now()
@@ -371,18 +369,18 @@
 	})
 }
 
-// Members freeze, are killed and start again, lose the way to the group or to the provider,
-// and answers are lost, all by lot. Whatever comes, the provider's rules hold, and once all
-// is well the windows are reported.
-func TestRulesHoldThroughDrawnFaults(t *testing.T) {
+// Members freeze, are killed and restarted, lose the group or the provider, and answers are lost, all
+// at random. The provider's rules must hold throughout, and once all faults are over the windows must
+// be reported.
+func TestRulesHoldUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			play(t, func(w *world) { w.drawn(rand.New(rand.NewPCG(seed, 7))) })
+			simulate(t, func(w *simulation) { w.injectRandomFaults(rand.New(rand.NewPCG(seed, 7))) })
 		})
 	}
 }
 
-func (w *world) drawn(r *rand.Rand) {
+func (w *simulation) injectRandomFaults(r *rand.Rand) {
 	names := []string{"a", "b", "c"}
 	frozen := map[string]bool{}
 	for range 40 {
@@ -390,7 +388,7 @@
 		name := names[r.IntN(3)]
 		w.fleet.set(func(f *fleet) { f.need = float64(r.IntN(60)) })
 		w.mu.Lock()
-		n := w.nodes[name]
+		n := w.members[name]
 		w.mu.Unlock()
 		switch step := r.IntN(9); {
 		case n == nil:
@@ -411,13 +409,13 @@
 			w.provider.set(func(p *provider) { p.lost, p.busy = r.IntN(3), r.IntN(3) })
 		case step == 8:
 			w.mu.Lock()
-			w.ahead = time.Duration(r.IntN(5000)) * time.Millisecond
+			w.clockAhead = time.Duration(r.IntN(5000)) * time.Millisecond
 			w.mu.Unlock()
 		}
 	}
 	for _, name := range names {
 		w.mu.Lock()
-		n := w.nodes[name]
+		n := w.members[name]
 		w.mu.Unlock()
 		if n == nil {
 			n = w.run(name)
@@ -429,5 +427,5 @@
 	time.Sleep(15 * time.Second)
 	begun := time.Now()
 	time.Sleep(25 * time.Second)
-	w.reported(begun)
+	w.checkReported(begun)
 }
--- a/instance/duty/fakes_test.go
+++ b/instance/duty/fakes_test.go
@@ -24,8 +24,8 @@
 	span  = 5 * time.Second
 	delay = 10 * time.Second
 	lease = 3 * time.Second
-	// trip is how long a message takes.
-	trip = 2 * time.Millisecond
+	// latency is the time that a message takes.
+	latency = 2 * time.Millisecond
 )
 
 // entry is one committed command.
@@ -35,8 +35,8 @@
 	at      time.Time
 }
 
-// world is a control group, a provider and the members that call it, in virtual time.
-type world struct {
+// simulation is a control group, a provider and the members that call it, in virtual time.
+type simulation struct {
 	t        testing.TB
 	provider *provider
 
@@ -44,33 +44,33 @@
 	entries []entry
 	// all has applied all entries.
 	all *control.Mux
-	// ahead is by how much the leader's clock is ahead.
-	ahead time.Duration
-	last  time.Time
-	nodes map[string]*node
-	// counting ends the instances' counting.
+	// clockAhead is how far the leader's clock is ahead.
+	clockAhead time.Duration
+	last       time.Time
+	members    map[string]*testMember
+	// counting is closed to stop the counting of the instances.
 	counting chan struct{}
 	fleet    *fleet
-	// silent is the instance that tells nothing, zero for none.
+	// silent is the instance that sends no counts, zero for none.
 	silent uint64
-	// dryRun lets members that start order nothing.
+	// dryRun makes members that start plan orders without sending them.
 	dryRun bool
 }
 
-func newWorld(t testing.TB, members ...string) *world {
-	w := &world{t: t, nodes: map[string]*node{}, all: newMux(), counting: make(chan struct{}), fleet: newFleet()}
+func newSimulation(t testing.TB, members ...string) *simulation {
+	w := &simulation{t: t, members: map[string]*testMember{}, all: newMux(), counting: make(chan struct{}), fleet: newFleet()}
 	go w.count()
-	w.provider = &provider{world: w, reports: map[int64]string{}, unreachable: map[string]bool{}}
+	w.provider = &provider{simulation: w, reports: map[int64]string{}, unreachable: map[string]bool{}}
 	for _, name := range members {
 		w.run(name)
 	}
 	return w
 }
 
-// node is one member. Its gate is shut while it is frozen.
-type node struct {
+// testMember is one member. Its gate is shut while it is frozen.
+type testMember struct {
 	*duty.Service
-	w      *world
+	w      *simulation
 	name   string
 	mu     sync.Mutex
 	gate   chan struct{}
@@ -78,52 +78,52 @@
 	mux    *control.Mux
 	at     int
 	killed bool
-	// freezes names the place where the member freezes when it comes there next.
-	freezes place
-	// trip is how long its calls take to the provider, flying how many are on their way.
-	trip   time.Duration
-	flying int
+	// freezeAt is the point at which the member freezes when it next reaches it.
+	freezeAt freezePoint
+	// latency is the time that its calls take to the provider, inFlight how many are on their way.
+	latency  time.Duration
+	inFlight int
 }
 
-func (n *node) flies(by int) int {
+func (n *testMember) addInFlight(by int) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.flying += by
-	return n.flying
+	n.inFlight += by
+	return n.inFlight
 }
 
-// place is where a member may freeze.
-type place string
+// freezePoint is a point at which a member may freeze.
+type freezePoint string
 
 const (
 	// renewing is after a request for the lease was committed, before its answer.
-	renewing place = "renewing"
-	// sending is after the lease was looked at, before the call's bytes leave.
-	sending place = "sending"
+	renewing freezePoint = "renewing"
+	// sending is after the lease was checked, before the bytes of the call are sent.
+	sending freezePoint = "sending"
 )
 
-// comes freezes the member if it is to freeze at a place, and waits until it goes on.
-func (n *node) comes(at place) {
+// reach freezes the member if it is to freeze at this point, and waits until it resumes.
+func (n *testMember) reach(at freezePoint) {
 	n.mu.Lock()
-	freezes := n.freezes == at
+	freezes := n.freezeAt == at
 	if freezes {
-		n.freezes = ""
+		n.freezeAt = ""
 	}
 	n.mu.Unlock()
 	if freezes {
 		n.freeze()
 	}
-	n.pass()
+	n.waitWhileFrozen()
 }
 
-// freezeNext lets the member freeze at a place.
-func (n *node) freezeNext(at place) {
+// freezeNext makes the member freeze at a point.
+func (n *testMember) freezeNext(at freezePoint) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.freezes = at
+	n.freezeAt = at
 }
 
-func (n *node) frozen() bool {
+func (n *testMember) frozen() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	select {
@@ -138,20 +138,20 @@
 	return control.NewMux(map[string]control.Machine{fence.Name: fence.New(), usagestate.Name: usagestate.New()})
 }
 
-// run starts a member, which reads the whole log.
-func (w *world) run(name string) *node {
-	n := &node{w: w, name: name, mux: newMux(), gate: make(chan struct{}), trip: trip}
+// run starts a member, which applies the whole log.
+func (w *simulation) run(name string) *testMember {
+	n := &testMember{w: w, name: name, mux: newMux(), gate: make(chan struct{}), latency: latency}
 	close(n.gate)
 	n.Service = duty.New(duty.Config{
-		Instance: name, Peer: name, Group: func() duty.Group { return n }, Provider: &path{n},
+		Instance: name, Peer: name, Group: func() duty.Group { return n }, Provider: &providerLink{n},
 		Agreed: func() (time.Time, bool) { return time.Now(), true },
-		Usage:  &duty.Usage{Span: span, Delay: delay}, Scale: &duty.Scale{Services: w.fleet.look, DryRun: w.dryRun}, Lease: lease, PerSecond: 50,
-		// Ticks in step with each other would let everything happen in one order.
+		Usage:  &duty.Usage{Span: span, Delay: delay}, Scale: &duty.Scale{Services: w.fleet.services, DryRun: w.dryRun}, Lease: lease, PerSecond: 50,
+		// Different ticks, so that events do not always happen in the same order.
 		Tick: 20*time.Millisecond + time.Duration(rand.IntN(20))*time.Millisecond,
 		Now:  n.now, Log: zerolog.Nop(),
 	})
 	w.mu.Lock()
-	w.nodes[name] = n
+	w.members[name] = n
 	w.mu.Unlock()
 	if err := n.Start(context.Background()); err != nil {
 		w.t.Fatal(err)
@@ -159,45 +159,45 @@
 	return n
 }
 
-// stopAll ends the members, so that no goroutine is left.
-func (w *world) stopAll() {
+// stopAll stops the members, so that no goroutine is left.
+func (w *simulation) stopAll() {
 	close(w.counting)
 	for _, n := range w.live() {
 		n.kill()
 	}
 }
 
-func (w *world) live() []*node {
+func (w *simulation) live() []*testMember {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	names := slices.Sorted(maps.Keys(w.nodes))
-	var list []*node
+	names := slices.Sorted(maps.Keys(w.members))
+	var list []*testMember
 	for _, name := range names {
-		list = append(list, w.nodes[name])
+		list = append(list, w.members[name])
 	}
 	return list
 }
 
-// pass waits while the member is frozen.
-func (n *node) pass() {
+// waitWhileFrozen waits while the member is frozen.
+func (n *testMember) waitWhileFrozen() {
 	n.mu.Lock()
 	gate := n.gate
 	n.mu.Unlock()
 	<-gate
 }
 
-func (n *node) now() time.Time {
-	n.pass()
+func (n *testMember) now() time.Time {
+	n.waitWhileFrozen()
 	return time.Now()
 }
 
-func (n *node) freeze() {
+func (n *testMember) freeze() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.gate = make(chan struct{})
 }
 
-func (n *node) thaw() {
+func (n *testMember) thaw() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	select {
@@ -207,53 +207,53 @@
 	}
 }
 
-// kill ends the member at once: it releases nothing, and nothing that it sends arrives.
-func (n *node) kill() {
+// kill stops the member at once: it releases nothing, and nothing that it sends arrives.
+func (n *testMember) kill() {
 	n.mu.Lock()
 	n.killed = true
 	n.mu.Unlock()
 	n.thaw()
 	_ = n.Stop(context.Background())
 	n.w.mu.Lock()
-	delete(n.w.nodes, n.name)
+	delete(n.w.members, n.name)
 	n.w.mu.Unlock()
 }
 
-func (n *node) isCut() bool {
+func (n *testMember) isCut() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cut || n.killed
 }
 
-func (n *node) setCut(cut bool) {
+func (n *testMember) setCut(cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut = cut
 }
 
-// Propose implements duty.Group: a member that is cut off from the group waits in vain.
-func (n *node) Propose(ctx context.Context, machine string, data []byte) ([]byte, uint64, error) {
-	n.pass()
-	time.Sleep(trip)
+// Propose implements duty.Group. A proposal of a member that is cut off from the group times out.
+func (n *testMember) Propose(ctx context.Context, machine string, data []byte) ([]byte, uint64, error) {
+	n.waitWhileFrozen()
+	time.Sleep(latency)
 	if n.isCut() {
 		<-ctx.Done()
 		return nil, 0, fault.New(fault.NotRun, "no leader is known")
 	}
 	index, result := n.w.append(machine, data)
-	time.Sleep(trip)
+	time.Sleep(latency)
 	if machine == fence.Name {
-		n.comes(renewing)
+		n.reach(renewing)
 	}
-	n.pass()
+	n.waitWhileFrozen()
 	n.catchUp(index)
 	return result, uint64(index), nil
 }
 
 // append commits a command.
-func (w *world) append(machine string, data []byte) (index int, result []byte) {
+func (w *simulation) append(machine string, data []byte) (index int, result []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	at := time.Now().Add(w.ahead)
+	at := time.Now().Add(w.clockAhead)
 	if at.Before(w.last) {
 		at = w.last
 	}
@@ -265,7 +265,7 @@
 }
 
 // catchUp applies the log up to an index.
-func (n *node) catchUp(index int) {
+func (n *testMember) catchUp(index int) {
 	n.w.mu.Lock()
 	entries := n.w.entries[:index]
 	n.w.mu.Unlock()
@@ -286,7 +286,7 @@
 }
 
 // View implements duty.Group.
-func (n *node) View(f func(uint64, *control.Mux)) {
+func (n *testMember) View(f func(uint64, *control.Mux)) {
 	n.w.mu.Lock()
 	index := len(n.w.entries)
 	n.w.mu.Unlock()
@@ -298,22 +298,22 @@
 	f(uint64(n.at), n.mux)
 }
 
-// count lets two instances count: in each half second of a window a request comes to each,
-// so that the organisation's total is 20 in the end. An instance that is silent tells what
-// it counted once it is not any more.
-func (w *world) count() {
+// count makes two instances count: each receives one request in each half second of a window, so
+// that the total of the organisation is 20 in the end. An instance that was silent sends its counts
+// once it is not silent any more.
+func (w *simulation) count() {
 	const each = 500 * time.Millisecond
 	begun := time.Now().UnixNano()/int64(each) - 1
-	told := map[uint64]int64{0: begun, 1: begun}
+	lastCounted := map[uint64]int64{0: begun, 1: begun}
 	for {
 		now := time.Now().UnixNano() / int64(each)
 		for instance := range uint64(2) {
 			if w.isSilent(instance) {
 				continue
 			}
-			for n := told[instance] + 1; n <= now; n++ {
-				w.tell(instance+1, n/10, uint64(n%10)+1)
-				told[instance] = n
+			for n := lastCounted[instance] + 1; n <= now; n++ {
+				w.commitCount(instance+1, n/10, uint64(n%10)+1)
+				lastCounted[instance] = n
 			}
 		}
 		select {
@@ -324,20 +324,20 @@
 	}
 }
 
-func (w *world) isSilent(instance uint64) bool {
+func (w *simulation) isSilent(instance uint64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.silent == instance+1
 }
 
-func (w *world) setSilent(instance uint64) {
+func (w *simulation) setSilent(instance uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.silent = instance
 }
 
-// tell commits the count of an instance in a window.
-func (w *world) tell(instance uint64, window int64, requests uint64) {
+// commitCount commits the count of an instance in a window.
+func (w *simulation) commitCount(instance uint64, window int64, requests uint64) {
 	c := usagestate.Command{Counts: []usage.Report{{
 		Instance: instance, Current: window, Counts: []usage.Count{{Window: window, Organisation: "o", Requests: requests}},
 	}}}
@@ -345,21 +345,21 @@
 	w.append(usagestate.Name, data)
 }
 
-// provider takes calls and judges them by its rules.
+// provider accepts calls and checks them against its rules.
 type provider struct {
-	world *world
+	simulation *simulation
 
 	mu sync.Mutex
-	// reports holds what was accepted first of each window.
+	// reports holds the first accepted report of each window.
 	reports map[int64]string
-	// calls are those that arrived, in order.
+	// calls are the calls that arrived, in order.
 	calls []arrival
-	// unreachable lists members that can't connect; answer is how long an answer takes; lost
-	// is how many answers are lost, and busy how many calls are refused for their rate.
+	// unreachable lists members that cannot connect. answer is how long an answer takes, lost how many
+	// answers will be lost, and busy how many calls will be refused for their rate.
 	unreachable map[string]bool
 	answer      time.Duration
 	lost, busy  int
-	broken      []string
+	violations  []string
 }
 
 type arrival struct {
@@ -372,7 +372,7 @@
 	order *duty.Order
 }
 
-// subject is what the call is about, as far as holders are concerned.
+// subject returns what the call is about, for the rules on holders.
 func (a *arrival) subject() string {
 	if a.order == nil {
 		return "usage"
@@ -380,7 +380,7 @@
 	return a.order.Service + " " + a.order.Domain
 }
 
-// arrives judges a call.
+// arrives checks a call against the rules and records it.
 func (p *provider) arrives(a arrival) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -390,21 +390,21 @@
 			continue
 		}
 		if b.number > a.number {
-			p.broken = append(p.broken, fmt.Sprintf("%s calls with %d after %d of %s", a.machine, a.number, b.number, b.machine))
+			p.violations = append(p.violations, fmt.Sprintf("%s calls with %d after %d of %s", a.machine, a.number, b.number, b.machine))
 		}
 		if b.number == a.number && b.machine != a.machine {
-			p.broken = append(p.broken, fmt.Sprintf("%s and %s call with %d", a.machine, b.machine, a.number))
+			p.violations = append(p.violations, fmt.Sprintf("%s and %s call with %d", a.machine, b.machine, a.number))
 		}
 	}
-	if p.toAndFro(&a) {
-		p.broken = append(p.broken, fmt.Sprintf("%s, another one and %s act within %v", a.machine, a.machine, lease))
+	if p.alternates(&a) {
+		p.violations = append(p.violations, fmt.Sprintf("%s, another one and %s act within %v", a.machine, a.machine, lease))
 	}
 	if a.order != nil {
 		p.calls = append(p.calls, a)
 		return
 	}
 	if first, ok := p.reports[a.window]; ok && first != a.body {
-		p.broken = append(p.broken, fmt.Sprintf("window %d: %s after %s", a.window, a.body, first))
+		p.violations = append(p.violations, fmt.Sprintf("window %d: %s after %s", a.window, a.body, first))
 	}
 	if _, ok := p.reports[a.window]; !ok {
 		p.reports[a.window] = a.body
@@ -412,7 +412,9 @@
 	p.calls = append(p.calls, a)
 }
 
-func (p *provider) toAndFro(a *arrival) bool {
+// alternates reports whether another member made calls between two calls of this one within the
+// time of the lease.
+func (p *provider) alternates(a *arrival) bool {
 	between := false
 	for i := len(p.calls) - 1; i >= 0; i-- {
 		b := &p.calls[i]
@@ -450,19 +452,19 @@
 	return slices.Clone(p.calls)
 }
 
-// path is a member's way to the provider, with the guard of the real client: no byte
-// arrives after the time that the call bears, and none of a member that was killed.
-type path struct{ n *node }
+// providerLink is the connection of a member to the provider, with the guard of the real client: no
+// byte arrives after the deadline of the call, and none from a member that was killed.
+type providerLink struct{ n *testMember }
 
-func (c *path) reaches() bool {
+func (c *providerLink) reaches() bool {
 	c.n.w.provider.mu.Lock()
 	defer c.n.w.provider.mu.Unlock()
 	return !c.n.w.provider.unreachable[c.n.name]
 }
 
 // Connect implements duty.Provider.
-func (c *path) Connect(ctx context.Context) error {
-	c.n.pass()
+func (c *providerLink) Connect(ctx context.Context) error {
+	c.n.waitWhileFrozen()
 	if !c.reaches() {
 		<-ctx.Done()
 		return fault.New(fault.Unavailable, "no connection")
@@ -471,28 +473,28 @@
 }
 
 // Report implements duty.Provider.
-func (c *path) Report(ctx context.Context, a duty.Authority, r *duty.Report) error {
+func (c *providerLink) Report(ctx context.Context, a duty.Authority, r *duty.Report) error {
 	return c.send(ctx, arrival{number: a.Number, window: r.Window, body: fmt.Sprint(r.Totals)}, a.NotAfter)
 }
 
 // Order implements duty.Provider.
-func (c *path) Order(ctx context.Context, a duty.Authority, o *duty.Order) error {
+func (c *providerLink) Order(ctx context.Context, a duty.Authority, o *duty.Order) error {
 	return c.send(ctx, arrival{number: a.Number, order: o}, a.NotAfter)
 }
 
-func (c *path) send(ctx context.Context, a arrival, notAfter time.Time) error {
-	c.n.pass()
+func (c *providerLink) send(ctx context.Context, a arrival, notAfter time.Time) error {
+	c.n.waitWhileFrozen()
 	if !c.reaches() {
 		wait(ctx, 700*time.Millisecond)
 		return fault.New(fault.NotRun, "no connection")
 	}
-	c.n.comes(sending)
+	c.n.reach(sending)
 	if c.n.isKilled() || !time.Now().Before(notAfter) {
 		return fault.New(fault.NotRun, "the lease is over")
 	}
-	// Bytes that have left arrive, also if the caller waits no longer.
+	// Bytes that were sent arrive even if the caller stops waiting.
 	done := make(chan error, 1)
-	go func() { done <- c.fly(ctx, a) }()
+	go func() { done <- c.deliver(ctx, a) }()
 	select {
 	case err := <-done:
 		return err
@@ -501,11 +503,11 @@
 	}
 }
 
-// fly takes a call to the provider and its answer back.
-func (c *path) fly(ctx context.Context, a arrival) error {
-	c.n.flies(1)
-	time.Sleep(c.n.trip)
-	c.n.flies(-1)
+// deliver carries a call to the provider and its answer back.
+func (c *providerLink) deliver(ctx context.Context, a arrival) error {
+	c.n.addInFlight(1)
+	time.Sleep(c.n.latency)
+	c.n.addInFlight(-1)
 	p := c.n.w.provider
 	p.mu.Lock()
 	busy, lost := p.busy > 0, p.lost > 0
@@ -521,17 +523,17 @@
 		return fault.New(fault.Overloaded, "too many calls")
 	}
 	a.at, a.machine = time.Now(), c.n.name
-	if a.order != nil && !c.n.w.fleet.take(a.order) {
+	if a.order != nil && !c.n.w.fleet.accept(a.order) {
 		return fault.New(fault.Conflict, "none left")
 	}
 	p.arrives(a)
-	if !wait(ctx, answer+trip) || lost {
+	if !wait(ctx, answer+latency) || lost {
 		return fault.New(fault.OutcomeUnknown, "no answer")
 	}
 	return nil
 }
 
-func (n *node) isKilled() bool {
+func (n *testMember) isKilled() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.killed
--- a/instance/duty/fleet_test.go
+++ b/instance/duty/fleet_test.go
@@ -11,21 +11,22 @@
 	"github.com/comfreyladder/comfreyladder/instance/duty"
 )
 
-// boot is how long an ordered upstream takes to serve.
+// boot is the time from an order until an upstream is ready.
 const boot = 4 * time.Second
 
-// fleet is the upstreams of a service in three domains, as orders make them.
+// fleet is the set of upstreams of a service in three domains, as changed by orders.
 type fleet struct {
 	mu   sync.Mutex
 	need float64
-	// ordered is what was accepted, at a time, and ready what served before that.
+	// ordered is the accepted count, accepted at the time in at, and before the number that was ready
+	// before that.
 	ordered map[subject]int
 	at      map[subject]time.Time
 	before  map[subject]int
-	// none lists domains without preemptible upstreams to be had.
-	none map[string]bool
-	// taken and refused count orders.
-	taken, refused int
+	// unavailable lists domains in which no preemptible upstreams are available.
+	unavailable map[string]bool
+	// accepted and refused count orders.
+	accepted, refused int
 }
 
 type subject struct {
@@ -36,7 +37,7 @@
 var domains = []string{"x", "y", "z"}
 
 func newFleet() *fleet {
-	f := &fleet{ordered: map[subject]int{}, at: map[subject]time.Time{}, before: map[subject]int{}, none: map[string]bool{}}
+	f := &fleet{ordered: map[subject]int{}, at: map[subject]time.Time{}, before: map[subject]int{}, unavailable: map[string]bool{}}
 	for _, d := range domains {
 		f.ordered[subject{d, false}] = 10
 	}
@@ -49,7 +50,7 @@
 	change(f)
 }
 
-// ready needs mu.
+// ready returns the number of ready upstreams. The caller must hold mu.
 func (f *fleet) ready(k subject) int {
 	if time.Since(f.at[k]) < boot {
 		return min(f.before[k], f.ordered[k])
@@ -57,29 +58,29 @@
 	return f.ordered[k]
 }
 
-// take takes an order; false means that there are none.
-func (f *fleet) take(o *duty.Order) bool {
+// accept accepts an order; false means that no upstreams are available.
+func (f *fleet) accept(o *duty.Order) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	k := subject{o.Domain, o.Preemptible}
-	if o.Preemptible && f.none[o.Domain] && o.Count > f.ready(k) {
+	if o.Preemptible && f.unavailable[o.Domain] && o.Count > f.ready(k) {
 		f.refused++
 		return false
 	}
-	f.taken++
+	f.accepted++
 	f.before[k] = f.ready(k)
 	f.ordered[k], f.at[k] = o.Count, time.Now()
 	return true
 }
 
-// lose takes back the preemptible upstreams of a domain.
-func (f *fleet) lose(domain string) {
+// reclaim takes back the preemptible upstreams of a domain.
+func (f *fleet) reclaim(domain string) {
 	k := subject{domain, true}
-	f.ordered[k], f.before[k], f.none[domain] = 0, 0, true
+	f.ordered[k], f.before[k], f.unavailable[domain] = 0, 0, true
 }
 
-// look tells what is known of the service.
-func (f *fleet) look() []scale.Service {
+// services returns the state of the service.
+func (f *fleet) services() []scale.Service {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := scale.Service{Name: "s", Min: 1, Max: 40, BootTime: boot, PreemptiblePrice: 0.2, Need: f.need, Known: true}
@@ -94,11 +95,11 @@
 func (f *fleet) counts() (taken, refused int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.taken, f.refused
+	return f.accepted, f.refused
 }
 
-// least returns the fewest preemptible upstreams that serve in a domain.
-func (f *fleet) least() int {
+// minPreemptible returns the smallest number of ready preemptible upstreams in a domain.
+func (f *fleet) minPreemptible() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	least := 1 << 30
@@ -108,14 +109,14 @@
 	return least
 }
 
-// What stands is exchanged for preemptible upstreams at the start; after that calls are made
-// only when something changes.
+// Existing upstreams are replaced by preemptible ones at the start. After that, calls are made only
+// when something changes.
 func TestOrdersAreGivenOnce(t *testing.T) {
-	play(t, func(w *world) {
+	simulate(t, func(w *simulation) {
 		w.fleet.set(func(f *fleet) { f.need = 45 })
 		time.Sleep(30 * time.Second)
-		Expect(w.fleet.look()[0].Domains[0].Ready.Standard).To(Equal(1))
-		Expect(w.fleet.least()).To(BeNumerically(">=", 29))
+		Expect(w.fleet.services()[0].Domains[0].Ready.Standard).To(Equal(1))
+		Expect(w.fleet.minPreemptible()).To(BeNumerically(">=", 29))
 		taken, _ := w.fleet.counts()
 		Expect(taken).To(BeNumerically("<", 20))
 		time.Sleep(20 * time.Second)
@@ -124,21 +125,21 @@
 	})
 }
 
-// The holder is killed while all upstreams are needed. Its successor knows neither what was
-// ordered nor what was needed before, and must not give up what serves.
-func TestANewHolderLeavesWhatServes(t *testing.T) {
-	play(t, func(w *world) {
+// The holder is killed while all upstreams are needed. Its successor knows neither what was ordered
+// nor the demand before, and must not release ready upstreams.
+func TestNewHolderKeepsServingUpstreams(t *testing.T) {
+	simulate(t, func(w *simulation) {
 		w.fleet.set(func(f *fleet) { f.need = 55 })
 		time.Sleep(20 * time.Second)
-		serve := w.fleet.least()
+		serve := w.fleet.minPreemptible()
 		for range 5 {
 			w.holder().kill()
 			for range 100 {
 				time.Sleep(100 * time.Millisecond)
-				Expect(w.fleet.least()).To(BeNumerically(">=", serve))
+				Expect(w.fleet.minPreemptible()).To(BeNumerically(">=", serve))
 			}
 			for _, name := range []string{"a", "b", "c"} {
-				if w.nodes[name] == nil {
+				if w.members[name] == nil {
 					w.run(name)
 				}
 			}
@@ -146,26 +147,26 @@
 	})
 }
 
-// A domain's preemptible upstreams are taken back and not to be had for ten seconds. It is
-// asked once a second, and has them again a second after they are to be had.
-func TestARefusedOrderIsTriedAgain(t *testing.T) {
-	play(t, func(w *world) {
+// The preemptible upstreams of a domain are reclaimed and unavailable for 17 seconds. The order must
+// be retried about once a second, and be met a second after they are available again.
+func TestRefusedOrderIsRetried(t *testing.T) {
+	simulate(t, func(w *simulation) {
 		w.fleet.set(func(f *fleet) { f.need = 45 })
 		time.Sleep(20 * time.Second)
-		w.fleet.set(func(f *fleet) { f.lose("y") })
+		w.fleet.set(func(f *fleet) { f.reclaim("y") })
 		time.Sleep(17 * time.Second)
 		_, refused := w.fleet.counts()
 		Expect(refused).To(And(BeNumerically(">", 5), BeNumerically("<=", 18)), "calls cost")
-		w.fleet.set(func(f *fleet) { f.none["y"] = false })
+		w.fleet.set(func(f *fleet) { f.unavailable["y"] = false })
 		time.Sleep(1500*time.Millisecond + boot)
-		Expect(w.fleet.least()).To(BeNumerically(">=", 29))
+		Expect(w.fleet.minPreemptible()).To(BeNumerically(">=", 29))
 	})
 }
 
-// An operator tries the settings of autoscaling: all members plan, and nothing is ordered.
-// Usage is reported as ever.
-func TestADryRunOrdersNothing(t *testing.T) {
-	play(t, func(w *world) {
+// An operator tries the autoscaling settings in a dry run: all members plan, and nothing is ordered.
+// Usage is still reported.
+func TestDryRunOrdersNothing(t *testing.T) {
+	simulate(t, func(w *simulation) {
 		for _, n := range w.live() {
 			n.kill()
 		}
@@ -183,6 +184,6 @@
 		orders := w.holder().Service.View().Orders
 		Expect(orders).NotTo(BeEmpty())
 		Expect(orders[1].Wanted).To(BeNumerically(">=", 29), "what would be ordered is told")
-		w.reported(begun)
+		w.checkReported(begun)
 	})
 }
--- a/instance/duty/lease.go
+++ b/instance/duty/lease.go
@@ -11,109 +11,109 @@
 	"github.com/comfreyladder/comfreyladder/instance/clock"
 )
 
-// seat is how this member stands to the lease when it does not hold it.
-type seat struct {
-	// revision is that of the lease as it was seen first at a time.
-	revision uint64
-	at       time.Time
-	// busy says that a try is under way, next is when the next one may begin.
-	busy bool
-	next time.Time
+// candidacy is the state of a member with respect to the lease while it does not hold it.
+type candidacy struct {
+	// revision is the last observed revision of the lease, first seen at revisionSeenAt.
+	revision       uint64
+	revisionSeenAt time.Time
+	// busy reports whether an attempt is in progress. nextAt is the earliest time of the next one.
+	busy   bool
+	nextAt time.Time
 }
 
-// away is the longest time that a lease is left alone after it seemed free: members that
-// find it free in the same moment shouldn't all connect to the provider.
-const away = 200 * time.Millisecond
+// maxAcquireDelay bounds the random delay before a member tries to acquire a free lease, so that
+// members that find it free at the same time do not all connect to the provider.
+const maxAcquireDelay = 200 * time.Millisecond
 
-// hold keeps the lease, takes it when it is free, and gives it up when others may do better.
-func (s *Service) hold(now time.Time, g Group) {
+// maintainLease renews the lease, acquires it when it is free, and releases it when another member
+// may do better.
+func (s *Service) maintainLease(now time.Time, g Group) {
 	if s.lease.Number > 0 && !now.Before(s.lease.Until) {
-		s.drop(now, "it ran out")
+		s.dropLease(now, "the lease expired")
 	}
 	switch {
-	case g == nil || s.seat.busy:
+	case g == nil || s.candidacy.busy:
 	case s.lease.Number > 0:
-		s.keep(now, g)
-	case s.draining.Load() || now.Before(s.seat.next) || !s.free(now, g):
+		s.renewOrRelease(now, g)
+	case s.draining.Load() || now.Before(s.candidacy.nextAt) || !s.isFree(now, g):
 	default:
-		s.take(g)
+		s.tryAcquire(g)
 	}
 }
 
-// keep renews the lease, or gives it up.
-func (s *Service) keep(now time.Time, g Group) {
+// renewOrRelease renews the lease, or releases it.
+func (s *Service) renewOrRelease(now time.Time, g Group) {
 	t := &s.tenure
-	if s.draining.Load() || !t.unreachable.IsZero() && now.Sub(t.unreachable) >= s.cfg.ReleaseAfter {
-		s.giveUp(now, g)
+	if s.draining.Load() || !t.unreachableSince.IsZero() && now.Sub(t.unreachableSince) >= s.cfg.ReleaseAfter {
+		s.release(now, g)
 		return
 	}
 	if !now.Before(s.lease.RenewAt) {
-		s.ask(g, s.acquireRequest(now))
+		s.sendRequest(g, s.acquireRequest(now))
 	}
 }
 
-// giveUp releases the lease once no call under it can arrive any more.
-func (s *Service) giveUp(now time.Time, g Group) {
+// release releases the lease once no call under it can arrive any more.
+func (s *Service) release(now time.Time, g Group) {
 	s.tenure.cancel()
-	if s.tenure.flying > 0 || now.Before(s.tenure.landed) {
+	if s.tenure.callsInFlight > 0 || now.Before(s.tenure.effectsEndAt) {
 		return
 	}
 	why := "the process ends"
 	if !s.draining.Load() {
-		why = "the provider can't be reached from here"
-		s.seat.next = now.Add(s.cfg.Lease + 2*s.cfg.terms().TTL)
+		why = "the provider cannot be reached from this instance"
+		s.candidacy.nextAt = now.Add(s.cfg.Lease + 2*s.cfg.timing().TTL)
 	}
-	s.drop(now, why)
-	s.ask(g, fence.Request{Verb: fence.Release, Subject: Subject, Holder: s.holder})
+	s.dropLease(now, why)
+	s.sendRequest(g, fence.Request{Verb: fence.Release, Subject: Subject, Holder: s.holder})
 }
 
-// drop ends the tenure on this side.
-func (s *Service) drop(now time.Time, why string) {
+// dropLease ends the tenure on this side.
+func (s *Service) dropLease(now time.Time, why string) {
 	s.cfg.Log.Info().Str("event", "duties_lost").Uint64("fence", s.lease.Number).Str("reason", why).
-		Dur("over", now.Sub(s.lease.Until)).Int("calls_under_way", s.tenure.flying).Msg("this instance does not hold the duties any more")
+		Dur("over", now.Sub(s.lease.Until)).Int("calls_under_way", s.tenure.callsInFlight).Msg("lost the lease for duties")
 	s.lease.Drop()
 	s.tenure.cancel()
 	s.tenure = tenure{}
 	s.tenure.ctx, s.tenure.cancel = context.WithCancel(s.ctx)
 	s.usage.attempts = map[int64]*attempt{}
-	s.scale.forget()
+	s.scale.reset()
 }
 
-// free reports whether the lease may be taken, as far as this member sees: nobody holds it,
-// or its holder has not renewed it for as long as it lasts, by the clock here. The group
-// gives it only if that is still so, and not by the log's time, which comes from whoever
-// leads and may jump.
-func (s *Service) free(now time.Time, g Group) bool {
+// isFree reports whether the lease may be acquired, as seen by this member: nobody holds it, or its
+// holder has not renewed it for its TTL by the local clock. The group grants it only if that still
+// holds, and does not use the time of the log, which comes from the leader and may jump.
+func (s *Service) isFree(now time.Time, g Group) bool {
 	var l fence.Lease
 	var known bool
 	g.View(func(_ uint64, m *control.Mux) { l, known = m.Machine(fence.Name).(*fence.Machine).Lease(Subject) })
 	if !known || l.Holder == "" {
 		return true
 	}
-	if l.Revision != s.seat.revision || s.seat.at.IsZero() {
-		s.seat.revision, s.seat.at = l.Revision, now
+	if l.Revision != s.candidacy.revision || s.candidacy.revisionSeenAt.IsZero() {
+		s.candidacy.revision, s.candidacy.revisionSeenAt = l.Revision, now
 	}
-	return now.Sub(s.seat.at) > max(l.TTL, s.cfg.terms().TTL)
+	return now.Sub(s.candidacy.revisionSeenAt) > max(l.TTL, s.cfg.timing().TTL)
 }
 
-// take connects to the provider, and asks for the lease if that works: a member that is cut
-// off from the provider could hold the lease, but not act.
-func (s *Service) take(g Group) {
-	s.seat.busy = true
+// tryAcquire connects to the provider and requests the lease if that succeeds: a member that is cut
+// off from the provider could hold the lease, but make no calls.
+func (s *Service) tryAcquire(g Group) {
+	s.candidacy.busy = true
 	s.calls.Go(func() {
-		pause := time.Duration(rand.Int64N(int64(away)))
+		pause := time.Duration(rand.Int64N(int64(maxAcquireDelay)))
 		ctx, cancel := context.WithTimeout(s.ctx, pause+s.cfg.ReleaseAfter)
 		defer cancel()
 		clock.Sleep(ctx, pause)
 		err := s.cfg.Provider.Connect(ctx)
 		s.loop.Post(func(now time.Time) {
-			s.seat.busy = false
+			s.candidacy.busy = false
 			if err != nil {
-				s.seat.next = now.Add(s.cfg.ReleaseAfter / 2)
+				s.candidacy.nextAt = now.Add(s.cfg.ReleaseAfter / 2)
 				return
 			}
-			if s.free(now, g) {
-				s.ask(g, s.acquireRequest(now))
+			if s.isFree(now, g) {
+				s.sendRequest(g, s.acquireRequest(now))
 			}
 		})
 	})
@@ -122,28 +122,28 @@
 func (s *Service) acquireRequest(now time.Time) fence.Request {
 	return fence.Request{
 		Verb: fence.Acquire, Subject: Subject, Holder: s.holder, Instance: s.cfg.Peer, ReturnDelay: s.cfg.Lease,
-		TTL: s.cfg.terms().TTL, WaitDone: s.lease.IsSettled(now), ExpiredRevision: s.seat.revision,
+		TTL: s.cfg.timing().TTL, WaitDone: s.lease.IsSettled(now), ExpiredRevision: s.candidacy.revision,
 	}
 }
 
-// ask sends a request to the group without holding up the loop.
-func (s *Service) ask(g Group, r fence.Request) {
-	s.seat.busy = true
-	asked := s.cfg.Now()
+// sendRequest sends a request to the group without blocking the loop.
+func (s *Service) sendRequest(g Group, r fence.Request) {
+	s.candidacy.busy = true
+	requestedAt := s.cfg.Now()
 	s.calls.Go(func() {
 		ctx, cancel := context.WithTimeout(s.ctx, r.TTL+s.cfg.ReleaseAfter)
 		defer cancel()
 		grant, err := propose(ctx, g, r)
 		s.loop.Post(func(now time.Time) {
-			s.seat.busy = false
+			s.candidacy.busy = false
 			if err == nil {
 				err = grant.Err()
 			}
 			switch {
 			case err != nil:
-				s.refused(now, &r, err)
+				s.handleRefusal(now, &r, err)
 			case r.Verb == fence.Acquire:
-				s.granted(asked, now, grant)
+				s.handleGrant(requestedAt, now, grant)
 			}
 		})
 	})
@@ -162,21 +162,21 @@
 	return grant, control.Unmarshal(result, grant)
 }
 
-// refused waits a little before the next try. Another holder ends what is left of the own
-// lease: this instance was taken for dead.
-func (s *Service) refused(now time.Time, r *fence.Request, err error) {
-	s.seat.next = now.Add(s.cfg.terms().TTL / 10)
+// handleRefusal delays the next attempt. If another instance holds the lease, the rest of the local
+// lease is dropped: this instance was assumed to have failed.
+func (s *Service) handleRefusal(now time.Time, r *fence.Request, err error) {
+	s.candidacy.nextAt = now.Add(s.cfg.timing().TTL / 10)
 	if r.Verb == fence.Acquire && fault.CodeOf(err) == fault.Conflict && s.lease.Number > 0 {
-		s.drop(now, "another instance holds it")
+		s.dropLease(now, "another instance holds the lease")
 	}
-	s.cfg.Log.Debug().Err(err).Str("verb", string(r.Verb)).Msg("lease for duties not given")
+	s.cfg.Log.Debug().Err(err).Str("verb", string(r.Verb)).Msg("lease for duties not granted")
 }
 
-// granted takes a lease or its renewal.
-func (s *Service) granted(asked, now time.Time, grant *fence.Grant) {
-	begun, _ := s.lease.Update(asked, now, grant, s.cfg.terms())
-	if begun {
+// handleGrant applies a new lease or a renewal.
+func (s *Service) handleGrant(requestedAt, now time.Time, grant *fence.Grant) {
+	newNumber, _ := s.lease.Update(requestedAt, now, grant, s.cfg.timing())
+	if newNumber {
 		s.cfg.Log.Info().Str("event", "duties_held").Uint64("fence", s.lease.Number).Dur("wait", s.lease.SettledAt.Sub(now)).
-			Dur("left", s.lease.Until.Sub(now)).Msg("this instance holds the duties")
+			Dur("left", s.lease.Until.Sub(now)).Msg("acquired the lease for duties")
 	}
 }
--- a/instance/duty/scale.go
+++ b/instance/duty/scale.go
@@ -8,110 +8,112 @@
 	"github.com/comfreyladder/comfreyladder/core/scale"
 )
 
-// Scale says how upstreams are ordered.
+// Scale configures orders of upstreams.
 type Scale struct {
-	// Services returns what is known of the services of which upstreams can be ordered.
+	// Services returns the state of the services whose upstreams can be ordered.
 	Services func() []scale.Service
 	Plan     scale.Config
-	// DryRun logs what would be ordered, and orders nothing.
+	// DryRun logs the orders that would be sent, and sends none.
 	DryRun bool
 }
 
-// Order is how many upstreams of a service are wanted in a failure domain.
+// Order is the number of upstreams of a service that are wanted in a failure domain.
 type Order struct {
 	Service, Domain string
 	Count           int
-	// Preemptible orders those that cost less and may be taken back.
+	// Preemptible orders upstreams that cost less and may be reclaimed by the provider.
 	Preemptible bool
 }
 
-// OrderStatus tells how an order stands.
+// OrderStatus is the state of an order.
 type OrderStatus struct {
 	Order
-	// Accepted is the count that the provider took last, Ready how many serve.
+	// Accepted is the count that the provider accepted last, Ready the number of ready upstreams.
 	Accepted, Ready int
-	// LastError is why the latest call failed, empty if it did not.
+	// LastError is the error of the latest call, empty if it succeeded.
 	LastError string
 }
 
 const (
-	// scaleEvery is the time between two looks at the demand.
-	scaleEvery = 250 * time.Millisecond
-	// againAfter is for how long beyond the boot upstreams may be missing before an order is
-	// given again: crashed ones come back by themselves, reclaimed ones don't.
-	againAfter = 3 * time.Second
-	// refusedPause is the pause after an order that could not be met: nobody says when it
-	// can, and calls cost.
-	refusedPause = time.Second
+	// scaleInterval is the time between two evaluations of the demand.
+	scaleInterval = 250 * time.Millisecond
+	// reorderAfter is how long beyond the boot time upstreams may be missing before an order is sent
+	// again: crashed ones return by themselves, reclaimed ones do not.
+	reorderAfter = 3 * time.Second
+	// refusedDelay is the delay after an order that could not be met: nothing announces when it can be,
+	// and calls cost.
+	refusedDelay = time.Second
 )
 
-// subject is what one order is about: the next one replaces it.
+// subject identifies an order: the next order with the same subject replaces it.
 type subject struct {
 	service, domain string
 	preemptible     bool
 }
 
-// order is where the order of a subject stands.
+// order is the state of the order of a subject.
 type order struct {
 	attempt
 	subject
 	wanted, ready int
-	// given is what was accepted last, at a time.
-	given   int
-	known   bool
-	givenAt time.Time
-	// boot is how long what was ordered takes to serve.
-	boot time.Duration
+	// accepted is the count that the provider accepted last, at acceptedAt; acceptedKnown is false if
+	// it has accepted none yet.
+	accepted      int
+	acceptedKnown bool
+	acceptedAt    time.Time
+	// bootTime is the time from an order until its upstreams are ready.
+	bootTime time.Duration
 }
 
-// due reports whether a call is to be made.
+// dueAt reports whether the order is to be sent.
 func (o *order) dueAt(now time.Time) bool {
 	if !o.due(now) {
 		return false
 	}
-	missing := o.ready < o.given && now.Sub(o.givenAt) > o.boot+againAfter
-	if !o.known && o.wanted == o.ready && o.wanted > 0 {
-		// What serves is what is wanted; whoever ordered it, it need not be ordered again.
+	missing := o.ready < o.accepted && now.Sub(o.acceptedAt) > o.bootTime+reorderAfter
+	if !o.acceptedKnown && o.wanted == o.ready && o.wanted > 0 {
+		// The ready upstreams already match the plan and need not be ordered again.
 		return false
 	}
-	fewer := o.given - o.wanted
-	return !o.known || fewer < 0 || fewer > 0 && (fewer >= fewerStep || o.wanted == 0 || now.Sub(o.givenAt) > fewerPause) || missing
+	fewer := o.accepted - o.wanted
+	return !o.acceptedKnown || fewer < 0 || fewer > 0 && (fewer >= minReduction || o.wanted == 0 || now.Sub(o.acceptedAt) > reductionDelay) || missing
 }
 
-// Where demand falls slowly, orders for one upstream less at a time would be calls of which
-// each saves next to nothing.
+// While demand falls slowly, orders that remove one upstream at a time would cost a call each and
+// save next to nothing. Orders therefore remove at least minReduction upstreams, or fewer after
+// reductionDelay.
 const (
-	fewerStep  = 3
-	fewerPause = 5 * time.Second
+	minReduction   = 3
+	reductionDelay = 5 * time.Second
 )
 
-// scaleDuty is where the orders of upstreams stand.
+// scaleDuty is the state of the orders of upstreams.
 type scaleDuty struct {
-	orders   map[subject]*order
-	planners map[string]*scale.Planner
-	at       time.Time
+	orders    map[subject]*order
+	planners  map[string]*scale.Planner
+	plannedAt time.Time
 }
 
-// forget drops what is known: another instance may have ordered since.
-func (d *scaleDuty) forget() { *d = scaleDuty{} }
+// reset drops all state: another instance may have sent orders since.
+func (d *scaleDuty) reset() { *d = scaleDuty{} }
 
 func (d *scaleDuty) status() (list []OrderStatus) {
 	for k, o := range d.orders {
-		st := OrderStatus{Order: Order{k.service, k.domain, o.wanted, k.preemptible}, Accepted: o.given, Ready: o.ready}
-		if o.last != nil {
-			st.LastError = o.last.Error()
+		st := OrderStatus{Order: Order{k.service, k.domain, o.wanted, k.preemptible}, Accepted: o.accepted, Ready: o.ready}
+		if o.lastErr != nil {
+			st.LastError = o.lastErr.Error()
 		}
 		list = append(list, st)
 	}
 	return list
 }
 
-// orderUpstreams plans and gives the orders that differ from what was accepted.
+// orderUpstreams plans the upstreams and sends the orders that differ from the accepted ones.
 func (s *Service) orderUpstreams(now time.Time, _ Group) {
-	if s.cfg.Scale == nil || now.Sub(s.scale.at) < scaleEvery {
+	if s.cfg.Scale == nil || now.Sub(s.scale.plannedAt) < scaleInterval {
 		return
 	}
-	s.scale.at = now
+	s.scale.plannedAt = now
 	if s.scale.orders == nil {
 		s.scale.orders, s.scale.planners = map[subject]*order{}, map[string]*scale.Planner{}
 	}
@@ -134,38 +136,38 @@
 			s.order(now, p, v, standard, w.Standard)
 		}
 		if v.PreemptiblePrice > 0 {
-			// Both kinds together are bounded: until fewer standard ones are accepted there is
-			// no room for more of the others.
-			room := max(d.Ready.Preemptible, v.Max-max(w.Standard, standard.taken(plan.Registering, v.Max)))
+			// The limit applies to both kinds together: until fewer standard upstreams are accepted there is no
+			// room for more preemptible ones.
+			room := max(d.Ready.Preemptible, v.Max-max(w.Standard, standard.occupied(plan.Registering, v.Max)))
 			s.order(now, p, v, s.orderOf(v, subject{v.Name, w.Domain, true}, d.Ready.Preemptible), min(w.Preemptible, room))
 		}
 	}
 }
 
-// taken returns how many places an order takes: what was accepted, and as long as that is
-// not known what serves, or may be there and not have shown up yet.
-func (o *order) taken(arriving bool, most int) int {
+// occupied returns how many upstreams an order accounts for: the accepted count, or, while none is
+// known, the ready ones and those that may exist but have not registered yet.
+func (o *order) occupied(registering bool, limit int) int {
 	switch {
-	case o.known:
-		return o.given
-	case arriving:
-		return max(o.ready, most/2)
+	case o.acceptedKnown:
+		return o.accepted
+	case registering:
+		return max(o.ready, limit/2)
 	}
 	return o.ready
 }
 
-// orderOf returns the order of a subject.
+// orderOf returns the order of a subject and creates it if needed.
 func (s *Service) orderOf(v *scale.Service, k subject, ready int) *order {
 	o := s.scale.orders[k]
 	if o == nil {
 		o = &order{subject: k}
 		s.scale.orders[k] = o
 	}
-	o.ready, o.boot = ready, v.BootTime
+	o.ready, o.bootTime = ready, v.BootTime
 	return o
 }
 
-// order gives the order of one subject if it has to be.
+// order sends the order of one subject if it is due.
 func (s *Service) order(now time.Time, p *scale.Planner, v *scale.Service, o *order, count int) {
 	o.wanted = count
 	k, ready := o.subject, o.ready
@@ -174,34 +176,34 @@
 	}
 	if s.cfg.Scale.DryRun {
 		s.cfg.Log.Info().Str("event", "upstreams_planned").Str("service", k.service).Str("domain", k.domain).Bool("preemptible", k.preemptible).
-			Int("count", count).Int("ready", ready).Float64("need", v.Need).Msg("an order that a dry run does not give")
-		// As if it was taken, so that the next line tells a change.
-		o.given, o.known, o.givenAt = count, true, now
+			Int("count", count).Int("ready", ready).Float64("need", v.Need).Msg("dry run: order not sent")
+		// Recorded as if accepted, so that the next log line shows a change.
+		o.accepted, o.acceptedKnown, o.acceptedAt = count, true, now
 		return
 	}
 	call := &Order{Service: k.service, Domain: k.domain, Count: count, Preemptible: k.preemptible}
 	sent := now
 	s.call(now, &o.attempt, func(ctx context.Context, by Authority) error { return s.cfg.Provider.Order(ctx, by, call) }, func(now time.Time, err error) {
 		s.cfg.Log.Info().Str("event", "upstreams_ordered").Str("service", k.service).Str("domain", k.domain).Bool("preemptible", k.preemptible).
-			Int("count", count).Int("ready", ready).Int("given_before", o.given).Float64("need", v.Need).Dur("took", now.Sub(sent)).Err(err).Msg("order of upstreams")
-		s.ordered(now, p, o, count, err)
+			Int("count", count).Int("ready", ready).Int("given_before", o.accepted).Float64("need", v.Need).Dur("took", now.Sub(sent)).Err(err).Msg("order of upstreams")
+		s.recordOrder(now, p, o, count, err)
 	})
 }
 
-// ordered takes in what became of an order.
-func (s *Service) ordered(now time.Time, p *scale.Planner, o *order, count int, err error) {
+// recordOrder records the result of an order.
+func (s *Service) recordOrder(now time.Time, p *scale.Planner, o *order, count int, err error) {
 	switch {
 	case err == nil:
-		o.given, o.known, o.givenAt, o.failed, o.last = count, true, now, 0, nil
+		o.accepted, o.acceptedKnown, o.acceptedAt, o.failures, o.lastErr = count, true, now, 0, nil
 		if o.preemptible {
 			p.Accepted(o.domain, count)
 		}
 	case fault.CodeOf(err) == fault.Conflict:
-		o.last, o.next = err, now.Add(refusedPause)
+		o.lastErr, o.nextAt = err, now.Add(refusedDelay)
 		if o.preemptible {
 			p.Refused(o.domain)
 		}
 	default:
-		o.retry(now, err)
+		o.backOff(now, err)
 	}
 }
--- a/instance/duty/status.go
+++ b/instance/duty/status.go
@@ -8,20 +8,21 @@
 	usagestate "github.com/comfreyladder/comfreyladder/core/control/usage"
 )
 
-// Status tells how the duties stand, as this member knows it.
+// Status is the state of the duties as known to this member.
 type Status struct {
-	// Holder is the machine that holds the duties by the replicated state; empty for none.
+	// Holder is the instance that holds the duties according to the replicated state; empty if none does.
 	Holder string
-	// Number is the fencing number of the own lease, zero without one; Left is for how long
-	// it may be counted on.
+	// Number is the fencing number of the local lease, zero without one. LeaseLeft is how long the
+	// lease remains valid.
+	//
 	Number    uint64
 	LeaseLeft time.Duration
-	// Next is the window to be closed next, Windows the latest closed ones.
+	// Next is the next window to close, Windows the latest closed ones.
 	Next    int64
 	Windows []usagestate.Closed
-	// Open counts closed windows whose report is not acknowledged.
+	// Open counts the closed windows whose report is not acknowledged.
 	Open int
-	// Unreachable is since when the provider can't be reached from here.
+	// Unreachable is how long the provider could not be reached from this instance.
 	Unreachable time.Duration
 	Orders      []OrderStatus
 }
@@ -29,20 +30,20 @@
 // Status returns the latest status.
 func (s *Service) Status() Status { return *s.status.Load() }
 
-// publishEvery is the time between two looks at the state for the status.
-const publishEvery = 500 * time.Millisecond
+// publishInterval is the time between two updates of the status.
+const publishInterval = 500 * time.Millisecond
 
 func (s *Service) publish(now time.Time, g Group) {
-	if now.Sub(s.published) < publishEvery {
+	if now.Sub(s.publishedAt) < publishInterval {
 		return
 	}
-	s.published = now
+	s.publishedAt = now
 	st := &Status{}
 	if s.lease.Number > 0 {
 		st.Number, st.LeaseLeft = s.lease.Number, s.lease.Until.Sub(now)
 	}
-	if !s.tenure.unreachable.IsZero() {
-		st.Unreachable = now.Sub(s.tenure.unreachable)
+	if !s.tenure.unreachableSince.IsZero() {
+		st.Unreachable = now.Sub(s.tenure.unreachableSince)
 	}
 	if g != nil {
 		g.View(func(_ uint64, m *control.Mux) {
--- a/instance/duty/usage.go
+++ b/instance/duty/usage.go
@@ -11,10 +11,9 @@
 	"github.com/comfreyladder/comfreyladder/core/usage"
 )
 
-// Usage says how usage is reported.
+// Usage configures usage reports.
 type Usage struct {
-	// Span is how long a window lasts, Delay within what time after its end its report is
-	// due.
+	// Span is the length of a window. Its report is due within Delay after its end.
 	Span, Delay time.Duration
 }
 
@@ -25,28 +24,26 @@
 }
 
 const (
-	// settleAfter is how long after the end of a window it is closed at the earliest:
-	// instances' clocks agree on less.
-	settleAfter = 200 * time.Millisecond
-	// patiencePart is the part of the time until a report is due for which instances are
-	// waited for that have not told all of the window: they may be cut off for some seconds,
-	// and what they tell later is in no report. The rest is for a change of holder, and for a
-	// provider that is slow.
-	patiencePart = 0.65
-	// maxReports bounds the reports under way at a time.
+	// closeDelay is the minimum time between the end of a window and its close: the clocks of the
+	// instances differ by less.
+	closeDelay = 200 * time.Millisecond
+	// waitShare is the part of Delay for which a window waits for instances that have not sent all of
+	// their counts: they may be cut off for some seconds, and counts that arrive later are in no report.
+	// The rest of the time is for a change of holder and for a slow provider.
+	waitShare = 0.65
+	// maxReports bounds the reports in flight.
 	maxReports = 4
 )
 
-// usageDuty is where the reports stand.
+// usageDuty is the state of the reports.
 type usageDuty struct {
-	// closing says that a window's close is being committed.
+	// closing reports whether the close of a window is being committed.
 	closing bool
-	// attempts are those of the closed windows, by number.
+	// attempts are the attempts to report closed windows, by window number.
 	attempts map[int64]*attempt
 }
 
-// reportUsage closes the next window when it is time, and sends the reports of those that
-// are closed.
+// reportUsage closes the next window when it is due, and sends the reports of closed windows.
 func (s *Service) reportUsage(now time.Time, g Group) {
 	if s.cfg.Usage == nil {
 		return
@@ -66,15 +63,15 @@
 	s.sendReports(now, g, open)
 }
 
-// mayClose reports whether a window may be closed: it is over, and all have told it, or it
-// is too late to wait for them.
+// mayClose reports whether a window may be closed: it has ended, and either all instances have sent
+// their counts or it is too late to wait for them.
 func (s *Service) mayClose(window int64, complete bool) bool {
 	at, settled := s.cfg.Agreed()
 	if !settled {
 		return false
 	}
-	over := at.Sub(usage.EndOf(window, s.cfg.Usage.Span))
-	return over >= time.Duration(patiencePart*float64(s.cfg.Usage.Delay)) || complete && over >= settleAfter
+	sinceEnd := at.Sub(usage.EndOf(window, s.cfg.Usage.Span))
+	return sinceEnd >= time.Duration(waitShare*float64(s.cfg.Usage.Delay)) || complete && sinceEnd >= closeDelay
 }
 
 func (s *Service) closeWindow(g Group, window int64) {
@@ -82,8 +79,8 @@
 	s.commit(g, &usagestate.Command{Close: &window}, func() { s.usage.closing = false })
 }
 
-// commit has a command carried out without holding up the loop. One that fails is seen in
-// the state, and tried again from there.
+// commit proposes a command without blocking the loop. If it fails, the state is unchanged and the
+// next tick tries again.
 func (s *Service) commit(g Group, c *usagestate.Command, done func()) {
 	s.calls.Go(func() {
 		ctx, cancel := context.WithTimeout(s.ctx, s.cfg.CallTimeout)
@@ -93,7 +90,7 @@
 			_, _, err = g.Propose(ctx, usagestate.Name, data)
 		}
 		if err != nil {
-			s.cfg.Log.Debug().Err(err).Msg("usage: a command was not committed")
+			s.cfg.Log.Debug().Err(err).Msg("usage command not committed")
 		}
 		s.loop.Post(func(time.Time) { done() })
 	})
@@ -106,7 +103,7 @@
 			busy++
 		}
 	}
-	s.forgetReports(open)
+	s.pruneReports(open)
 	for i := range open {
 		c := &open[i]
 		a := s.usage.attempts[c.Window]
@@ -125,8 +122,8 @@
 	}
 }
 
-// forgetReports drops what is known of reports that are settled.
-func (s *Service) forgetReports(open []usagestate.Closed) {
+// pruneReports removes the attempts of reports that are settled.
+func (s *Service) pruneReports(open []usagestate.Closed) {
 	for window, a := range s.usage.attempts {
 		if !a.busy && !slices.ContainsFunc(open, func(c usagestate.Closed) bool { return c.Window == window }) {
 			delete(s.usage.attempts, window)
@@ -145,29 +142,29 @@
 		Uint64("fence", s.lease.Number).Msg("the report of a window is agreed on")
 }
 
-// sendReport sends the report of one window; false means that there is no room for a call.
+// sendReport sends the report of one window. It returns false if the rate limit does not allow a call.
 func (s *Service) sendReport(now time.Time, g Group, c *usagestate.Closed, a *attempt) bool {
 	r := &Report{Window: c.Window, Totals: c.Totals}
 	sent := now
 	send := func(ctx context.Context, by Authority) error { return s.cfg.Provider.Report(ctx, by, r) }
 	return s.call(now, a, send, func(now time.Time, err error) {
 		at, _ := s.cfg.Agreed()
-		s.cfg.Log.Info().Str("event", "usage_report").Int64("window", r.Window).Err(err).Int("failed_before", a.failed).Dur("took", now.Sub(sent)).
+		s.cfg.Log.Info().Str("event", "usage_report").Int64("window", r.Window).Err(err).Int("failed_before", a.failures).Dur("took", now.Sub(sent)).
 			Dur("after_end", at.Sub(usage.EndOf(r.Window, s.cfg.Usage.Span))).Msg("report of a window")
 		switch {
 		case err == nil:
-			s.settle(g, r.Window, usagestate.Acknowledged, a)
+			s.recordOutcome(g, r.Window, usagestate.Acknowledged, a)
 		case fault.CodeOf(err) == fault.Invalid:
-			s.settle(g, r.Window, usagestate.Refused, a)
+			s.recordOutcome(g, r.Window, usagestate.Refused, a)
 		default:
-			a.retry(now, err)
+			a.backOff(now, err)
 		}
 	})
 }
 
-// settle notes in the group what became of a report, so that a successor need not send it
-// again. The report is not sent again from here while that is being committed.
-func (s *Service) settle(g Group, window int64, outcome usagestate.Outcome, a *attempt) {
+// recordOutcome records the outcome of a report in the group, so that a successor need not send it
+// again. This instance does not send the report again while the outcome is being committed.
+func (s *Service) recordOutcome(g Group, window int64, outcome usagestate.Outcome, a *attempt) {
 	a.busy = true
 	s.commit(g, &usagestate.Command{Settle: &usagestate.Settle{Window: window, Outcome: outcome}}, func() { a.busy = false })
 }
--- a/instance/duty/view.go
+++ b/instance/duty/view.go
@@ -9,36 +9,37 @@
 	"github.com/comfreyladder/comfreyladder/core/usage"
 )
 
-// View is a Status for operators, as JSON.
+// View is the Status in JSON for operators.
 type View struct {
-	// Instance is the one that tells; Holder is the machine that holds the duties by the state
-	// that was replicated to it, empty for none.
+	// Instance is the instance that reports. Holder is the instance that holds the duties according to
+	// the state replicated to it, empty if none does.
 	Instance string `json:"instance"`
 	Holder   string `json:"holder,omitempty"`
-	// Number is the fencing number under which this instance acts, zero if it doesn't, and
-	// LeaseLeftMS for how long.
+	// Number is the fencing number under which this instance makes calls, zero if it makes none, and
+	// LeaseLeftMS how long it may make them.
 	Number      uint64 `json:"number,omitempty"`
 	LeaseLeftMS int64  `json:"lease_left_ms,omitempty"`
-	// UnreachableMS is for how long the provider can't be reached from this instance.
+	// UnreachableMS is how long the provider could not be reached from this instance.
 	UnreachableMS int64 `json:"unreachable_ms,omitempty"`
-	// Windows are those that were closed last, the oldest first.
+	// Windows are the windows that were closed last, the oldest first.
 	Windows []WindowView `json:"windows,omitempty"`
 	Orders  []OrderView  `json:"orders,omitempty"`
-	// DryRun says that orders are planned and not given.
+	// DryRun reports that orders are planned but not sent.
 	DryRun bool `json:"dry_run,omitempty"`
 }
 
-// WindowView is the report of a window.
+// WindowView is the usage report of a window.
 type WindowView struct {
 	Window   int64     `json:"window"`
 	StartsAt time.Time `json:"begins"`
-	// State is "open" until the report was taken, then "acknowledged", or "refused" as faulty.
+	// State is "open" until the provider accepted the report, then "acknowledged", or "refused" if the
+	// provider found it invalid.
 	State string `json:"state"`
-	// Overdue says that it is open after it was due.
+	// Overdue reports that the window is open after its report was due.
 	Overdue  bool   `json:"overdue,omitempty"`
 	Requests uint64 `json:"requests"`
-	// Missing of the Instances had not told all of their counts when the window was closed,
-	// and Late requests were told after that: the report lacks them.
+	// Missing of the Instances had not sent all of their counts when the window was closed. Late counts
+	// the requests that were reported after that: the report lacks them.
 	Instances     int               `json:"instances"`
 	Missing       int               `json:"missing,omitempty"`
 	Late          uint64            `json:"late,omitempty"`
@@ -50,17 +51,18 @@
 	Service     string `json:"service"`
 	Domain      string `json:"domain"`
 	Preemptible bool   `json:"preemptible,omitempty"`
-	// Wanted is what the plan asks for, Given what the provider took last, Ready what serves.
+	// Wanted is the count that the plan asks for, Accepted the count that the provider accepted last, and
+	// Ready the number of ready upstreams.
 	Wanted   int    `json:"wanted"`
 	Accepted int    `json:"given"`
 	Ready    int    `json:"ready"`
 	Failed   string `json:"failed,omitempty"`
 }
 
-// Path is where a member tells its View, beside its metrics.
+// Path is the HTTP path of the View of a member, beside its metrics.
 const Path = "/duties"
 
-// StateOpen is how an open window is told; its outcome has no text.
+// StateOpen is the State of an open window, whose outcome has no text.
 const StateOpen = "open"
 
 // View returns the latest status for operators.
@@ -86,7 +88,7 @@
 	return v
 }
 
-// rank puts standard upstreams before preemptible ones.
+// rank orders standard upstreams before preemptible ones.
 func rank(o OrderView) int {
 	if o.Preemptible {
 		return 1
--- a/instance/duty/view_test.go
+++ b/instance/duty/view_test.go
@@ -9,10 +9,10 @@
 	"github.com/comfreyladder/comfreyladder/instance/duty"
 )
 
-// An organisation says that its bill is wrong. An operator must see at any member who holds
-// the duties, what was reported of each window, and what has been open for too long.
-func TestTheViewTellsReportsAndWhatIsOverdue(t *testing.T) {
-	play(t, func(w *world) {
+// Operators check disputed bills with the view. Every member must show who holds the duties, what
+// was reported of each window, and which windows are overdue.
+func TestViewShowsReportsAndOverdueWindows(t *testing.T) {
+	simulate(t, func(w *simulation) {
 		time.Sleep(40 * time.Second)
 		holder := w.holder()
 		v := holder.Service.View()
@@ -20,17 +20,17 @@
 		Expect(v.Number).To(Equal(uint64(1)))
 		Expect(v.LeaseLeftMS).To(BeNumerically(">", 0))
 		Expect(v.Windows).NotTo(BeEmpty())
-		told := v.Windows[0]
-		Expect(told.State).To(Equal("acknowledged"))
-		body, _ := w.provider.got(told.Window)
+		window := v.Windows[0]
+		Expect(window.State).To(Equal("acknowledged"))
+		body, _ := w.provider.got(window.Window)
 		Expect(body).NotTo(BeEmpty())
-		Expect(told.Requests).To(BeNumerically(">", 0))
+		Expect(window.Requests).To(BeNumerically(">", 0))
 		var sum uint64
-		for _, n := range told.Organisations {
+		for _, n := range window.Organisations {
 			sum += n
 		}
-		Expect(sum).To(Equal(told.Requests))
-		Expect(told.StartsAt).To(Equal(time.Unix(told.Window*int64(span.Seconds()), 0).UTC()))
+		Expect(sum).To(Equal(window.Requests))
+		Expect(window.StartsAt).To(Equal(time.Unix(window.Window*int64(span.Seconds()), 0).UTC()))
 		for _, n := range w.live() {
 			Expect(n.Service.View().Windows).NotTo(BeEmpty(), n.name)
 			Expect(n.Service.View().Holder).To(Equal(holder.name))
