--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -26,8 +26,8 @@
 	ChannelTrial = "quarantine.trial"
 )
 
-// TrialQuestion asks for the trial of a quarantined request, or gives it back unused.
-type TrialQuestion struct {
+// TrialRequest asks for the trial of a quarantined request, or gives it back unused.
+type TrialRequest struct {
 	Fingerprint quarantine.Fingerprint `codec:"f"`
 	Unused      bool                   `codec:"u,omitempty"`
 }
@@ -274,16 +274,16 @@
 // Trial asks for the trial of a quarantined request.
 func (r *Recorder) Trial(ctx context.Context, f quarantine.Fingerprint) bool {
 	var a TrialAnswer
-	return r.ask(ctx, &TrialQuestion{Fingerprint: f}, &a) == nil && a.Granted
+	return r.ask(ctx, &TrialRequest{Fingerprint: f}, &a) == nil && a.Granted
 }
 
 // ReturnTrial gives a trial back that was not made.
 func (r *Recorder) ReturnTrial(ctx context.Context, f quarantine.Fingerprint) {
 	// A trial that can't be given back is lost; an operator may release the request.
-	_ = r.ask(ctx, &TrialQuestion{Fingerprint: f, Unused: true}, &TrialAnswer{})
+	_ = r.ask(ctx, &TrialRequest{Fingerprint: f, Unused: true}, &TrialAnswer{})
 }
 
-func (r *Recorder) ask(ctx context.Context, q *TrialQuestion, a *TrialAnswer) error {
+func (r *Recorder) ask(ctx context.Context, q *TrialRequest, a *TrialAnswer) error {
 	members := r.cfg.Members()
 	if len(members) == 0 {
 		return errNoMember
--- a/instance/quarantine/service.go
+++ b/instance/quarantine/service.go
@@ -143,7 +143,7 @@
 }
 
 func (s *Service) trial(ctx context.Context, from string, msg link.Message) (any, error) {
-	var q TrialQuestion
+	var q TrialRequest
 	if err := msg.Decode(&q); err != nil {
 		return nil, err
 	}
--- a/instance/quarantine/service_test.go
+++ b/instance/quarantine/service_test.go
@@ -94,7 +94,7 @@
 	var a quarantine.TrialAnswer
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	Expect(m.links.Call(ctx, "m", quarantine.ChannelTrial, &quarantine.TrialQuestion{Fingerprint: named(name)}, &a)).To(Succeed())
+	Expect(m.links.Call(ctx, "m", quarantine.ChannelTrial, &quarantine.TrialRequest{Fingerprint: named(name)}, &a)).To(Succeed())
 	return a.Granted
 }
 
