--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -32,8 +32,8 @@
 	Unused      bool                   `codec:"u,omitempty"`
 }
 
-// TrialAnswer says whether the trial is granted.
-type TrialAnswer struct {
+// TrialResponse says whether the trial is granted.
+type TrialResponse struct {
 	Granted bool `codec:"g,omitempty"`
 }
 
@@ -273,17 +273,17 @@
 
 // Trial asks for the trial of a quarantined request.
 func (r *Recorder) Trial(ctx context.Context, f quarantine.Fingerprint) bool {
-	var a TrialAnswer
+	var a TrialResponse
 	return r.ask(ctx, &TrialRequest{Fingerprint: f}, &a) == nil && a.Granted
 }
 
 // ReturnTrial gives a trial back that was not made.
 func (r *Recorder) ReturnTrial(ctx context.Context, f quarantine.Fingerprint) {
 	// A trial that can't be given back is lost; an operator may release the request.
-	_ = r.ask(ctx, &TrialRequest{Fingerprint: f, Unused: true}, &TrialAnswer{})
+	_ = r.ask(ctx, &TrialRequest{Fingerprint: f, Unused: true}, &TrialResponse{})
 }
 
-func (r *Recorder) ask(ctx context.Context, q *TrialRequest, a *TrialAnswer) error {
+func (r *Recorder) ask(ctx context.Context, q *TrialRequest, a *TrialResponse) error {
 	members := r.cfg.Members()
 	if len(members) == 0 {
 		return errNoMember
--- a/instance/quarantine/service.go
+++ b/instance/quarantine/service.go
@@ -158,7 +158,7 @@
 	granted := bytes.Equal(result, state.Granted)
 	s.cfg.Log.Info().Str("event", "quarantine_trial").Str("fingerprint", q.Fingerprint.String()).Str("instance", from).
 		Bool("unused", q.Unused).Bool("granted", granted).Msg("trial of a quarantined request")
-	return TrialAnswer{Granted: granted}, nil
+	return TrialResponse{Granted: granted}, nil
 }
 
 // Release ends the quarantine of a request. It fails with fault.NotFound where there is none.
--- a/instance/quarantine/service_test.go
+++ b/instance/quarantine/service_test.go
@@ -91,7 +91,7 @@
 }
 
 func (m *member) trial(name string) bool {
-	var a quarantine.TrialAnswer
+	var a quarantine.TrialResponse
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	Expect(m.links.Call(ctx, "m", quarantine.ChannelTrial, &quarantine.TrialRequest{Fingerprint: named(name)}, &a)).To(Succeed())
