--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -29,7 +29,7 @@
 // TrialRequest asks for the trial of a quarantined request, or gives it back unused.
 type TrialRequest struct {
 	Fingerprint quarantine.Fingerprint `codec:"f"`
-	Unused      bool                   `codec:"u,omitempty"`
+	Cancel      bool                   `codec:"u,omitempty"`
 }
 
 // TrialResponse says whether the trial is granted.
@@ -280,7 +280,7 @@
 // ReturnTrial gives a trial back that was not made.
 func (r *Recorder) ReturnTrial(ctx context.Context, f quarantine.Fingerprint) {
 	// A trial that can't be given back is lost; an operator may release the request.
-	_ = r.ask(ctx, &TrialRequest{Fingerprint: f, Unused: true}, &TrialResponse{})
+	_ = r.ask(ctx, &TrialRequest{Fingerprint: f, Cancel: true}, &TrialResponse{})
 }
 
 func (r *Recorder) ask(ctx context.Context, q *TrialRequest, a *TrialResponse) error {
--- a/instance/quarantine/recorder_test.go
+++ b/instance/quarantine/recorder_test.go
@@ -47,7 +47,7 @@
 	case quarantine.ChannelReport:
 		m.reports = append(m.reports, *req.(*corequarantine.Report))
 	case quarantine.ChannelTrial:
-		resp.(*quarantine.TrialResponse).Granted = !req.(*quarantine.TrialRequest).Unused
+		resp.(*quarantine.TrialResponse).Granted = !req.(*quarantine.TrialRequest).Cancel
 	}
 	return nil
 }
--- a/instance/quarantine/service.go
+++ b/instance/quarantine/service.go
@@ -148,7 +148,7 @@
 		return nil, err
 	}
 	c := &state.Command{Trial: &q.Fingerprint}
-	if q.Unused {
+	if q.Cancel {
 		c = &state.Command{CancelTrial: &q.Fingerprint}
 	}
 	result, err := s.propose(ctx, c)
@@ -157,7 +157,7 @@
 	}
 	granted := bytes.Equal(result, state.Granted)
 	s.cfg.Log.Info().Str("event", "quarantine_trial").Str("fingerprint", q.Fingerprint.String()).Str("instance", from).
-		Bool("unused", q.Unused).Bool("granted", granted).Msg("trial of a quarantined request")
+		Bool("unused", q.Cancel).Bool("granted", granted).Msg("trial of a quarantined request")
 	return TrialResponse{Granted: granted}, nil
 }
 
