--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -47,9 +47,9 @@
 	Links Caller
 	// Members returns the members of the control group, the one to ask first at the front.
 	Members func() []string
-	// Alone reports whether the control group can't be reached.
-	Alone func() bool
-	Log   *eventlog.Sink
+	// CutOff reports whether the control group can't be reached.
+	CutOff func() bool
+	Log    *eventlog.Sink
 }
 
 const (
@@ -268,7 +268,7 @@
 	r.mu.Lock()
 	guilty := r.guilty[f]
 	r.mu.Unlock()
-	return guilty && r.cfg.Alone()
+	return guilty && r.cfg.CutOff()
 }
 
 // Trial asks for the trial of a quarantined request.
--- a/instance/quarantine/recorder_test.go
+++ b/instance/quarantine/recorder_test.go
@@ -72,7 +72,7 @@
 
 func record(t *testing.T, m *members, alone bool) *quarantine.Recorder {
 	RegisterTestingT(t)
-	r := quarantine.NewRecorder(quarantine.RecorderConfig{Links: m, Members: m.list, Alone: func() bool { return alone }})
+	r := quarantine.NewRecorder(quarantine.RecorderConfig{Links: m, Members: m.list, CutOff: func() bool { return alone }})
 	Expect(r.Start(context.Background())).To(Succeed())
 	t.Cleanup(func() { _ = r.Stop(context.Background()) })
 	return r
--- a/instance/roles/edge.go
+++ b/instance/roles/edge.go
@@ -43,7 +43,7 @@
 			return nil, err
 		}
 		r := quarantine.NewRecorder(quarantine.RecorderConfig{
-			Links: links, Members: state.Members, Alone: func() bool { return state.Age() > aloneAfter }, Log: p.events,
+			Links: links, Members: state.Members, CutOff: func() bool { return state.Age() > aloneAfter }, Log: p.events,
 		})
 		state.Subscribe(func(v *follow.View) { r.Update(v.Quarantine) })
 		return r, nil
