--- a/instance/quarantine/http.go
+++ b/instance/quarantine/http.go
@@ -10,15 +10,15 @@
 	"github.com/comfreyladder/comfreyladder/instance/httpapi"
 )
 
-// Handler answers operators' calls about the list, and passes all others on.
+// Handler handles operators' requests for the list and passes all others to next.
 func (s *Service) Handler(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		rest, ok := strings.CutPrefix(string(ctx.Path()), Path)
-		name, named := strings.CutPrefix(rest, "/")
+		name, hasName := strings.CutPrefix(rest, "/")
 		switch {
 		case ok && rest == "" && ctx.IsGet():
 			s.list(ctx)
-		case ok && named && ctx.IsDelete():
+		case ok && hasName && ctx.IsDelete():
 			s.release(ctx, name)
 		default:
 			next(ctx)
--- a/instance/quarantine/recent.go
+++ b/instance/quarantine/recent.go
@@ -6,27 +6,27 @@
 	"github.com/comfreyladder/comfreyladder/core/quarantine"
 )
 
-// maxRecent bounds the successes of one span that are remembered; beyond it the oldest go.
-const maxRecent = 4096
+// maxSuccesses bounds the successes that are kept for one period; beyond it the oldest are dropped.
+const maxSuccesses = 4096
 
-// recent remembers when requests succeeded last, for as long as that counts.
-type recent struct {
-	// newer are of the present span, older of the one before.
-	newer, older map[quarantine.Fingerprint]time.Time
-	begun        time.Time
+// recentSuccesses holds the times of the last successes of requests for as long as they count.
+type recentSuccesses struct {
+	// current holds the successes of the current period, previous those of the period before.
+	current, previous map[quarantine.Fingerprint]time.Time
+	startedAt         time.Time
 }
 
-func (r *recent) note(now time.Time, f quarantine.Fingerprint) {
-	if len(r.newer) >= maxRecent || now.Sub(r.begun) >= quarantine.DefaultPolicy.ExonerationPeriod {
-		r.newer, r.older, r.begun = map[quarantine.Fingerprint]time.Time{}, r.newer, now
+func (r *recentSuccesses) add(now time.Time, f quarantine.Fingerprint) {
+	if len(r.current) >= maxSuccesses || now.Sub(r.startedAt) >= quarantine.DefaultPolicy.ExonerationPeriod {
+		r.current, r.previous, r.startedAt = map[quarantine.Fingerprint]time.Time{}, r.current, now
 	}
-	r.newer[f] = now
+	r.current[f] = now
 }
 
-// last returns when a request succeeded last, if that still counts at a time.
-func (r *recent) last(f quarantine.Fingerprint, now time.Time) (at time.Time, ok bool) {
-	if at, ok = r.newer[f]; !ok {
-		at, ok = r.older[f]
+// last returns when a request last succeeded, if that still counts at a given time.
+func (r *recentSuccesses) last(f quarantine.Fingerprint, now time.Time) (at time.Time, ok bool) {
+	if at, ok = r.current[f]; !ok {
+		at, ok = r.previous[f]
 	}
 	return at, ok && now.Sub(at) < quarantine.DefaultPolicy.ExonerationPeriod
 }
--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -1,8 +1,8 @@
-// Package quarantine carries what instances see of crashes to the replicated list of
-// quarantined requests, and judges it there (core/quarantine, core/control/quarantine).
+// Package quarantine carries crash reports of the instances to the replicated list of quarantined
+// requests, and evaluates them there (core/quarantine, core/control/quarantine).
 //
-// Instances tell of a crash at once, and only of crashes: days without one cost nothing. What
-// is quarantined comes back with the serving state (package follow).
+// Instances report a crash at once and report nothing else, so that days without a crash cost nothing.
+// The quarantine list returns to them with the serving state (package follow).
 package quarantine
 
 import (
@@ -22,54 +22,55 @@
 const (
 	// ChannelReport carries a core quarantine.Report to a member.
 	ChannelReport = "quarantine.report"
-	// ChannelTrial carries a TrialQuestion and its TrialAnswer.
+	// ChannelTrial carries a TrialRequest and its TrialResponse.
 	ChannelTrial = "quarantine.trial"
 )
 
-// TrialRequest asks for the trial of a quarantined request, or gives it back unused.
+// TrialRequest asks for the trial of a quarantined request, or cancels a granted trial that was not
+// used.
 type TrialRequest struct {
 	Fingerprint quarantine.Fingerprint `codec:"f"`
 	Cancel      bool                   `codec:"u,omitempty"`
 }
 
-// TrialResponse says whether the trial is granted.
+// TrialResponse reports whether the trial is granted.
 type TrialResponse struct {
 	Granted bool `codec:"g,omitempty"`
 }
 
-// Caller is what a Recorder needs of instance/link.
+// Caller is the part of instance/link that a Recorder uses.
 type Caller interface {
 	Call(ctx context.Context, to, channel string, req, resp any) error
 }
 
-// RecorderConfig of a Recorder.
+// RecorderConfig holds the settings of a Recorder.
 type RecorderConfig struct {
 	Links Caller
-	// Members returns the members of the control group, the one to ask first at the front.
+	// Members returns the members of the control group in the order in which to try them.
 	Members func() []string
-	// CutOff reports whether the control group can't be reached.
+	// CutOff reports whether the control group cannot be reached.
 	CutOff func() bool
 	Log    *eventlog.Sink
 }
 
 const (
-	// reportTimeout bounds a report: a member that is cut off answers nothing.
+	// reportTimeout bounds a report: a member that is cut off does not answer.
 	reportTimeout = 400 * time.Millisecond
-	// reportPause is the pause after a report that no member took.
-	reportPause = 100 * time.Millisecond
-	// maxUnsent bounds the crashes, and successes, that wait to be reported; the newest are
-	// dropped. maxReported bounds the crashes in one report.
+	// reportRetryDelay is the delay after a report that no member accepted.
+	reportRetryDelay = 100 * time.Millisecond
+	// maxUnsent bounds the crashes, and the successes, that wait to be reported; the newest are dropped.
+	// maxReported bounds the crashes in one report.
 	maxUnsent   = 256
 	maxReported = 32
-	// watchFor is for how long after a lost connection successes of large requests are noted.
-	watchFor = time.Minute
-	// aloneMore is how many crashes more it takes for an instance that can't reach the control
-	// group: what was under way at others would explain some.
-	aloneMore = 1
+	// trackingTime is how long after a lost connection successes of large requests are recorded.
+	trackingTime = time.Minute
+	// extraCrashesIfCutOff is the number of additional crashes that an instance requires while it cannot
+	// reach the control group: requests in progress at other instances might explain some of the crashes.
+	extraCrashesIfCutOff = 1
 )
 
-// Recorder tells the control group which requests were under way at crashes that this
-// instance saw. It is safe for concurrent use.
+// Recorder reports to the control group which requests were in progress at the crashes that this
+// instance observed. It is safe for concurrent use.
 type Recorder struct {
 	cfg    RecorderConfig
 	cancel context.CancelFunc
@@ -78,27 +79,27 @@
 
 	mu     sync.Mutex
 	unsent quarantine.Report
-	// at are the times of the unsent crashes, which their ages are counted from.
-	at      []time.Time
-	dropped int
-	// own holds the crashes that this instance saw, suspects and guilty what follows from
-	// them alone.
-	own              *quarantine.Ledger
-	suspects, guilty map[quarantine.Fingerprint]bool
-	// successes is when requests succeeded here last, known are those that all suspect or hold.
-	successes recent
+	// crashTimes are the times of the unsent crashes, from which their ages are computed.
+	crashTimes []time.Time
+	dropped    int
+	// ledger holds the crashes that this instance observed. suspects and toBlock are derived from it alone.
+	ledger            *quarantine.Ledger
+	suspects, toBlock map[quarantine.Fingerprint]bool
+	// successes holds the times of the last successes at this instance. known is the replicated list of
+	// suspected and quarantined requests.
+	successes recentSuccesses
 	known     *follow.Quarantine
-	// watching is until when successes of large requests are noted too, in nanoseconds of
-	// clock.Now.
-	watching atomic.Int64
+	// trackingUntil is the time until which successes of large requests are recorded too, in nanoseconds
+	// of clock.Now.
+	trackingUntil atomic.Int64
 }
 
-// NewRecorder returns a recorder that has not started.
+// NewRecorder returns a recorder that is not started.
 func NewRecorder(cfg RecorderConfig) *Recorder {
 	policy := quarantine.DefaultPolicy
-	policy.QuarantineThreshold += aloneMore
+	policy.QuarantineThreshold += extraCrashesIfCutOff
 	policy.SettleDelay = 0
-	return &Recorder{cfg: cfg, wake: make(chan struct{}, 1), own: quarantine.NewLedger(policy)}
+	return &Recorder{cfg: cfg, wake: make(chan struct{}, 1), ledger: quarantine.NewLedger(policy)}
 }
 
 // Start implements kernel.Service.
@@ -118,16 +119,17 @@
 	return nil
 }
 
-// Watch has successes of large requests noted for a while.
-func (r *Recorder) Watch() { r.watching.Store(clock.Now().Add(watchFor).UnixNano()) }
+// TrackLarge makes the recorder record successes of large requests for trackingTime.
+func (r *Recorder) Watch() { r.trackingUntil.Store(clock.Now().Add(trackingTime).UnixNano()) }
 
-// Watching reports whether successes of large requests are noted.
+// TracksLarge reports whether successes of large requests are recorded.
 func (r *Recorder) Watching() bool {
-	until := r.watching.Load()
+	until := r.trackingUntil.Load()
 	return until != 0 && clock.Now().UnixNano() < until
 }
 
-// Update takes in what all suspect and hold, and tells of those that have succeeded here lately.
+// Update applies a new version of the replicated list and reports those of its requests that recently
+// succeeded at this instance.
 func (r *Recorder) Update(q *follow.Quarantine) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -142,19 +144,19 @@
 	now := clock.Now()
 	for _, f := range q.All() {
 		if _, ok := r.successes.last(f, now); ok {
-			r.tell(f)
+			r.queueSuccess(f)
 		}
 	}
 }
 
-// isKnown reports whether all suspect or hold a request; it needs mu.
+// isKnown reports whether a request is in the replicated list. The caller must hold mu.
 func (r *Recorder) isKnown(f quarantine.Fingerprint) bool {
 	_, held := r.known.Held(f)
 	return held || r.known.Suspects(f)
 }
 
-// Crashed tells that an upstream has crashed at a time of the instance's clock, and what was
-// under way there. What has succeeded here lately is left out.
+// RecordCrash reports that an upstream crashed at a time of the instance's clock, with the requests in
+// progress there. Requests that recently succeeded at this instance are left out.
 func (r *Recorder) Crashed(upstream uint64, at time.Time, underWay []quarantine.Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -165,36 +167,36 @@
 	if len(underWay) == 0 {
 		return
 	}
-	r.own.RecordCrash(upstream, at, underWay)
-	r.own.Forget(clock.Now())
-	r.judge()
-	if len(r.at) >= maxUnsent {
+	r.ledger.RecordCrash(upstream, at, underWay)
+	r.ledger.Forget(clock.Now())
+	r.evaluate()
+	if len(r.crashTimes) >= maxUnsent {
 		r.dropped++
 		return
 	}
 	r.unsent.Crashes = append(r.unsent.Crashes, quarantine.Crash{Upstream: upstream, UnderWay: underWay})
-	r.at = append(r.at, at)
-	r.signal()
+	r.crashTimes = append(r.crashTimes, at)
+	r.wakeUp()
 }
 
-// Succeeded notes that an upstream ran a request to its end, and tells it of one that all
-// suspect or hold.
+// RecordSuccess records that an upstream completed a request, and reports this if the request is in the
+// replicated list.
 func (r *Recorder) Succeeded(f quarantine.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := clock.Now()
-	r.successes.note(now, f)
-	if !r.own.Empty() {
-		r.own.RecordSuccess(f, now)
-		r.judge()
+	r.successes.add(now, f)
+	if !r.ledger.Empty() {
+		r.ledger.RecordSuccess(f, now)
+		r.evaluate()
 	}
 	if r.isKnown(f) {
-		r.tell(f)
+		r.queueSuccess(f)
 	}
 }
 
-// tell has the latest success of a request told; it needs mu.
-func (r *Recorder) tell(f quarantine.Fingerprint) {
+// queueSuccess queues the latest success of a request for the next report. The caller must hold mu.
+func (r *Recorder) queueSuccess(f quarantine.Fingerprint) {
 	if slices.ContainsFunc(r.unsent.Succeeded, func(s quarantine.Success) bool { return s.Fingerprint == f }) {
 		return
 	}
@@ -203,33 +205,33 @@
 		return
 	}
 	r.unsent.Succeeded = append(r.unsent.Succeeded, quarantine.Success{Fingerprint: f})
-	r.signal()
+	r.wakeUp()
 }
 
-// Alive tells that an upstream has answered that was told to have crashed.
+// RetractCrash reports that an upstream has answered that was reported as crashed.
 func (r *Recorder) Alive(upstream uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.own.RetractCrash(upstream)
-	r.judge()
+	r.ledger.RetractCrash(upstream)
+	r.evaluate()
 	if len(r.unsent.Alive) >= maxUnsent {
 		return
 	}
 	r.unsent.Alive = append(r.unsent.Alive, upstream)
-	r.signal()
+	r.wakeUp()
 }
 
-// judge needs mu.
-func (r *Recorder) judge() {
+// evaluate updates suspects and toBlock. The caller must hold mu.
+func (r *Recorder) evaluate() {
 	now := clock.Now()
-	r.suspects, r.guilty = nil, nil
-	if r.own.Empty() {
+	r.suspects, r.toBlock = nil, nil
+	if r.ledger.Empty() {
 		return
 	}
-	r.suspects, r.guilty = set(r.own.Suspects(now)), set(r.own.ToQuarantine(now))
+	r.suspects, r.toBlock = toSet(r.ledger.Suspects(now)), toSet(r.ledger.ToQuarantine(now))
 }
 
-func set(list []quarantine.Fingerprint) map[quarantine.Fingerprint]bool {
+func toSet(list []quarantine.Fingerprint) map[quarantine.Fingerprint]bool {
 	if len(list) == 0 {
 		return nil
 	}
@@ -240,50 +242,50 @@
 	return m
 }
 
-// signal needs mu.
-func (r *Recorder) signal() {
+// wakeUp starts a report. The caller must hold mu.
+func (r *Recorder) wakeUp() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Idle reports whether this instance suspects nothing.
+// Idle reports whether this instance suspects no request.
 func (r *Recorder) Idle() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.suspects) == 0
 }
 
-// Suspects reports whether this instance suspects a request by what it saw alone.
+// Suspects reports whether this instance suspects a request from its own observations alone.
 func (r *Recorder) Suspects(f quarantine.Fingerprint) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.suspects[f]
 }
 
-// Holds reports whether this instance keeps a request from upstreams by what it saw alone: as
-// long as the control group can't be reached.
+// Blocks reports whether this instance keeps a request from upstreams because of its own observations
+// alone, which it does only while the control group cannot be reached.
 func (r *Recorder) Holds(f quarantine.Fingerprint) bool {
 	r.mu.Lock()
-	guilty := r.guilty[f]
+	blocked := r.toBlock[f]
 	r.mu.Unlock()
-	return guilty && r.cfg.CutOff()
+	return blocked && r.cfg.CutOff()
 }
 
-// Trial asks for the trial of a quarantined request.
+// Trial requests the trial of a quarantined request.
 func (r *Recorder) Trial(ctx context.Context, f quarantine.Fingerprint) bool {
 	var a TrialResponse
-	return r.ask(ctx, &TrialRequest{Fingerprint: f}, &a) == nil && a.Granted
+	return r.callTrial(ctx, &TrialRequest{Fingerprint: f}, &a) == nil && a.Granted
 }
 
-// ReturnTrial gives a trial back that was not made.
+// CancelTrial cancels a granted trial that was not used.
 func (r *Recorder) ReturnTrial(ctx context.Context, f quarantine.Fingerprint) {
-	// A trial that can't be given back is lost; an operator may release the request.
-	_ = r.ask(ctx, &TrialRequest{Fingerprint: f, Cancel: true}, &TrialResponse{})
+	// A trial that cannot be cancelled is lost; an operator may release the request.
+	_ = r.callTrial(ctx, &TrialRequest{Fingerprint: f, Cancel: true}, &TrialResponse{})
 }
 
-func (r *Recorder) ask(ctx context.Context, q *TrialRequest, a *TrialResponse) error {
+func (r *Recorder) callTrial(ctx context.Context, q *TrialRequest, a *TrialResponse) error {
 	members := r.cfg.Members()
 	if len(members) == 0 {
 		return errNoMember
@@ -299,18 +301,18 @@
 			return
 		}
 		for failures := 0; !r.report(ctx, failures); failures++ {
-			if !clock.Sleep(ctx, reportPause) {
+			if !clock.Sleep(ctx, reportRetryDelay) {
 				return
 			}
 		}
 	}
 }
 
-// report tells a member what is unsent, another one after a failure, and reports whether it
-// was taken.
+// report sends the unsent reports to a member, to another one after a failure, and returns whether the
+// member accepted them.
 func (r *Recorder) report(ctx context.Context, failures int) bool {
 	members := r.cfg.Members()
-	next, crashes := r.next()
+	next, crashes := r.nextReport()
 	if next.Empty() {
 		return true
 	}
@@ -324,19 +326,19 @@
 		r.cfg.Log.Event("crash_report_failed").Str("peer", member).Int("crashes", int64(crashes)).Err(err).End()
 		return false
 	}
-	r.sent(next)
+	r.markSent(next)
 	return true
 }
 
-// next returns what is to be told now.
-func (r *Recorder) next() (*quarantine.Report, int) {
+// nextReport returns the next report and the number of its crashes.
+func (r *Recorder) nextReport() (*quarantine.Report, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := clock.Now()
 	next := r.unsent
-	next.Crashes = append([]quarantine.Crash(nil), r.unsent.Crashes[:min(len(r.at), maxReported)]...)
+	next.Crashes = append([]quarantine.Crash(nil), r.unsent.Crashes[:min(len(r.crashTimes), maxReported)]...)
 	for i := range next.Crashes {
-		next.Crashes[i].AgeMS = now.Sub(r.at[i]).Milliseconds()
+		next.Crashes[i].AgeMS = now.Sub(r.crashTimes[i]).Milliseconds()
 	}
 	next.Succeeded = slices.Clone(r.unsent.Succeeded)
 	for i := range next.Succeeded {
@@ -348,19 +350,19 @@
 	return &next, len(next.Crashes)
 }
 
-// sent forgets what was told.
-func (r *Recorder) sent(told *quarantine.Report) {
+// markSent removes what was reported from the unsent reports.
+func (r *Recorder) markSent(report *quarantine.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.at = r.at[len(told.Crashes):]
-	r.unsent.Crashes = r.unsent.Crashes[len(told.Crashes):]
-	r.unsent.Succeeded = r.unsent.Succeeded[len(told.Succeeded):]
-	r.unsent.Alive = r.unsent.Alive[len(told.Alive):]
+	r.crashTimes = r.crashTimes[len(report.Crashes):]
+	r.unsent.Crashes = r.unsent.Crashes[len(report.Crashes):]
+	r.unsent.Succeeded = r.unsent.Succeeded[len(report.Succeeded):]
+	r.unsent.Alive = r.unsent.Alive[len(report.Alive):]
 	if r.dropped > 0 {
 		r.cfg.Log.Event("crash_reports_dropped").Int("reports", int64(r.dropped)).End()
 		r.dropped = 0
 	}
 	if !r.unsent.Empty() {
-		r.signal()
+		r.wakeUp()
 	}
 }
--- a/instance/quarantine/service.go
+++ b/instance/quarantine/service.go
@@ -21,14 +21,14 @@
 
 var errNoMember = fault.New(fault.Unavailable, "no member of the control group is known").WithRetryAfter(time.Second)
 
-// Links is what a Service needs of instance/link.
+// Links is the part of instance/link that a Service uses.
 type Links interface {
 	Handle(channel string, h link.Handler, options ...link.ChannelOption)
 }
 
-// Config of a Service.
+// Config holds the settings of a Service.
 type Config struct {
-	// Replica returns the member of the control group that runs here, or nil.
+	// Replica returns the control group member that runs on this instance, or nil.
 	Replica func() *consensus.Service
 	Links   Links
 	Log     zerolog.Logger
@@ -37,13 +37,15 @@
 const (
 	// proposeTimeout bounds a change of the list.
 	proposeTimeout = time.Second
-	// judgeEvery is the time between two looks at crashes that are not settled, and lookEvery
-	// that between two looks at all: a new leader may find some that nobody has judged.
-	judgeEvery = 25 * time.Millisecond
-	lookEvery  = time.Second
+	// evaluateInterval is the time between two evaluations while crashes are not settled, and
+	// pollInterval the time between two evaluations without a change: a new leader may find crashes that
+	// were never evaluated.
+	evaluateInterval = 25 * time.Millisecond
+	pollInterval     = time.Second
 )
 
-// Service keeps the list at one member of the control group. It is safe for concurrent use.
+// Service maintains the quarantine list at one member of the control group. It is safe for concurrent
+// use.
 type Service struct {
 	cfg    Config
 	cancel context.CancelFunc
@@ -51,18 +53,18 @@
 	wake   chan struct{}
 
 	mu sync.Mutex
-	// at is the log's time at the last command, appliedAt when that was applied here.
-	at, appliedAt time.Time
-	// told is up to where changes were logged, suspects who was suspected then, and listed who
-	// was quarantined.
-	told     uint64
-	suspects []quarantine.Fingerprint
-	listed   map[quarantine.Fingerprint]bool
+	// logTime is the time of the last command in the log, appliedAt the local time at which it was applied.
+	logTime, appliedAt time.Time
+	// loggedIndex is the index up to which changes were logged. suspects and quarantined are the requests
+	// that were suspected and quarantined at that index.
+	loggedIndex uint64
+	suspects    []quarantine.Fingerprint
+	quarantined map[quarantine.Fingerprint]bool
 }
 
-// New returns a service that has not started; it registers its channels.
+// New returns a service that is not started and registers its channels.
 func New(cfg Config) *Service {
-	s := &Service{cfg: cfg, wake: make(chan struct{}, 1), listed: map[quarantine.Fingerprint]bool{}}
+	s := &Service{cfg: cfg, wake: make(chan struct{}, 1), quarantined: map[quarantine.Fingerprint]bool{}}
 	cfg.Links.Handle(ChannelReport, s.report)
 	cfg.Links.Handle(ChannelTrial, s.trial)
 	return s
@@ -85,35 +87,35 @@
 	return nil
 }
 
-func machine(g *consensus.Service, f func(*state.Machine)) {
+func viewMachine(g *consensus.Service, f func(*state.Machine)) {
 	g.View(func(_ uint64, m *corecontrol.Mux) { f(m.Machine(state.Name).(*state.Machine)) })
 }
 
-// Applied is told of each entry of the control log that this member applied.
+// Applied is called after each control log entry that this member applied.
 func (s *Service) Applied(uint64) {
 	g := s.cfg.Replica()
 	if g == nil {
 		return
 	}
 	var at time.Time
-	machine(g, func(m *state.Machine) { at = m.At() })
+	viewMachine(g, func(m *state.Machine) { at = m.At() })
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if at.Equal(s.at) {
+	if at.Equal(s.logTime) {
 		return
 	}
-	s.at, s.appliedAt = at, clock.Now()
+	s.logTime, s.appliedAt = at, clock.Now()
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// now returns the log's time by this member's clock.
+// now returns the time of the log, advanced by the local clock.
 func (s *Service) now() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.at.Add(clock.Since(s.appliedAt))
+	return s.logTime.Add(clock.Since(s.appliedAt))
 }
 
 func (s *Service) propose(ctx context.Context, c *state.Command) ([]byte, error) {
@@ -131,8 +133,8 @@
 	return result, err
 }
 
-// report takes what an instance tells. It is in the log when the instance is answered; told
-// twice it counts once.
+// report handles the report of an instance. It is committed before the instance gets the answer; a
+// repeated report counts once.
 func (s *Service) report(ctx context.Context, _ string, msg link.Message) (any, error) {
 	var r quarantine.Report
 	if err := msg.Decode(&r); err != nil {
@@ -161,7 +163,7 @@
 	return TrialResponse{Granted: granted}, nil
 }
 
-// Release ends the quarantine of a request. It fails with fault.NotFound where there is none.
+// Release ends the quarantine of a request. It fails with fault.NotFound if there is none.
 func (s *Service) Release(ctx context.Context, f quarantine.Fingerprint) error {
 	result, err := s.propose(ctx, &state.Command{Release: &f})
 	if err == nil && !bytes.Equal(result, state.Granted) {
@@ -171,7 +173,7 @@
 }
 
 func (s *Service) run(ctx context.Context) {
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -180,50 +182,50 @@
 		case <-ctx.Done():
 			return
 		}
-		for s.judge(ctx) {
-			if !clock.Sleep(ctx, judgeEvery) {
+		for s.evaluate(ctx) {
+			if !clock.Sleep(ctx, evaluateInterval) {
 				return
 			}
 		}
 	}
 }
 
-// judge proposes, at the leader, what is to be quarantined, and reports whether there are
-// crashes that can't be judged yet.
-func (s *Service) judge(ctx context.Context) bool {
+// evaluate proposes, on the leader, the requests to quarantine, and reports whether there are crashes
+// that cannot be evaluated yet.
+func (s *Service) evaluate(ctx context.Context) bool {
 	g := s.cfg.Replica()
 	if g == nil {
 		return false
 	}
-	leads := g.Status().Role == raft.Leader
-	s.logChanges(g, leads)
-	if !leads {
+	isLeader := g.Status().Role == raft.Leader
+	s.logChanges(g, isLeader)
+	if !isLeader {
 		return false
 	}
 	var verdict *state.Command
 	var unsettled bool
 	now := s.now()
-	machine(g, func(m *state.Machine) { verdict, unsettled = m.NextCommand(now) })
+	viewMachine(g, func(m *state.Machine) { verdict, unsettled = m.NextCommand(now) })
 	if verdict == nil {
 		return unsettled
 	}
 	if _, err := s.propose(ctx, verdict); err != nil {
-		s.cfg.Log.Warn().Err(err).Str("event", "quarantine_failed").Int("requests", len(verdict.Verdict)+len(verdict.Failed)).Msg("a verdict is not replicated yet")
+		s.cfg.Log.Warn().Err(err).Str("event", "quarantine_failed").Int("requests", len(verdict.Verdict)+len(verdict.Failed)).Msg("quarantine decision is not replicated yet")
 		return true
 	}
 	s.logChanges(g, true)
 	return unsettled
 }
 
-// change is something that became of a request.
+// change is a change in the state of a request.
 type change struct {
 	event string
 	state.Entry
 }
 
-// changes returns what became of requests since the last call.
+// changes returns the changes since the last call.
 func (s *Service) changes(m *state.Machine) (list []change) {
-	if m.Index() <= s.told {
+	if m.Index() <= s.loggedIndex {
 		return nil
 	}
 	for _, f := range m.Suspects() {
@@ -236,27 +238,27 @@
 	listed := map[quarantine.Fingerprint]bool{}
 	for _, e := range m.Entries() {
 		switch {
-		case e.Released && s.listed[e.Fingerprint]:
+		case e.Released && s.quarantined[e.Fingerprint]:
 			list = append(list, change{"quarantine_released", e})
-		case !e.Released && !s.listed[e.Fingerprint]:
+		case !e.Released && !s.quarantined[e.Fingerprint]:
 			list = append(list, change{"request_quarantined", e})
 		}
 		listed[e.Fingerprint] = !e.Released
 	}
-	s.told, s.suspects, s.listed = m.Index(), slices.Clone(m.Suspects()), listed
+	s.loggedIndex, s.suspects, s.quarantined = m.Index(), slices.Clone(m.Suspects()), listed
 	return list
 }
 
-// logChanges writes a line for each request that is suspected, quarantined or released, at the
-// leader; the others only note that it was told.
-func (s *Service) logChanges(g *consensus.Service, leads bool) {
+// logChanges logs, on the leader, each request that was suspected, quarantined or released. Other
+// members only record the changes as logged.
+func (s *Service) logChanges(g *consensus.Service, isLeader bool) {
 	var list []change
-	machine(g, func(m *state.Machine) { list = s.changes(m) })
-	if !leads {
+	viewMachine(g, func(m *state.Machine) { list = s.changes(m) })
+	if !isLeader {
 		return
 	}
 	for _, c := range list {
 		s.cfg.Log.Warn().Str("event", c.event).Str("fingerprint", c.Fingerprint.String()).Str("organisation", c.Organisation).
-			Str("target", c.Target).Int("crashes", c.Crashes).Msg("a request was under way at crashes of upstreams")
+			Str("target", c.Target).Int("crashes", c.Crashes).Msg("request was in progress at upstream crashes")
 	}
 }
--- a/instance/quarantine/service_test.go
+++ b/instance/quarantine/service_test.go
@@ -22,7 +22,7 @@
 	"github.com/comfreyladder/comfreyladder/instance/quarantine"
 )
 
-const patience = 10 * time.Second
+const timeout = 10 * time.Second
 
 // member is the only member of a control group.
 type member struct {
@@ -32,7 +32,7 @@
 	log     lines
 }
 
-// lines gathers what is logged.
+// lines collects the log output.
 type lines struct {
 	mu sync.Mutex
 	b  strings.Builder
@@ -76,12 +76,12 @@
 		_ = m.control.Stop(ctx)
 		_ = m.links.Stop(ctx)
 	})
-	Eventually(func() error { _, err := m.service.List(ctx); return err }, patience).Should(Succeed())
+	Eventually(func() error { _, err := m.service.List(ctx); return err }, timeout).Should(Succeed())
 	return m
 }
 
 func (m *member) report(r *corequarantine.Report) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	Expect(m.links.Call(ctx, "m", quarantine.ChannelReport, r, nil)).To(Succeed())
 }
@@ -92,19 +92,19 @@
 
 func (m *member) trial(name string) bool {
 	var a quarantine.TrialResponse
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	Expect(m.links.Call(ctx, "m", quarantine.ChannelTrial, &quarantine.TrialRequest{Fingerprint: named(name)}, &a)).To(Succeed())
+	Expect(m.links.Call(ctx, "m", quarantine.ChannelTrial, &quarantine.TrialRequest{Fingerprint: fingerprintOf(name)}, &a)).To(Succeed())
 	return a.Granted
 }
 
-// state returns what operators are told of a request.
+// state returns the state of a request in the operators' view.
 func (m *member) state(name string) func() string {
 	return func() string {
 		v, err := m.service.List(context.Background())
 		Expect(err).NotTo(HaveOccurred())
 		for _, r := range v.Requests {
-			if r.Fingerprint == named(name).String() {
+			if r.Fingerprint == fingerprintOf(name).String() {
 				return r.State
 			}
 		}
@@ -112,35 +112,35 @@
 	}
 }
 
-// Guards against a request that is reported at crash after crash and never judged.
-func TestRequestIsQuarantinedByWhatInstancesReport(t *testing.T) {
+// Guards against a request that is reported at one crash after another and never evaluated.
+func TestRequestIsQuarantinedByReports(t *testing.T) {
 	m := startMember(t)
 	m.crash(1, 2*time.Second, "poison", "a")
 	m.crash(2, time.Second, "poison")
-	Eventually(m.state("poison"), patience).Should(Equal(quarantine.StateSuspected))
+	Eventually(m.state("poison"), timeout).Should(Equal(quarantine.StateSuspected))
 	m.crash(2, time.Second, "b")
 	m.crash(3, 0, "poison")
-	Eventually(m.state("poison"), patience).Should(Equal(quarantine.StateQuarantined))
+	Eventually(m.state("poison"), timeout).Should(Equal(quarantine.StateQuarantined))
 	for _, event := range []string{"request_suspected", "request_quarantined"} {
-		Eventually(m.log.String, patience).Should(ContainSubstring(event))
+		Eventually(m.log.String, timeout).Should(ContainSubstring(event))
 		Expect(strings.Count(m.log.String(), event)).To(Equal(1), "one line for each")
 	}
 	Expect(m.trial("poison")).To(BeFalse(), "not at once")
-	Eventually(func() bool { return m.trial("poison") }, patience, 50*time.Millisecond).Should(BeTrue())
+	Eventually(func() bool { return m.trial("poison") }, timeout, 50*time.Millisecond).Should(BeTrue())
 	Expect(m.trial("poison")).To(BeFalse())
 
-	m.report(&corequarantine.Report{Succeeded: []corequarantine.Success{{Fingerprint: named("poison")}}})
-	Eventually(m.state("poison"), patience).Should(BeEmpty())
-	Eventually(m.log.String, patience).Should(ContainSubstring("quarantine_released"))
+	m.report(&corequarantine.Report{Succeeded: []corequarantine.Success{{Fingerprint: fingerprintOf("poison")}}})
+	Eventually(m.state("poison"), timeout).Should(BeEmpty())
+	Eventually(m.log.String, timeout).Should(ContainSubstring("quarantine_released"))
 }
 
-// Guards against an operator who can't see what is kept from upstreams, or can't end it.
+// Guards against operators who cannot see which requests are kept from upstreams, or cannot release them.
 func TestOperatorsListAndRelease(t *testing.T) {
 	m := startMember(t)
 	for i := range 3 {
 		m.crash(uint64(i+1), time.Duration(3-i)*time.Second, "poison")
 	}
-	Eventually(m.state("poison"), patience).Should(Equal(quarantine.StateQuarantined))
+	Eventually(m.state("poison"), timeout).Should(Equal(quarantine.StateQuarantined))
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	server := &fasthttp.Server{Handler: m.service.Handler(func(ctx *fasthttp.RequestCtx) { ctx.SetStatusCode(http.StatusTeapot) })}
@@ -162,7 +162,7 @@
 	Expect(v.Requests[0].Target).To(Equal("/poison"))
 	Expect(v.Requests[0].Since).To(BeTemporally("~", time.Now(), time.Minute))
 	for path, want := range map[string]int{
-		quarantine.Path + "/x": 400, quarantine.Path + "/" + named("other").String(): 404, quarantine.Path + "/" + named("poison").String(): 200, "/config": 418,
+		quarantine.Path + "/x": 400, quarantine.Path + "/" + fingerprintOf("other").String(): 404, quarantine.Path + "/" + fingerprintOf("poison").String(): 200, "/config": 418,
 	} {
 		status, _ := call("DELETE", path)
 		Expect(status).To(Equal(want), path)
--- a/instance/quarantine/view.go
+++ b/instance/quarantine/view.go
@@ -7,8 +7,8 @@
 	state "github.com/comfreyladder/comfreyladder/core/control/quarantine"
 )
 
-// Path is where a member tells operators its View; with a fingerprint as a further part of the
-// path, DELETE releases a request.
+// Path is the HTTP path at which a member serves its View to operators. A DELETE of this path with a
+// fingerprint appended releases a request.
 const Path = "/v1/operator/quarantine"
 
 // The states of a request in a RequestView.
@@ -17,28 +17,28 @@
 	StateQuarantined = "quarantined"
 )
 
-// View is the list for operators, as JSON.
+// View is the quarantine list in JSON for operators.
 type View struct {
 	Requests []RequestView `json:"requests"`
 }
 
-// RequestView is one request of the list.
+// RequestView is one request in the list.
 type RequestView struct {
 	Fingerprint  string `json:"fingerprint"`
 	State        string `json:"state"`
 	Organisation string `json:"organisation,omitempty"`
 	Target       string `json:"target,omitempty"`
-	// Crashes is at how many crashes it was under way.
+	// Crashes is the number of crashes at which the request was in progress.
 	Crashes int `json:"crashes"`
-	// Since is when it was quarantined.
+	// Since is when the request was quarantined.
 	Since time.Time `json:"since,omitzero"`
-	// Trials is how often it was run since to see whether it still crashes its upstream, and
-	// Failed says that it did.
+	// Trials is the number of times that the request was run since, to test whether it still crashes its
+	// upstream. Failed reports that it did.
 	Trials int  `json:"trials,omitempty"`
 	Failed bool `json:"failed,omitempty"`
 }
 
-// List returns the list after a quorum has confirmed that it is the newest. It fails with
+// List returns the list after a quorum confirmed that it is the newest. It fails with
 // fault.Unavailable.
 func (s *Service) List(ctx context.Context) (*View, error) {
 	g := s.cfg.Replica()
@@ -51,7 +51,7 @@
 		return nil, err
 	}
 	v := &View{Requests: []RequestView{}}
-	machine(g, func(m *state.Machine) {
+	viewMachine(g, func(m *state.Machine) {
 		for _, e := range m.Entries() {
 			if e.Released {
 				continue
