--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -280,7 +280,7 @@
 }
 
 // CancelTrial cancels a granted trial that was not used.
-func (r *Recorder) ReturnTrial(ctx context.Context, f quarantine.Fingerprint) {
+func (r *Recorder) CancelTrial(ctx context.Context, f quarantine.Fingerprint) {
 	// A trial that cannot be cancelled is lost; an operator may release the request.
 	_ = r.callTrial(ctx, &TrialRequest{Fingerprint: f, Cancel: true}, &TrialResponse{})
 }
--- a/instance/relay/quarantine.go
+++ b/instance/relay/quarantine.go
@@ -27,7 +27,7 @@
 	Holds(f quarantine.Fingerprint) bool
 	// Trial asks for the trial of a quarantined request, ReturnTrial gives it back unused.
 	Trial(ctx context.Context, f quarantine.Fingerprint) bool
-	ReturnTrial(ctx context.Context, f quarantine.Fingerprint)
+	CancelTrial(ctx context.Context, f quarantine.Fingerprint)
 }
 
 const (
@@ -118,7 +118,7 @@
 	s.running.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), trialTimeout)
 		defer cancel()
-		s.cfg.Quarantine.ReturnTrial(ctx, f)
+		s.cfg.Quarantine.CancelTrial(ctx, f)
 	})
 }
 
--- a/instance/relay/quarantine_test.go
+++ b/instance/relay/quarantine_test.go
@@ -81,7 +81,7 @@
 	return q.trials >= 0
 }
 
-func (q *fakeQuarantine) ReturnTrial(context.Context, quarantine.Fingerprint) {
+func (q *fakeQuarantine) CancelTrial(context.Context, quarantine.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.returned++
