--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -120,7 +120,7 @@
 }
 
 // TrackLarge makes the recorder record successes of large requests for trackingTime.
-func (r *Recorder) Watch() { r.trackingUntil.Store(clock.Now().Add(trackingTime).UnixNano()) }
+func (r *Recorder) TrackLarge() { r.trackingUntil.Store(clock.Now().Add(trackingTime).UnixNano()) }
 
 // TracksLarge reports whether successes of large requests are recorded.
 func (r *Recorder) Watching() bool {
@@ -140,7 +140,7 @@
 	if q.Empty() {
 		return
 	}
-	r.Watch()
+	r.TrackLarge()
 	now := clock.Now()
 	for _, f := range q.All() {
 		if _, ok := r.successes.last(f, now); ok {
--- a/instance/quarantine/recorder_test.go
+++ b/instance/quarantine/recorder_test.go
@@ -139,7 +139,7 @@
 	m := &members{names: []string{"a"}}
 	r := startRecorder(t, m, false)
 	Expect(r.Watching()).To(BeFalse())
-	r.Watch()
+	r.TrackLarge()
 	Expect(r.Watching()).To(BeTrue())
 	r.Succeeded(fingerprintOf("status"))
 	Consistently(m.received, 50*time.Millisecond).Should(BeEmpty(), "nobody suspects it")
--- a/instance/relay/crash.go
+++ b/instance/relay/crash.go
@@ -130,7 +130,7 @@
 		return
 	}
 	if s.cfg.Quarantine != nil {
-		s.cfg.Quarantine.Watch()
+		s.cfg.Quarantine.TrackLarge()
 	}
 	up, now := a.up, time.Now()
 	organisation := ""
--- a/instance/relay/quarantine.go
+++ b/instance/relay/quarantine.go
@@ -15,9 +15,9 @@
 	// way there.
 	Crashed(upstream uint64, at time.Time, underWay []quarantine.Attempt)
 	// Succeeded notes that an upstream ran a request to its end, Alive that one has answered that
-	// was told to have crashed. Successes of large requests are noted after Watch, as long as
+	// was told to have crashed. Successes of large requests are noted after TrackLarge, as long as
 	// Watching says.
-	Watch()
+	TrackLarge()
 	Watching() bool
 	Succeeded(f quarantine.Fingerprint)
 	Alive(upstream uint64)
@@ -25,7 +25,7 @@
 	Idle() bool
 	Suspects(f quarantine.Fingerprint) bool
 	Holds(f quarantine.Fingerprint) bool
-	// Trial asks for the trial of a quarantined request, ReturnTrial gives it back unused.
+	// Trial asks for the trial of a quarantined request, CancelTrial gives it back unused.
 	Trial(ctx context.Context, f quarantine.Fingerprint) bool
 	CancelTrial(ctx context.Context, f quarantine.Fingerprint)
 }
--- a/instance/relay/quarantine_test.go
+++ b/instance/relay/quarantine_test.go
@@ -42,7 +42,7 @@
 	q.succeeded = append(q.succeeded, f)
 }
 
-func (q *fakeQuarantine) Watch() {
+func (q *fakeQuarantine) TrackLarge() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.watching = true
