--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -123,7 +123,7 @@
 func (r *Recorder) TrackLarge() { r.trackingUntil.Store(clock.Now().Add(trackingTime).UnixNano()) }
 
 // TracksLarge reports whether successes of large requests are recorded.
-func (r *Recorder) Watching() bool {
+func (r *Recorder) TracksLarge() bool {
 	until := r.trackingUntil.Load()
 	return until != 0 && clock.Now().UnixNano() < until
 }
--- a/instance/quarantine/recorder_test.go
+++ b/instance/quarantine/recorder_test.go
@@ -138,9 +138,9 @@
 func TestRecentSuccessesOfSuspectsAreReported(t *testing.T) {
 	m := &members{names: []string{"a"}}
 	r := startRecorder(t, m, false)
-	Expect(r.Watching()).To(BeFalse())
+	Expect(r.TracksLarge()).To(BeFalse())
 	r.TrackLarge()
-	Expect(r.Watching()).To(BeTrue())
+	Expect(r.TracksLarge()).To(BeTrue())
 	r.Succeeded(fingerprintOf("status"))
 	Consistently(m.received, 50*time.Millisecond).Should(BeEmpty(), "nobody suspects it")
 	r.Crashed(1, clock.Now(), underWay("status", "poison"))
--- a/instance/relay/quarantine.go
+++ b/instance/relay/quarantine.go
@@ -16,9 +16,9 @@
 	Crashed(upstream uint64, at time.Time, underWay []quarantine.Attempt)
 	// Succeeded notes that an upstream ran a request to its end, Alive that one has answered that
 	// was told to have crashed. Successes of large requests are noted after TrackLarge, as long as
-	// Watching says.
+	// TracksLarge says.
 	TrackLarge()
-	Watching() bool
+	TracksLarge() bool
 	Succeeded(f quarantine.Fingerprint)
 	Alive(upstream uint64)
 	// Idle reports whether this instance suspects nothing by itself.
@@ -137,7 +137,7 @@
 	if a.up.losses.alive(a.begun) {
 		s.cfg.Quarantine.Alive(a.up.begun)
 	}
-	if len(a.r.body) <= smallBody || s.cfg.Quarantine.Watching() {
+	if len(a.r.body) <= smallBody || s.cfg.Quarantine.TracksLarge() {
 		s.cfg.Quarantine.Succeeded(a.r.fingerprint())
 	}
 }
--- a/instance/relay/quarantine_test.go
+++ b/instance/relay/quarantine_test.go
@@ -48,7 +48,7 @@
 	q.watching = true
 }
 
-func (q *fakeQuarantine) Watching() bool {
+func (q *fakeQuarantine) TracksLarge() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.watching
