--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -157,7 +157,7 @@
 
 // RecordCrash reports that an upstream crashed at a time of the instance's clock, with the requests in
 // progress there. Requests that recently succeeded at this instance are left out.
-func (r *Recorder) Crashed(upstream uint64, at time.Time, underWay []quarantine.Attempt) {
+func (r *Recorder) RecordCrash(upstream uint64, at time.Time, underWay []quarantine.Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	underWay = slices.DeleteFunc(underWay, func(a quarantine.Attempt) bool {
--- a/instance/quarantine/recorder_test.go
+++ b/instance/quarantine/recorder_test.go
@@ -82,7 +82,7 @@
 func TestCrashIsReportedImmediatelyWithItsAge(t *testing.T) {
 	m := &members{names: []string{"a"}}
 	r := startRecorder(t, m, false)
-	r.Crashed(7, clock.Now().Add(-time.Second), underWay("x"))
+	r.RecordCrash(7, clock.Now().Add(-time.Second), underWay("x"))
 	Eventually(m.received, 100*time.Millisecond, time.Millisecond).Should(HaveLen(1))
 	c := m.received()[0].Crashes[0]
 	Expect(c.Upstream).To(Equal(uint64(7)))
@@ -95,7 +95,7 @@
 func TestReportIsRetriedAtOtherMembers(t *testing.T) {
 	m := &members{names: []string{"a", "b"}, down: map[string]bool{"a": true, "b": true}}
 	r := startRecorder(t, m, false)
-	r.Crashed(1, clock.Now(), underWay("x"))
+	r.RecordCrash(1, clock.Now(), underWay("x"))
 	Eventually(func() int { m.mu.Lock(); defer m.mu.Unlock(); return len(m.called) }, time.Second).Should(BeNumerically(">", 2))
 	r.Update(follow.NewQuarantine(1, nil, []corequarantine.Fingerprint{fingerprintOf("y")}))
 	r.Succeeded(fingerprintOf("y"))
@@ -116,7 +116,7 @@
 	}
 	r.Update(follow.NewQuarantine(1, nil, all))
 	for i := range 1000 {
-		r.Crashed(uint64(i+1), clock.Now(), underWay(fmt.Sprint(i)))
+		r.RecordCrash(uint64(i+1), clock.Now(), underWay(fmt.Sprint(i)))
 		r.Succeeded(fingerprintOf(fmt.Sprint("done ", i)))
 		r.Alive(uint64(i + 1))
 	}
@@ -143,10 +143,10 @@
 	Expect(r.TracksLarge()).To(BeTrue())
 	r.Succeeded(fingerprintOf("status"))
 	Consistently(m.received, 50*time.Millisecond).Should(BeEmpty(), "nobody suspects it")
-	r.Crashed(1, clock.Now(), underWay("status", "poison"))
+	r.RecordCrash(1, clock.Now(), underWay("status", "poison"))
 	Eventually(m.received, time.Second).Should(HaveLen(1))
 	Expect(m.received()[0].Crashes[0].UnderWay).To(Equal(underWay("poison")))
-	r.Crashed(2, clock.Now(), underWay("status"))
+	r.RecordCrash(2, clock.Now(), underWay("status"))
 	r.Update(follow.NewQuarantine(1, nil, []corequarantine.Fingerprint{fingerprintOf("status")}))
 	Eventually(m.received, time.Second).Should(HaveLen(2))
 	Expect(m.received()[1].Crashes).To(BeEmpty())
@@ -176,7 +176,7 @@
 		Expect(r.Idle()).To(BeTrue())
 		for i := range 4 {
 			Expect(r.Holds(fingerprintOf("poison"))).To(BeFalse())
-			r.Crashed(uint64(i+1), clock.Now().Add(time.Duration(i-5)*time.Second), underWay("poison", fmt.Sprint(i)))
+			r.RecordCrash(uint64(i+1), clock.Now().Add(time.Duration(i-5)*time.Second), underWay("poison", fmt.Sprint(i)))
 			if i == 1 {
 				Expect(r.Suspects(fingerprintOf("poison"))).To(BeTrue())
 			}
--- a/instance/relay/crash.go
+++ b/instance/relay/crash.go
@@ -199,7 +199,7 @@
 	s.cfg.Log.Event("upstream_crashed").Str("upstream", up.id).Str("address", up.address).Int("under_way", int64(len(list))).
 		Str("fingerprints", nameFingerprints(underWay)).End()
 	if s.cfg.Quarantine != nil {
-		s.cfg.Quarantine.Crashed(up.begun, clock.Now().Add(-time.Since(at)), underWay)
+		s.cfg.Quarantine.RecordCrash(up.begun, clock.Now().Add(-time.Since(at)), underWay)
 	}
 }
 
--- a/instance/relay/quarantine.go
+++ b/instance/relay/quarantine.go
@@ -11,9 +11,9 @@
 // Quarantine is what this instance tells, and knows by itself, of requests that crash
 // upstreams; what all know of them is in the view.
 type Quarantine interface {
-	// Crashed tells that an upstream has crashed at a time of clock.Now, and what was under
+	// RecordCrash tells that an upstream has crashed at a time of clock.Now, and what was under
 	// way there.
-	Crashed(upstream uint64, at time.Time, underWay []quarantine.Attempt)
+	RecordCrash(upstream uint64, at time.Time, underWay []quarantine.Attempt)
 	// Succeeded notes that an upstream ran a request to its end, Alive that one has answered that
 	// was told to have crashed. Successes of large requests are noted after TrackLarge, as long as
 	// TracksLarge says.
--- a/instance/relay/quarantine_test.go
+++ b/instance/relay/quarantine_test.go
@@ -27,7 +27,7 @@
 	returned  int
 }
 
-func (q *fakeQuarantine) Crashed(upstream uint64, _ time.Time, underWay []quarantine.Attempt) {
+func (q *fakeQuarantine) RecordCrash(upstream uint64, _ time.Time, underWay []quarantine.Attempt) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.crashed == nil {
