--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -181,7 +181,7 @@
 
 // RecordSuccess records that an upstream completed a request, and reports this if the request is in the
 // replicated list.
-func (r *Recorder) Succeeded(f quarantine.Fingerprint) {
+func (r *Recorder) RecordSuccess(f quarantine.Fingerprint) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := clock.Now()
--- a/instance/quarantine/recorder_test.go
+++ b/instance/quarantine/recorder_test.go
@@ -98,7 +98,7 @@
 	r.RecordCrash(1, clock.Now(), underWay("x"))
 	Eventually(func() int { m.mu.Lock(); defer m.mu.Unlock(); return len(m.called) }, time.Second).Should(BeNumerically(">", 2))
 	r.Update(follow.NewQuarantine(1, nil, []corequarantine.Fingerprint{fingerprintOf("y")}))
-	r.Succeeded(fingerprintOf("y"))
+	r.RecordSuccess(fingerprintOf("y"))
 	m.set(func() { m.down = map[string]bool{"a": true} })
 	Eventually(m.received, time.Second).Should(HaveLen(1))
 	Expect(m.received()[0].Crashes[0].AgeMS).To(BeNumerically(">=", 100), "the age grows while it waits")
@@ -117,7 +117,7 @@
 	r.Update(follow.NewQuarantine(1, nil, all))
 	for i := range 1000 {
 		r.RecordCrash(uint64(i+1), clock.Now(), underWay(fmt.Sprint(i)))
-		r.Succeeded(fingerprintOf(fmt.Sprint("done ", i)))
+		r.RecordSuccess(fingerprintOf(fmt.Sprint("done ", i)))
 		r.Alive(uint64(i + 1))
 	}
 	m.set(func() { m.names = []string{"a"} })
@@ -141,7 +141,7 @@
 	Expect(r.TracksLarge()).To(BeFalse())
 	r.TrackLarge()
 	Expect(r.TracksLarge()).To(BeTrue())
-	r.Succeeded(fingerprintOf("status"))
+	r.RecordSuccess(fingerprintOf("status"))
 	Consistently(m.received, 50*time.Millisecond).Should(BeEmpty(), "nobody suspects it")
 	r.RecordCrash(1, clock.Now(), underWay("status", "poison"))
 	Eventually(m.received, time.Second).Should(HaveLen(1))
@@ -160,7 +160,7 @@
 	r := startRecorder(t, m, false)
 	const many = 20_000
 	for i := range many {
-		r.Succeeded(fingerprintOf(fmt.Sprint(i)))
+		r.RecordSuccess(fingerprintOf(fmt.Sprint(i)))
 	}
 	r.Update(follow.NewQuarantine(1, nil, []corequarantine.Fingerprint{fingerprintOf("0"), fingerprintOf(fmt.Sprint(many - 1))}))
 	Eventually(m.received, time.Second).Should(HaveLen(1))
@@ -183,7 +183,7 @@
 		}
 		Expect(r.Holds(fingerprintOf("poison"))).To(Equal(alone), "with a control group, that decides")
 		Expect(r.Suspects(fingerprintOf("0"))).To(BeFalse())
-		r.Succeeded(fingerprintOf("poison"))
+		r.RecordSuccess(fingerprintOf("poison"))
 		Expect(r.Holds(fingerprintOf("poison"))).To(BeFalse())
 		Expect(r.Idle()).To(BeTrue())
 	}
--- a/instance/relay/quarantine.go
+++ b/instance/relay/quarantine.go
@@ -14,12 +14,12 @@
 	// RecordCrash tells that an upstream has crashed at a time of clock.Now, and what was under
 	// way there.
 	RecordCrash(upstream uint64, at time.Time, underWay []quarantine.Attempt)
-	// Succeeded notes that an upstream ran a request to its end, Alive that one has answered that
+	// RecordSuccess notes that an upstream ran a request to its end, Alive that one has answered that
 	// was told to have crashed. Successes of large requests are noted after TrackLarge, as long as
 	// TracksLarge says.
 	TrackLarge()
 	TracksLarge() bool
-	Succeeded(f quarantine.Fingerprint)
+	RecordSuccess(f quarantine.Fingerprint)
 	Alive(upstream uint64)
 	// Idle reports whether this instance suspects nothing by itself.
 	Idle() bool
@@ -138,6 +138,6 @@
 		s.cfg.Quarantine.Alive(a.up.begun)
 	}
 	if len(a.r.body) <= smallBody || s.cfg.Quarantine.TracksLarge() {
-		s.cfg.Quarantine.Succeeded(a.r.fingerprint())
+		s.cfg.Quarantine.RecordSuccess(a.r.fingerprint())
 	}
 }
--- a/instance/relay/quarantine_test.go
+++ b/instance/relay/quarantine_test.go
@@ -36,7 +36,7 @@
 	q.crashed[upstream] = append(q.crashed[upstream], underWay...)
 }
 
-func (q *fakeQuarantine) Succeeded(f quarantine.Fingerprint) {
+func (q *fakeQuarantine) RecordSuccess(f quarantine.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.succeeded = append(q.succeeded, f)
