--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -209,7 +209,7 @@
 }
 
 // RetractCrash reports that an upstream has answered that was reported as crashed.
-func (r *Recorder) Alive(upstream uint64) {
+func (r *Recorder) RetractCrash(upstream uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ledger.RetractCrash(upstream)
--- a/instance/quarantine/recorder_test.go
+++ b/instance/quarantine/recorder_test.go
@@ -118,7 +118,7 @@
 	for i := range 1000 {
 		r.RecordCrash(uint64(i+1), clock.Now(), underWay(fmt.Sprint(i)))
 		r.RecordSuccess(fingerprintOf(fmt.Sprint("done ", i)))
-		r.Alive(uint64(i + 1))
+		r.RetractCrash(uint64(i + 1))
 	}
 	m.set(func() { m.names = []string{"a"} })
 	crashes, successes, alive := 0, 0, 0
--- a/instance/relay/quarantine.go
+++ b/instance/relay/quarantine.go
@@ -14,13 +14,13 @@
 	// RecordCrash tells that an upstream has crashed at a time of clock.Now, and what was under
 	// way there.
 	RecordCrash(upstream uint64, at time.Time, underWay []quarantine.Attempt)
-	// RecordSuccess notes that an upstream ran a request to its end, Alive that one has answered that
+	// RecordSuccess notes that an upstream ran a request to its end, RetractCrash that one has answered that
 	// was told to have crashed. Successes of large requests are noted after TrackLarge, as long as
 	// TracksLarge says.
 	TrackLarge()
 	TracksLarge() bool
 	RecordSuccess(f quarantine.Fingerprint)
-	Alive(upstream uint64)
+	RetractCrash(upstream uint64)
 	// Idle reports whether this instance suspects nothing by itself.
 	Idle() bool
 	Suspects(f quarantine.Fingerprint) bool
@@ -135,7 +135,7 @@
 		return
 	}
 	if a.up.losses.alive(a.begun) {
-		s.cfg.Quarantine.Alive(a.up.begun)
+		s.cfg.Quarantine.RetractCrash(a.up.begun)
 	}
 	if len(a.r.body) <= smallBody || s.cfg.Quarantine.TracksLarge() {
 		s.cfg.Quarantine.RecordSuccess(a.r.fingerprint())
--- a/instance/relay/quarantine_test.go
+++ b/instance/relay/quarantine_test.go
@@ -54,7 +54,7 @@
 	return q.watching
 }
 
-func (q *fakeQuarantine) Alive(upstream uint64) {
+func (q *fakeQuarantine) RetractCrash(upstream uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.alive = append(q.alive, upstream)
