--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -266,7 +266,7 @@
 
 // Blocks reports whether this instance keeps a request from upstreams because of its own observations
 // alone, which it does only while the control group cannot be reached.
-func (r *Recorder) Holds(f quarantine.Fingerprint) bool {
+func (r *Recorder) Blocks(f quarantine.Fingerprint) bool {
 	r.mu.Lock()
 	blocked := r.toBlock[f]
 	r.mu.Unlock()
--- a/instance/quarantine/recorder_test.go
+++ b/instance/quarantine/recorder_test.go
@@ -175,16 +175,16 @@
 		r := startRecorder(t, &members{}, alone)
 		Expect(r.Idle()).To(BeTrue())
 		for i := range 4 {
-			Expect(r.Holds(fingerprintOf("poison"))).To(BeFalse())
+			Expect(r.Blocks(fingerprintOf("poison"))).To(BeFalse())
 			r.RecordCrash(uint64(i+1), clock.Now().Add(time.Duration(i-5)*time.Second), underWay("poison", fmt.Sprint(i)))
 			if i == 1 {
 				Expect(r.Suspects(fingerprintOf("poison"))).To(BeTrue())
 			}
 		}
-		Expect(r.Holds(fingerprintOf("poison"))).To(Equal(alone), "with a control group, that decides")
+		Expect(r.Blocks(fingerprintOf("poison"))).To(Equal(alone), "with a control group, that decides")
 		Expect(r.Suspects(fingerprintOf("0"))).To(BeFalse())
 		r.RecordSuccess(fingerprintOf("poison"))
-		Expect(r.Holds(fingerprintOf("poison"))).To(BeFalse())
+		Expect(r.Blocks(fingerprintOf("poison"))).To(BeFalse())
 		Expect(r.Idle()).To(BeTrue())
 	}
 }
--- a/instance/relay/quarantine.go
+++ b/instance/relay/quarantine.go
@@ -24,7 +24,7 @@
 	// Idle reports whether this instance suspects nothing by itself.
 	Idle() bool
 	Suspects(f quarantine.Fingerprint) bool
-	Holds(f quarantine.Fingerprint) bool
+	Blocks(f quarantine.Fingerprint) bool
 	// Trial asks for the trial of a quarantined request, CancelTrial gives it back unused.
 	Trial(ctx context.Context, f quarantine.Fingerprint) bool
 	CancelTrial(ctx context.Context, f quarantine.Fingerprint)
@@ -73,7 +73,7 @@
 	f := r.fingerprint()
 	q := s.cfg.State.View().Quarantine
 	held, quarantined := q.Held(f)
-	return standing{q.Suspects(f) || s.cfg.Quarantine.Suspects(f), quarantined || s.cfg.Quarantine.Holds(f), held.Trial, held.Final}
+	return standing{q.Suspects(f) || s.cfg.Quarantine.Suspects(f), quarantined || s.cfg.Quarantine.Blocks(f), held.Trial, held.Final}
 }
 
 // screen decides whether a request may be sent to an upstream; nil means yes. It notes whether
--- a/instance/relay/quarantine_test.go
+++ b/instance/relay/quarantine_test.go
@@ -72,7 +72,7 @@
 	return q.suspects[f]
 }
 
-func (q *fakeQuarantine) Holds(quarantine.Fingerprint) bool { return false }
+func (q *fakeQuarantine) Blocks(quarantine.Fingerprint) bool { return false }
 
 func (q *fakeQuarantine) Trial(context.Context, quarantine.Fingerprint) bool {
 	q.mu.Lock()
