--- a/instance/order/order.go
+++ b/instance/order/order.go
@@ -47,9 +47,9 @@
 	// DefaultMargin covers the difference in rate of two clocks over a lease, many
 	// times.
 	DefaultMargin = time.Second
-	// DefaultFlight is the longest time that an engine may take to act on an order
+	// DefaultMaxEffectDelay is the longest time that an engine may take to act on an order
 	// whose bytes it has; the bytes themselves are bound to the lease.
-	DefaultFlight = 5 * time.Second
+	DefaultMaxEffectDelay = 5 * time.Second
 	// DefaultReadEvery is how soon it is found that an engine does not hold what
 	// it was ordered to; DefaultReadLoading how soon that a load has ended.
 	DefaultReadEvery   = 10 * time.Second
@@ -95,7 +95,7 @@
 	defaults.Set(&c.Tick, DefaultTick)
 	defaults.Set(&c.TTL, DefaultTTL)
 	defaults.Set(&c.Margin, DefaultMargin)
-	defaults.Set(&c.Flight, DefaultFlight)
+	defaults.Set(&c.Flight, DefaultMaxEffectDelay)
 	defaults.Set(&c.ReadEvery, DefaultReadEvery)
 	defaults.Set(&c.ReadLoading, DefaultReadLoading)
 	defaults.Set(&c.CallTimeout, DefaultCallTimeout)
