--- a/instance/order/lease.go
+++ b/instance/order/lease.go
@@ -17,7 +17,7 @@
 }
 
 func (s *Service) terms() fence.Timing {
-	return fence.Timing{TTL: s.cfg.TTL, Margin: s.cfg.Margin, MaxEffectDelay: s.cfg.Flight}
+	return fence.Timing{TTL: s.cfg.TTL, Margin: s.cfg.Margin, MaxEffectDelay: s.cfg.MaxEffectDelay}
 }
 
 // tend renews the lease while there are orders to give, takes it when the first
--- a/instance/order/order.go
+++ b/instance/order/order.go
@@ -86,16 +86,16 @@
 	// while the machine is suspended.
 	Now func() time.Time
 
-	Tick, TTL, Margin, Flight time.Duration
-	ReadEvery, ReadLoading    time.Duration
-	CallTimeout, Keep         time.Duration
+	Tick, TTL, Margin, MaxEffectDelay time.Duration
+	ReadEvery, ReadLoading            time.Duration
+	CallTimeout, Keep                 time.Duration
 }
 
 func (c *Config) fill() {
 	defaults.Set(&c.Tick, DefaultTick)
 	defaults.Set(&c.TTL, DefaultTTL)
 	defaults.Set(&c.Margin, DefaultMargin)
-	defaults.Set(&c.Flight, DefaultMaxEffectDelay)
+	defaults.Set(&c.MaxEffectDelay, DefaultMaxEffectDelay)
 	defaults.Set(&c.ReadEvery, DefaultReadEvery)
 	defaults.Set(&c.ReadLoading, DefaultReadLoading)
 	defaults.Set(&c.CallTimeout, DefaultCallTimeout)
--- a/instance/order/send.go
+++ b/instance/order/send.go
@@ -64,7 +64,7 @@
 func (s *Service) notFollowed(now time.Time, o core.Order, e *engine, l fence.HeldLease, st *core.State, a *upstream.Answer, err error) {
 	known := a != nil && a.Status < fasthttp.StatusInternalServerError
 	if !known && upstream.EvidenceOf(err) == upstream.Unknown {
-		s.late = later(s.late, l.Until.Add(s.cfg.Flight))
+		s.late = later(s.late, l.Until.Add(s.cfg.MaxEffectDelay))
 		e.failures++ // is read again soon
 		return
 	}
