--- a/instance/order/order.go
+++ b/instance/order/order.go
@@ -56,9 +56,9 @@
 	DefaultReadLoading = time.Second
 	// DefaultCallTimeout bounds one call to an engine or to the control group.
 	DefaultCallTimeout = 3 * time.Second
-	// DefaultKeep is how long a lease is renewed after the last order, so that a
+	// DefaultKeepLease is how long a lease is renewed after the last order, so that a
 	// domain at rest costs the control group nothing.
-	DefaultKeep = 30 * time.Second
+	DefaultKeepLease = 30 * time.Second
 )
 
 // Client sends calls to engines.
@@ -99,7 +99,7 @@
 	defaults.Set(&c.ReadEvery, DefaultReadEvery)
 	defaults.Set(&c.ReadLoading, DefaultReadLoading)
 	defaults.Set(&c.CallTimeout, DefaultCallTimeout)
-	defaults.Set(&c.Keep, DefaultKeep)
+	defaults.Set(&c.Keep, DefaultKeepLease)
 	if c.Now == nil {
 		c.Now = clock.Now
 	}
