--- a/instance/order/lease.go
+++ b/instance/order/lease.go
@@ -25,7 +25,7 @@
 // settled yet is kept: the next would have to wait all over again.
 func (s *Service) tend(now time.Time) {
 	s.lease.Expire(now)
-	wanted := now.Sub(later(s.active, s.lease.SettledAt)) < s.cfg.Keep
+	wanted := now.Sub(later(s.active, s.lease.SettledAt)) < s.cfg.KeepLease
 	switch {
 	case s.asking || now.Before(s.askAt):
 	case wanted && (s.lease.Number == 0 || !now.Before(s.lease.RenewAt)):
--- a/instance/order/order.go
+++ b/instance/order/order.go
@@ -88,7 +88,7 @@
 
 	Tick, TTL, Margin, MaxEffectDelay time.Duration
 	ReadEvery, ReadLoading            time.Duration
-	CallTimeout, Keep                 time.Duration
+	CallTimeout, KeepLease            time.Duration
 }
 
 func (c *Config) fill() {
@@ -99,7 +99,7 @@
 	defaults.Set(&c.ReadEvery, DefaultReadEvery)
 	defaults.Set(&c.ReadLoading, DefaultReadLoading)
 	defaults.Set(&c.CallTimeout, DefaultCallTimeout)
-	defaults.Set(&c.Keep, DefaultKeepLease)
+	defaults.Set(&c.KeepLease, DefaultKeepLease)
 	if c.Now == nil {
 		c.Now = clock.Now
 	}
