--- a/instance/order/order.go
+++ b/instance/order/order.go
@@ -50,10 +50,10 @@
 	// DefaultMaxEffectDelay is the longest time that an engine may take to act on an order
 	// whose bytes it has; the bytes themselves are bound to the lease.
 	DefaultMaxEffectDelay = 5 * time.Second
-	// DefaultReadEvery is how soon it is found that an engine does not hold what
+	// DefaultReadInterval is how soon it is found that an engine does not hold what
 	// it was ordered to; DefaultReadLoading how soon that a load has ended.
-	DefaultReadEvery   = 10 * time.Second
-	DefaultReadLoading = time.Second
+	DefaultReadInterval = 10 * time.Second
+	DefaultReadLoading  = time.Second
 	// DefaultCallTimeout bounds one call to an engine or to the control group.
 	DefaultCallTimeout = 3 * time.Second
 	// DefaultKeepLease is how long a lease is renewed after the last order, so that a
@@ -96,7 +96,7 @@
 	defaults.Set(&c.TTL, DefaultTTL)
 	defaults.Set(&c.Margin, DefaultMargin)
 	defaults.Set(&c.MaxEffectDelay, DefaultMaxEffectDelay)
-	defaults.Set(&c.ReadEvery, DefaultReadEvery)
+	defaults.Set(&c.ReadEvery, DefaultReadInterval)
 	defaults.Set(&c.ReadLoading, DefaultReadLoading)
 	defaults.Set(&c.CallTimeout, DefaultCallTimeout)
 	defaults.Set(&c.KeepLease, DefaultKeepLease)
