--- a/instance/order/engine.go
+++ b/instance/order/engine.go
@@ -130,7 +130,7 @@
 	if e.state == nil || e.failures > 0 || len(e.state.Loading) > 0 {
 		return s.cfg.ReadLoading
 	}
-	return s.cfg.ReadEvery
+	return s.cfg.ReadInterval
 }
 
 // read asks an engine what it holds. An order whose answer was lost is settled by
--- a/instance/order/order.go
+++ b/instance/order/order.go
@@ -87,7 +87,7 @@
 	Now func() time.Time
 
 	Tick, TTL, Margin, MaxEffectDelay time.Duration
-	ReadEvery, ReadLoading            time.Duration
+	ReadInterval, ReadLoading         time.Duration
 	CallTimeout, KeepLease            time.Duration
 }
 
@@ -96,7 +96,7 @@
 	defaults.Set(&c.TTL, DefaultTTL)
 	defaults.Set(&c.Margin, DefaultMargin)
 	defaults.Set(&c.MaxEffectDelay, DefaultMaxEffectDelay)
-	defaults.Set(&c.ReadEvery, DefaultReadInterval)
+	defaults.Set(&c.ReadInterval, DefaultReadInterval)
 	defaults.Set(&c.ReadLoading, DefaultReadLoading)
 	defaults.Set(&c.CallTimeout, DefaultCallTimeout)
 	defaults.Set(&c.KeepLease, DefaultKeepLease)
