--- a/instance/order/order.go
+++ b/instance/order/order.go
@@ -52,8 +52,8 @@
 	DefaultMaxEffectDelay = 5 * time.Second
 	// DefaultReadInterval is how soon it is found that an engine does not hold what
 	// it was ordered to; DefaultReadLoading how soon that a load has ended.
-	DefaultReadInterval = 10 * time.Second
-	DefaultReadLoading  = time.Second
+	DefaultReadInterval        = 10 * time.Second
+	DefaultLoadingReadInterval = time.Second
 	// DefaultCallTimeout bounds one call to an engine or to the control group.
 	DefaultCallTimeout = 3 * time.Second
 	// DefaultKeepLease is how long a lease is renewed after the last order, so that a
@@ -97,7 +97,7 @@
 	defaults.Set(&c.Margin, DefaultMargin)
 	defaults.Set(&c.MaxEffectDelay, DefaultMaxEffectDelay)
 	defaults.Set(&c.ReadInterval, DefaultReadInterval)
-	defaults.Set(&c.ReadLoading, DefaultReadLoading)
+	defaults.Set(&c.ReadLoading, DefaultLoadingReadInterval)
 	defaults.Set(&c.CallTimeout, DefaultCallTimeout)
 	defaults.Set(&c.KeepLease, DefaultKeepLease)
 	if c.Now == nil {
