--- a/instance/order/engine.go
+++ b/instance/order/engine.go
@@ -128,7 +128,7 @@
 // pause returns how long an engine is not read.
 func (s *Service) pause(e *engine) time.Duration {
 	if e.state == nil || e.failures > 0 || len(e.state.Loading) > 0 {
-		return s.cfg.ReadLoading
+		return s.cfg.LoadingReadInterval
 	}
 	return s.cfg.ReadInterval
 }
--- a/instance/order/fakes_test.go
+++ b/instance/order/fakes_test.go
@@ -302,7 +302,7 @@
 		Now:  n.now,
 		Plan: core.Config{Backoff: 50 * time.Millisecond, IdleAfter: 50 * time.Millisecond},
 		Tick: 5 * time.Millisecond, TTL: ttl, Margin: 50 * time.Millisecond, MaxEffectDelay: 100 * time.Millisecond,
-		ReadInterval: 50 * time.Millisecond, ReadLoading: 10 * time.Millisecond, CallTimeout: 2 * time.Second, KeepLease: 300 * time.Millisecond,
+		ReadInterval: 50 * time.Millisecond, LoadingReadInterval: 10 * time.Millisecond, CallTimeout: 2 * time.Second, KeepLease: 300 * time.Millisecond,
 	}, "1")
 	n.SetIntent(p.doc)
 	p.Expect(n.Start(context.Background())).To(Succeed())
--- a/instance/order/order.go
+++ b/instance/order/order.go
@@ -87,7 +87,7 @@
 	Now func() time.Time
 
 	Tick, TTL, Margin, MaxEffectDelay time.Duration
-	ReadInterval, ReadLoading         time.Duration
+	ReadInterval, LoadingReadInterval time.Duration
 	CallTimeout, KeepLease            time.Duration
 }
 
@@ -97,7 +97,7 @@
 	defaults.Set(&c.Margin, DefaultMargin)
 	defaults.Set(&c.MaxEffectDelay, DefaultMaxEffectDelay)
 	defaults.Set(&c.ReadInterval, DefaultReadInterval)
-	defaults.Set(&c.ReadLoading, DefaultLoadingReadInterval)
+	defaults.Set(&c.LoadingReadInterval, DefaultLoadingReadInterval)
 	defaults.Set(&c.CallTimeout, DefaultCallTimeout)
 	defaults.Set(&c.KeepLease, DefaultKeepLease)
 	if c.Now == nil {
