--- a/instance/daemon/orders.go
+++ b/instance/daemon/orders.go
@@ -65,8 +65,8 @@
 	out := admin.OrdersStatus{Issuer: st.Issuer, Fence: st.Fence}
 	if st.Fence > 0 {
 		out.LeaseUntil = &st.Until
-		if clock.Now().Before(st.Settled) {
-			out.SettledAt = &st.Settled
+		if clock.Now().Before(st.SettledAt) {
+			out.SettledAt = &st.SettledAt
 		}
 	}
 	for _, m := range st.Models {
--- a/instance/order/order.go
+++ b/instance/order/order.go
@@ -112,10 +112,10 @@
 	// Fence is the number of the lease, 0 without one; Until is its end.
 	Fence uint64
 	Until time.Time
-	// Settled is when engines that ignore the number may be ordered.
-	Settled time.Time
-	Models  []core.ModelStatus
-	Engines []core.EngineStatus
+	// SettledAt is when engines that ignore the number may be ordered.
+	SettledAt time.Time
+	Models    []core.ModelStatus
+	Engines   []core.EngineStatus
 }
 
 const inboxSize = 256
@@ -223,6 +223,6 @@
 	}
 	st.Models, st.Engines = d.Models, d.Engines
 	if s.lease.Valid(now) {
-		st.Fence, st.Until, st.Settled = s.lease.Number, s.lease.Until, s.lease.SettledAt
+		st.Fence, st.Until, st.SettledAt = s.lease.Number, s.lease.Until, s.lease.SettledAt
 	}
 }
