--- a/instance/order/elect.go
+++ b/instance/order/elect.go
@@ -2,16 +2,15 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// elect returns the member that orders the domain's engines: the one with the
-// highest rendezvous hash, so that a member that comes or goes moves the role
-// only if it is the winner itself. It spares work; what keeps two issuers apart
-// is the lease.
+// elect returns the member that orders the engines of the domain: the one with the highest rendezvous
+// hash, so that a member that joins or leaves moves the role only if it is the winner itself. The
+// election saves work; the lease is what keeps two issuers apart.
 func elect(members []string) string {
-	best, most := "", uint64(0)
+	best, highest := "", uint64(0)
 	for _, m := range members {
 		h := xxhash.Sum64String("orders\x00" + m)
-		if best == "" || h > most || h == most && m < best {
-			best, most = m, h
+		if best == "" || h > highest || h == highest && m < best {
+			best, highest = m, h
 		}
 	}
 	return best
--- a/instance/order/engine.go
+++ b/instance/order/engine.go
@@ -18,37 +18,35 @@
 
 const (
 	pathOrders = "/v1/orders"
-	// maxReads bounds the calls to engines that are under way at a time.
+	// maxReads bounds the concurrent calls to engines.
 	maxReads = 16
-	// patience is how long a term's first step waits for engines that do not
-	// answer, in calls.
-	patience = 2
+	// maxFailedReads is the number of failed reads after which the first step of a term no longer waits
+	// for an engine.
+	maxFailedReads = 2
 )
 
-// noSuchPath lists the answers of engines that take no orders.
-var noSuchPath = []int{fasthttp.StatusNotFound, fasthttp.StatusMethodNotAllowed, fasthttp.StatusNotImplemented}
+// noOrdersStatuses lists the status codes of engines that do not support orders.
+var noOrdersStatuses = []int{fasthttp.StatusNotFound, fasthttp.StatusMethodNotAllowed, fasthttp.StatusNotImplemented}
 
-// engine is what is known of one engine besides its beats.
+// engine is the state of one engine beyond its heartbeats.
 type engine struct {
 	incarnation uint64
 	target      upstream.Target
 	serves      []string // what it announced last
 	state       *core.State
 	noOrders    bool
-	// next is when it is to be read again, failures counts reads in a row without
-	// an answer.
-	next     time.Time
+	// nextRead is when the engine is read again. failures counts consecutive reads without an answer.
+	nextRead time.Time
 	failures int
-	// busy engines have a call under way.
+	// busy reports whether a call to the engine is in flight.
 	busy bool
 }
 
-// known reports whether the engine was read, or tried often enough.
-func (e *engine) known() bool { return e.state != nil || e.noOrders || e.failures >= patience }
+// known reports whether the engine was read, or reading it failed often enough.
+func (e *engine) known() bool { return e.state != nil || e.noOrders || e.failures >= maxFailedReads }
 
-// look returns the engines as the last reads show them and begins those reads
-// that are due.
-func (s *Service) look(now time.Time) []core.Engine {
+// observeEngines returns the engines as the last reads show them and starts the reads that are due.
+func (s *Service) observeEngines(now time.Time) []core.Engine {
 	view := s.cfg.View()
 	var list []core.Engine
 	live, ready := map[string]bool{}, true
@@ -60,13 +58,13 @@
 		}
 		live[u.Name] = true
 		e := s.track(u)
-		if !e.busy && !now.Before(e.next) && s.calling < maxReads {
+		if !e.busy && !now.Before(e.nextRead) && s.callsInFlight < maxReads {
 			s.read(u.Name, e)
 		}
 		ready = ready && e.known()
 		list = append(list, describe(u, e))
 	}
-	s.ready = s.ready || ready
+	s.enginesRead = s.enginesRead || ready
 	for name, e := range s.engines {
 		if !live[name] && !e.busy {
 			delete(s.engines, name)
@@ -75,7 +73,7 @@
 	return list
 }
 
-// track returns what is known of an engine; one that started anew is unknown.
+// track returns the state of an engine, which is empty for a new incarnation.
 func (s *Service) track(u *registry.Upstream) *engine {
 	e := s.engines[u.Name]
 	if e == nil || e.incarnation != u.Incarnation && !e.busy {
@@ -84,7 +82,7 @@
 	}
 	e.target = upstream.Target{Name: u.Name, Address: u.Address}
 	if !slices.Equal(u.Models, e.serves) {
-		e.serves, e.next = u.Models, time.Time{}
+		e.serves, e.nextRead = u.Models, time.Time{}
 	}
 	return e
 }
@@ -103,10 +101,10 @@
 	return d
 }
 
-// call makes one call to an engine without holding up the loop.
+// call makes one call to an engine without blocking the loop.
 func (s *Service) call(e *engine, c upstream.Call, done func(now time.Time, a *upstream.Answer, err error)) {
 	s.serial++
-	s.calling++
+	s.callsInFlight++
 	e.busy = true
 	c.RequestID = s.cfg.Self + "-order-" + strconv.FormatUint(s.serial, 10)
 	c.Path = pathOrders
@@ -117,24 +115,23 @@
 		defer cancel()
 		a, err := s.cfg.Client.Do(ctx, target, c)
 		s.loop.Post(func(now time.Time) {
-			s.calling--
+			s.callsInFlight--
 			e.busy = false
 			done(now, a, err)
-			e.next = now.Add(s.pause(e))
+			e.nextRead = now.Add(s.readDelay(e))
 		})
 	})
 }
 
-// pause returns how long an engine is not read.
-func (s *Service) pause(e *engine) time.Duration {
+// readDelay returns the delay until an engine is read again.
+func (s *Service) readDelay(e *engine) time.Duration {
 	if e.state == nil || e.failures > 0 || len(e.state.Loading) > 0 {
 		return s.cfg.LoadingReadInterval
 	}
 	return s.cfg.ReadInterval
 }
 
-// read asks an engine what it holds. An order whose answer was lost is settled by
-// that.
+// read reads what an engine holds. This also resolves an order whose answer was lost.
 func (s *Service) read(name string, e *engine) {
 	s.call(e, upstream.Call{Method: fasthttp.MethodGet}, func(now time.Time, a *upstream.Answer, err error) {
 		if s.engines[name] != e {
@@ -154,26 +151,26 @@
 	})
 }
 
-// stateOf reads an engine's answer. It fails with fault.NotFound when the engine
-// takes no orders, fault.Conflict when it refused an old number, and
-// fault.Unavailable for other answers that are no success.
+// stateOf decodes an engine's answer. It fails with fault.NotFound if the engine does not support
+// orders, with fault.Conflict if it refused an old fencing number, and with fault.Unavailable for other
+// unsuccessful answers.
 func stateOf(a *upstream.Answer, err error) (*core.State, error) {
 	if err != nil {
 		return nil, err
 	}
 	switch {
 	case a.Status == fasthttp.StatusOK, a.Status == fasthttp.StatusConflict:
-	case slices.Contains(noSuchPath, a.Status):
-		return nil, fault.New(fault.NotFound, "the engine takes no orders: it answered %d", a.Status)
+	case slices.Contains(noOrdersStatuses, a.Status):
+		return nil, fault.New(fault.NotFound, "the engine does not support orders: it answered %d", a.Status)
 	default:
 		return nil, fault.New(fault.Unavailable, "the engine answered %d", a.Status)
 	}
 	st := &core.State{}
 	if err := json.Unmarshal(a.Body, st); err != nil {
-		return nil, fault.Wrap(err, fault.Unavailable, "the engine's answer does not decode")
+		return nil, fault.Wrap(err, fault.Unavailable, "cannot decode the engine's answer")
 	}
 	if a.Status == fasthttp.StatusConflict {
-		return st, fault.New(fault.Conflict, "the engine has seen the number %d", st.Fence)
+		return st, fault.New(fault.Conflict, "the engine has seen fencing number %d", st.Fence)
 	}
 	return st, nil
 }
--- a/instance/order/fakes_test.go
+++ b/instance/order/fakes_test.go
@@ -25,14 +25,14 @@
 	"github.com/comfreyladder/comfreyladder/instance/upstream"
 )
 
-// got is one order that took effect at an engine.
-type got struct {
+// receivedOrder is one order that took effect at an engine.
+type receivedOrder struct {
 	Fence  uint64
 	Models []string
 	at     time.Time
 }
 
-// fakeEngine holds at once what it is ordered to hold.
+// fakeEngine holds what it is ordered to hold without delay.
 type fakeEngine struct {
 	name   string
 	checks bool
@@ -42,17 +42,17 @@
 	inc     uint64
 	fence   uint64
 	models  []string
-	orders  []got
+	orders  []receivedOrder
 	refused int
-	// cut takes that many orders and closes the connection without an answer.
-	cut int
-	// held, if set, takes orders and answers none until it is closed.
-	held chan struct{}
-	// loading is what it says that it loads; slow holds up the first read.
+	// dropAnswers is the number of orders that it accepts and then closes the connection without an answer.
+	dropAnswers int
+	// blocked, if set, makes it accept orders and delay the answers until the channel is closed.
+	blocked chan struct{}
+	// loading is the list of models that it reports as loading. slow delays the first read.
 	loading []string
 	slow    time.Duration
-	// none answers as an engine that takes no orders.
-	none bool
+	// noOrders makes it answer like an engine that does not support orders.
+	noOrders bool
 }
 
 // ServeHTTP implements http.Handler.
@@ -63,7 +63,7 @@
 	e.mu.Unlock()
 	time.Sleep(slow)
 	e.mu.Lock()
-	held := e.held
+	held := e.blocked
 	e.mu.Unlock()
 	if held != nil && r.Method == http.MethodPost {
 		defer func() { <-held }()
@@ -73,7 +73,7 @@
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 	status := http.StatusOK
 	switch {
-	case e.none || r.URL.Path != "/v1/orders":
+	case e.noOrders || r.URL.Path != "/v1/orders":
 		status = http.StatusNotFound
 	case r.Method == http.MethodPost:
 		status = e.order(r)
@@ -88,7 +88,7 @@
 }
 
 func (e *fakeEngine) order(r *http.Request) int {
-	var o got
+	var o receivedOrder
 	_ = json.NewDecoder(r.Body).Decode(&o)
 	if e.checks && o.Fence < e.fence {
 		e.refused++
@@ -96,20 +96,20 @@
 	}
 	o.at = time.Now()
 	e.fence, e.models, e.orders = max(e.fence, o.Fence), o.Models, append(e.orders, o)
-	if e.cut > 0 {
-		e.cut--
+	if e.dropAnswers > 0 {
+		e.dropAnswers--
 		return 0
 	}
 	return http.StatusOK
 }
 
-func (e *fakeEngine) taken() []got {
+func (e *fakeEngine) received() []receivedOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.orders)
 }
 
-func (e *fakeEngine) holds() []string {
+func (e *fakeEngine) heldModels() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.models)
@@ -121,8 +121,8 @@
 	f(e)
 }
 
-// place is a failure domain with its engines and a control group, in one process.
-type place struct {
+// testDomain is a failure domain with its engines and a control group, in one process.
+type testDomain struct {
 	*GomegaWithT
 	t       testing.TB
 	engines []*fakeEngine
@@ -136,7 +136,7 @@
 	members []string
 }
 
-// grant is a lease as the control group gave it.
+// grant is a lease as granted by the control group.
 type grant struct {
 	holder string
 	number uint64
@@ -146,8 +146,8 @@
 
 const ttl = 500 * time.Millisecond
 
-func newPlace(t testing.TB, checks ...bool) *place {
-	p := &place{GomegaWithT: NewWithT(t), t: t, group: fence.New(), doc: &intent.Document{
+func newTestDomain(t testing.TB, checks ...bool) *testDomain {
+	p := &testDomain{GomegaWithT: NewWithT(t), t: t, group: fence.New(), doc: &intent.Document{
 		Models:  []intent.Model{{Name: "m", Version: "1", Replicas: len(checks), SizeMB: 1}},
 		Weights: intent.Weights{RateMB: 1000, MaxConcurrentLoads: 100},
 	}}
@@ -164,7 +164,7 @@
 	return p
 }
 
-func (p *place) serve(e *fakeEngine) {
+func (p *testDomain) serve(e *fakeEngine) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	p.Expect(err).NotTo(HaveOccurred())
 	e.ln = ln
@@ -180,7 +180,7 @@
 	})
 }
 
-func (p *place) propose(ctx context.Context, machine string, data []byte) ([]byte, error) {
+func (p *testDomain) propose(ctx context.Context, machine string, data []byte) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.down || ctx.Err() != nil || machine != fence.Name {
@@ -195,31 +195,31 @@
 	return result, nil
 }
 
-func (p *place) given() []grant {
+func (p *testDomain) granted() []grant {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.grants)
 }
 
-func (p *place) setDown(down bool) {
+func (p *testDomain) setDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
 }
 
-func (p *place) setMembers(names ...string) {
+func (p *testDomain) setMembers(names ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.members = names
 }
 
-func (p *place) live() []string {
+func (p *testDomain) live() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.Clone(p.members)
 }
 
-func (p *place) view() *registry.View {
+func (p *testDomain) view() *registry.View {
 	r := registry.New("d")
 	for _, e := range p.engines {
 		e.mu.Lock()
@@ -236,54 +236,54 @@
 	return r.View()
 }
 
-// node is one instance. hold, if set, is called between the instance's last check
-// of its lease and the client's work, as if the process were frozen there.
-type node struct {
+// testInstance is one instance. beforeSend, if set, is called between the last check of the lease and
+// the work of the client, as if the process froze there.
+type testInstance struct {
 	*order.Service
-	client  *upstream.Client
-	mu      sync.Mutex
-	hold    func(upstream.Call)
-	alone   func() []string // its own view of the members
-	newest  bool
-	cutOff  bool // from the control group
-	stopped bool
-	// suspended is for how long the machine was suspended so far.
+	client      *upstream.Client
+	mu          sync.Mutex
+	beforeSend  func(upstream.Call)
+	liveMembers func() []string // its own view of the members
+	newest      bool
+	cutOff      bool // from the control group
+	stopped     bool
+	// suspended is how long the instance was suspended so far.
 	suspended time.Duration
 }
 
-// now is a clock that counts suspensions.
-func (n *node) now() time.Time {
+// now is a clock that includes the time of suspensions.
+func (n *testInstance) now() time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return clock.Now().Add(n.suspended)
 }
 
-func (n *node) Do(ctx context.Context, t upstream.Target, c upstream.Call) (*upstream.Answer, error) {
+func (n *testInstance) Do(ctx context.Context, t upstream.Target, c upstream.Call) (*upstream.Answer, error) {
 	n.mu.Lock()
-	hold := n.hold
+	hold := n.beforeSend
 	n.mu.Unlock()
 	if hold != nil {
 		hold(c)
-		// A context's timer need not have fired yet when a frozen process goes on.
+		// The timer of a context may not have fired yet when a frozen process resumes.
 		ctx = context.WithoutCancel(ctx)
 	}
 	return n.client.Do(ctx, t, c)
 }
 
-func (n *node) set(f func(n *node)) {
+func (n *testInstance) set(f func(n *testInstance)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f(n)
 }
 
-func (p *place) start(name string) *node {
-	n := &node{client: upstream.New(upstream.Config{}), newest: true, alone: p.live}
+func (p *testDomain) start(name string) *testInstance {
+	n := &testInstance{client: upstream.New(upstream.Config{}), newest: true, liveMembers: p.live}
 	n.Service = order.New(order.Config{
 		Domain: "d", Self: name, Client: n, View: p.view, Log: zerolog.Nop(),
 		Members: func() []string {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			return n.alone()
+			return n.liveMembers()
 		},
 		Propose: func(ctx context.Context, machine string, data []byte) ([]byte, error) {
 			n.mu.Lock()
@@ -310,7 +310,7 @@
 	return n
 }
 
-func (p *place) stop(n *node) {
+func (p *testDomain) stop(n *testInstance) {
 	if n.stopped {
 		return
 	}
@@ -319,8 +319,8 @@
 	p.Expect(n.client.Close(context.Background())).To(Succeed())
 }
 
-// confirm puts another version of the model in force at the nodes.
-func (p *place) confirm(version string, nodes ...*node) {
+// confirm puts another version of the model in force at the instances.
+func (p *testDomain) confirm(version string, nodes ...*testInstance) {
 	doc := *p.doc
 	doc.Models = slices.Clone(doc.Models)
 	doc.Models[0].Version = version
@@ -330,10 +330,10 @@
 }
 
 // loaded reports whether all engines hold the version and nothing else.
-func (p *place) loaded(version string) func() bool {
+func (p *testDomain) loaded(version string) func() bool {
 	return func() bool {
 		for _, e := range p.engines {
-			if !slices.Equal(e.holds(), []string{"m@" + version}) {
+			if !slices.Equal(e.heldModels(), []string{"m@" + version}) {
 				return false
 			}
 		}
--- a/instance/order/lease.go
+++ b/instance/order/lease.go
@@ -16,48 +16,47 @@
 	return core.Authority{FenceChecking: ok, FenceIgnoring: ok && s.lease.IsSettled(now)}
 }
 
-func (s *Service) terms() fence.Timing {
+func (s *Service) timing() fence.Timing {
 	return fence.Timing{TTL: s.cfg.TTL, Margin: s.cfg.Margin, MaxEffectDelay: s.cfg.MaxEffectDelay}
 }
 
-// tend renews the lease while there are orders to give, takes it when the first
-// one is due, and gives it up when there were none for a while. One that is not
-// settled yet is kept: the next would have to wait all over again.
-func (s *Service) tend(now time.Time) {
+// maintainLease acquires the lease when an order is due, renews it while orders are due, and releases it
+// when none was due for KeepLease. A lease that is not settled yet is kept: the next one would have to
+// wait for the whole time again.
+func (s *Service) maintainLease(now time.Time) {
 	s.lease.Expire(now)
-	wanted := now.Sub(later(s.active, s.lease.SettledAt)) < s.cfg.KeepLease
+	wanted := now.Sub(later(s.lastDue, s.lease.SettledAt)) < s.cfg.KeepLease
 	switch {
-	case s.asking || now.Before(s.askAt):
+	case s.requestPending || now.Before(s.nextRequestAt):
 	case wanted && (s.lease.Number == 0 || !now.Before(s.lease.RenewAt)):
-		s.ask(s.acquireRequest(now), s.granted)
-	case !wanted && s.lease.Number > 0 && !s.uncertain(now):
-		s.giveUp()
+		s.sendRequest(s.acquireRequest(now), s.handleGrant)
+	case !wanted && s.lease.Number > 0 && !s.orderMayArrive(now):
+		s.releaseLease()
 	}
 }
 
-// resign ends the role when another instance is elected. The lease is given up
-// once nothing is under way any more that was sent under it; else it runs out,
-// and the successor waits.
+// resign ends the role when another instance is elected. The lease is released once no order that was
+// sent under it can be in flight; otherwise it expires, and the successor waits.
 func (s *Service) resign(now time.Time) {
 	s.lease.Expire(now)
-	if s.lease.Number > 0 && !s.asking && !s.uncertain(now) {
-		s.giveUp()
+	if s.lease.Number > 0 && !s.requestPending && !s.orderMayArrive(now) {
+		s.releaseLease()
 	}
-	s.forget()
-	s.active = time.Time{}
+	s.dropEngines()
+	s.lastDue = time.Time{}
 }
 
-// forget drops what the engines said: another issuer may have ordered them since.
-func (s *Service) forget() {
+// dropEngines drops the state of the engines: another issuer may have sent them orders since.
+func (s *Service) dropEngines() {
 	s.engines = map[string]*engine{}
-	s.ready = false
+	s.enginesRead = false
 }
 
-// giveUp stops counting on the lease before it is released.
-func (s *Service) giveUp() {
+// releaseLease releases the lease, and first stops relying on it.
+func (s *Service) releaseLease() {
 	r := s.releaseRequest()
 	s.lease.Drop()
-	s.ask(r, func(time.Time, time.Time, fence.Grant) {})
+	s.sendRequest(r, func(time.Time, time.Time, fence.Grant) {})
 }
 
 func (s *Service) acquireRequest(now time.Time) fence.Request {
@@ -71,24 +70,24 @@
 	return fence.Request{Verb: fence.Release, Subject: s.cfg.Domain, Holder: s.holder}
 }
 
-// ask sends a request to the control group without holding up the loop.
-func (s *Service) ask(r fence.Request, done func(asked, now time.Time, g fence.Grant)) {
-	s.asking = true
-	asked := s.cfg.Now()
+// sendRequest sends a request to the control group without blocking the loop.
+func (s *Service) sendRequest(r fence.Request, done func(asked, now time.Time, g fence.Grant)) {
+	s.requestPending = true
+	requestedAt := s.cfg.Now()
 	s.calls.Go(func() {
 		ctx, cancel := context.WithTimeout(s.ctx, s.cfg.CallTimeout)
 		defer cancel()
 		g, err := s.propose(ctx, r)
 		s.loop.Post(func(now time.Time) {
-			s.asking = false
+			s.requestPending = false
 			if err == nil {
 				err = g.Err()
 			}
 			if err != nil {
-				s.refused(now, r, err)
+				s.handleRefusal(now, r, err)
 				return
 			}
-			done(asked, now, g)
+			done(requestedAt, now, g)
 		})
 	})
 }
@@ -105,27 +104,27 @@
 	return g, control.Unmarshal(result, &g)
 }
 
-// refused waits a little before the next try. Another holder ends what is left of
-// the own lease: this instance was taken for dead.
-func (s *Service) refused(now time.Time, r fence.Request, err error) {
-	s.askAt = now.Add(s.cfg.TTL / 12)
+// handleRefusal delays the next request. If another instance holds the lease, the rest of the local
+// lease is dropped: this instance was assumed to have failed.
+func (s *Service) handleRefusal(now time.Time, r fence.Request, err error) {
+	s.nextRequestAt = now.Add(s.cfg.TTL / 12)
 	if fault.CodeOf(err) == fault.Conflict && r.Verb == fence.Acquire {
 		s.lease.Drop()
 	}
-	s.cfg.Log.Debug().Err(err).Str("verb", string(r.Verb)).Msg("lease for orders not given")
+	s.cfg.Log.Debug().Err(err).Str("verb", string(r.Verb)).Msg("lease for orders not granted")
 }
 
-// granted takes a lease or its renewal. Orders of an earlier issuer may be under way at
-// the beginning of a term for as long as that one counted on its lease and their flight
-// takes; engines that check the number refuse them, the others are left alone until then.
-func (s *Service) granted(asked, now time.Time, g fence.Grant) {
-	begun, alone := s.lease.Update(asked, now, &g, s.terms())
-	if !begun {
+// handleGrant applies a new lease or a renewal. At the start of a term, orders of the previous issuer
+// may be in flight for as long as it relied on its lease plus the effect delay. Engines that check the
+// fencing number refuse them; the others get no orders until then.
+func (s *Service) handleGrant(requestedAt, now time.Time, g fence.Grant) {
+	newNumber, uninterrupted := s.lease.Update(requestedAt, now, &g, s.timing())
+	if !newNumber {
 		return
 	}
-	if !alone {
+	if !uninterrupted {
 		s.domain.Begin(now, g.Lease.Number == 1)
-		s.forget()
+		s.dropEngines()
 	}
-	s.cfg.Log.Info().Uint64("fence", s.lease.Number).Dur("wait", s.lease.SettledAt.Sub(now)).Msg("this instance orders the domain's engines")
+	s.cfg.Log.Info().Uint64("fence", s.lease.Number).Dur("wait", s.lease.SettledAt.Sub(now)).Msg("acquired the lease for orders")
 }
--- a/instance/order/order.go
+++ b/instance/order/order.go
@@ -1,23 +1,22 @@
-// Package order gives the engines of a failure domain their orders. One instance,
-// elected by rendezvous hash over the live ones, decides by core/order and sends.
-// It holds the domain's lease, with a fencing number, from the control group.
+// Package order sends orders to the engines of a failure domain. One instance, elected by rendezvous
+// hash over the live ones, decides with core/order and sends. It holds the lease of the domain, with a
+// fencing number, from the control group.
 //
-// Two issuers at a time are kept apart thus. Engines that check the number refuse
-// an order of an earlier issuer. For the others, a new issuer waits until the
-// lease before is over by anybody's clock, and the longest flight of an order on
-// top. Each order is bound to its lease: it is checked right before it is sent,
-// and the connection delivers nothing after the lease (upstream.Call.NotAfter).
+// Two concurrent issuers are kept apart as follows. Engines that check the fencing number refuse orders
+// of an earlier issuer. For the others, a new issuer waits until the previous lease has ended by every
+// clock, plus the longest effect delay of an order. Each order is bound to its lease: the lease is
+// checked right before the order is sent, and the connection delivers nothing after the lease
+// (upstream.Call.NotAfter).
 //
-// What stays open, for engines that ignore the number alone: a process that is
-// frozen in the moment between the last look at the clock and the system call
-// that hands the bytes to the kernel, for longer than the rest of its lease and
-// the successor's wait; and an engine that is itself frozen with an order in its
-// socket. Both let an old order arrive late. It states a whole wanted end and not
-// a step, so that the harm is what it loads or unloads until the issuer reads the
-// engine back, which it does every few seconds, and orders it anew.
+// Two cases remain for engines that ignore the fencing number: a process that freezes between the last
+// check of the clock and the system call that hands the bytes to the kernel, for longer than the rest of
+// its lease and the wait of the successor; and an engine that itself freezes with an order in its
+// socket. Both let an old order arrive late. As an order states the complete target state and not a
+// step, the damage is limited to what it loads or unloads until the issuer reads the engine, which it
+// does every few seconds, and sends it a new order.
 //
-// If the control group cannot be reached, the lease runs out and nobody orders;
-// engines go on to serve what they hold.
+// If the control group cannot be reached, the lease expires and no orders are sent; engines continue to
+// serve what they hold.
 package order
 
 import (
@@ -38,26 +37,25 @@
 	"github.com/comfreyladder/comfreyladder/instance/upstream"
 )
 
-// Defaults of Config. They are reasoned, not measured.
+// Defaults of Config.
 const (
 	DefaultTick = 500 * time.Millisecond
-	// DefaultTTL bounds how long a dead issuer holds up the next. A renewal is one
-	// entry of the control log for each domain that has orders to give.
+	// DefaultTTL bounds how long a failed issuer delays the next one. A renewal is one entry in the control
+	// log for each domain with orders to send.
 	DefaultTTL = 12 * time.Second
-	// DefaultMargin covers the difference in rate of two clocks over a lease, many
-	// times.
+	// DefaultMargin covers the difference in rate of two clocks over a lease many times over.
 	DefaultMargin = time.Second
-	// DefaultMaxEffectDelay is the longest time that an engine may take to act on an order
-	// whose bytes it has; the bytes themselves are bound to the lease.
+	// DefaultMaxEffectDelay is the longest time in which an engine may act on an order whose bytes it has
+	// received; the bytes themselves are bound to the lease.
 	DefaultMaxEffectDelay = 5 * time.Second
-	// DefaultReadInterval is how soon it is found that an engine does not hold what
-	// it was ordered to; DefaultReadLoading how soon that a load has ended.
+	// DefaultReadInterval bounds the time until it is noticed that an engine does not hold what it was
+	// ordered to hold, and DefaultLoadingReadInterval the time until it is noticed that a load has ended.
 	DefaultReadInterval        = 10 * time.Second
 	DefaultLoadingReadInterval = time.Second
 	// DefaultCallTimeout bounds one call to an engine or to the control group.
 	DefaultCallTimeout = 3 * time.Second
-	// DefaultKeepLease is how long a lease is renewed after the last order, so that a
-	// domain at rest costs the control group nothing.
+	// DefaultKeepLease is how long a lease is renewed after the last order. After that, a domain without
+	// orders costs the control group nothing.
 	DefaultKeepLease = 30 * time.Second
 )
 
@@ -66,24 +64,23 @@
 	Do(ctx context.Context, t upstream.Target, call upstream.Call) (*upstream.Answer, error)
 }
 
-// Config of a Service. Durations that are zero mean the defaults.
+// Config holds the settings of a Service. Zero durations take the defaults.
 type Config struct {
-	// Domain is the failure domain, Self this instance's name.
+	// Domain is the failure domain, Self the name of this instance.
 	Domain, Self string
-	// Members returns the domain's instances that are alive and not draining,
-	// this one included unless it drains.
+	// Members returns the instances of the domain that are alive and not draining, including this one
+	// unless it drains.
 	Members func() []string
-	// Propose has a command carried out by the control group.
+	// Propose proposes a command to the control group.
 	Propose func(ctx context.Context, machine string, data []byte) ([]byte, error)
 	Client  Client
 	View    func() *registry.View
-	// Newest reports whether the intent in force here is known to be the newest.
-	// An instance that lags must not order engines back to an older intent.
+	// Newest reports whether the local intent is known to be the newest. An instance with an old intent must
+	// not order engines back to it.
 	Newest func() bool
 	Log    zerolog.Logger
 	Plan   core.Config
-	// Now is the clock that leases are counted by; nil means clock.Now. It must go on
-	// while the machine is suspended.
+	// Now is the clock of the lease; nil means clock.Now. It must advance while the instance is suspended.
 	Now func() time.Time
 
 	Tick, TTL, Margin, MaxEffectDelay time.Duration
@@ -105,14 +102,14 @@
 	}
 }
 
-// Status tells how the domain's engines stand, as this instance knows it.
+// Status is the state of the engines of the domain as known to this instance.
 type Status struct {
-	// Issuer is the elected instance. Only its own Status tells the rest.
+	// Issuer is the elected instance. The other fields are set only in the issuer's own Status.
 	Issuer string
-	// Fence is the number of the lease, 0 without one; Until is its end.
+	// Fence is the fencing number of the lease, 0 without one. Until is its end.
 	Fence uint64
 	Until time.Time
-	// SettledAt is when engines that ignore the number may be ordered.
+	// SettledAt is when engines that ignore the fencing number may be ordered.
 	SettledAt time.Time
 	Models    []core.ModelStatus
 	Engines   []core.EngineStatus
@@ -120,7 +117,7 @@
 
 const inboxSize = 256
 
-// Service is one instance's part in ordering its domain's engines.
+// Service orders the engines of the domain on one instance.
 type Service struct {
 	cfg     Config
 	holder  string
@@ -131,26 +128,26 @@
 	status  atomic.Pointer[Status]
 	started atomic.Bool
 
-	// What follows is owned by the loop.
-	domain  *core.Domain
-	doc     *intent.Document
-	lease   fence.HeldLease
-	asking  bool
-	askAt   time.Time
-	active  time.Time // when an order was due last
-	engines map[string]*engine
-	// ready says that each engine was tried to be read in this term: before that,
-	// models would be loaded that engines hold.
-	ready   bool
-	calling int // calls to engines under way
-	flying  int // orders among them
-	// late is until when an order without an answer may still arrive.
-	late   time.Time
-	serial uint64
+	// The fields below are owned by the loop.
+	domain         *core.Domain
+	doc            *intent.Document
+	lease          fence.HeldLease
+	requestPending bool
+	nextRequestAt  time.Time
+	lastDue        time.Time // when an order was due last
+	engines        map[string]*engine
+	// enginesRead reports whether a read of each engine was attempted in this term. Before that, models
+	// would be loaded that engines already hold.
+	enginesRead    bool
+	callsInFlight  int // calls to engines
+	ordersInFlight int // orders among them
+	// uncertainUntil is the time until which an order without an answer may still arrive.
+	uncertainUntil time.Time
+	serial         uint64
 }
 
-// New returns a service that is not started. start names this start of the
-// process: a process that was restarted does not know what it has under way.
+// New returns a service that is not started. start identifies this start of the process: a restarted
+// process does not know which orders are in flight.
 func New(cfg Config, start string) *Service {
 	cfg.fill()
 	s := &Service{
@@ -162,15 +159,14 @@
 	return s
 }
 
-// Start runs the service's goroutine.
+// Start starts the service's goroutine.
 func (s *Service) Start(context.Context) error {
 	s.started.Store(true)
 	go s.loop.Run(s.ctx, s.cfg.Tick, s.tick)
 	return nil
 }
 
-// Stop ends all work and gives the lease up, if nothing is under way; else the
-// lease runs out.
+// Stop ends all work and releases the lease if no order is in flight; otherwise the lease expires.
 func (s *Service) Stop(ctx context.Context) error {
 	if !s.started.Load() {
 		return nil
@@ -178,8 +174,8 @@
 	s.cancel()
 	<-s.loop.Ended()
 	s.calls.Wait()
-	// A request that was under way may have taken the lease, or not given it up.
-	if (s.lease.Number > 0 || s.asking) && !s.uncertain(s.cfg.Now()) {
+	// A request that was in flight may have acquired the lease, or failed to release it.
+	if (s.lease.Number > 0 || s.requestPending) && !s.orderMayArrive(s.cfg.Now()) {
 		bounded, cancel := context.WithTimeout(ctx, s.cfg.CallTimeout)
 		defer cancel()
 		_, _ = s.propose(bounded, s.releaseRequest())
@@ -187,7 +183,7 @@
 	return nil
 }
 
-// SetIntent puts a document in force.
+// SetIntent puts an intent document in force.
 func (s *Service) SetIntent(doc *intent.Document) {
 	s.loop.Post(func(time.Time) {
 		s.doc = doc
@@ -198,7 +194,7 @@
 // Status returns the latest status.
 func (s *Service) Status() Status { return *s.status.Load() }
 
-// tick does what time and the present state demand.
+// tick evaluates the state and sends the orders that are due.
 func (s *Service) tick(now time.Time) {
 	st := Status{Issuer: elect(s.cfg.Members())}
 	defer func() { s.status.Store(&st) }()
@@ -209,15 +205,15 @@
 	if s.doc == nil || !s.cfg.Newest() {
 		return
 	}
-	engines := s.look(now)
+	engines := s.observeEngines(now)
 	var d core.Decision
-	if s.ready {
+	if s.enginesRead {
 		d = s.domain.Step(now, engines, s.authority(now))
 	}
 	if d.Pending || len(d.Orders) > 0 {
-		s.active = now
+		s.lastDue = now
 	}
-	s.tend(now)
+	s.maintainLease(now)
 	for _, o := range d.Orders {
 		s.send(now, o)
 	}
--- a/instance/order/send.go
+++ b/instance/order/send.go
@@ -12,15 +12,15 @@
 	"github.com/comfreyladder/comfreyladder/instance/upstream"
 )
 
-// message is the published body of POST /v1/orders.
+// message is the body of POST /v1/orders, which is a published format.
 type message struct {
 	Fence  uint64   `json:"fence"`
 	Models []string `json:"models"`
 	Role   string   `json:"role,omitempty"`
 }
 
-// send gives an engine its order, under the lease as it is now. The time is looked
-// at anew: the decision took some.
+// send sends an order to an engine under the current lease. It reads the clock again because the
+// decision took time.
 func (s *Service) send(now time.Time, o core.Order) {
 	e := s.engines[o.Engine]
 	if e == nil || e.busy || !s.lease.Valid(s.cfg.Now()) {
@@ -38,33 +38,33 @@
 		NotAfter: l.Until,
 	}
 	s.cfg.Log.Info().Str("engine", o.Engine).Uint64("fence", l.Number).Strs("models", o.Models).Int("cost_mb", o.CostMB).Msg("order")
-	s.flying++
+	s.ordersInFlight++
 	s.call(e, c, func(now time.Time, a *upstream.Answer, err error) {
-		s.flying--
+		s.ordersInFlight--
 		st, err := stateOf(a, err)
 		if err == nil {
-			s.followed(o, e, st)
+			s.handleSuccess(o, e, st)
 			return
 		}
-		s.cfg.Log.Warn().Err(err).Str("engine", o.Engine).Uint64("fence", l.Number).Msg("order not answered with success")
-		s.notFollowed(now, o, e, l, st, a, err)
+		s.cfg.Log.Warn().Err(err).Str("engine", o.Engine).Uint64("fence", l.Number).Msg("order failed")
+		s.handleFailure(now, o, e, l, st, a, err)
 	})
 }
 
-func (s *Service) followed(o core.Order, e *engine, st *core.State) {
+func (s *Service) handleSuccess(o core.Order, e *engine, st *core.State) {
 	if s.engines[o.Engine] == e {
 		e.state, e.failures = st, 0
 		s.domain.Answered(o.Engine)
 	}
 }
 
-// notFollowed takes in an order that failed. When it may have arrived, or may still
-// arrive until the end of its lease, it counts as under way until the engine has
-// been read, and the lease is not given up before it is over.
-func (s *Service) notFollowed(now time.Time, o core.Order, e *engine, l fence.HeldLease, st *core.State, a *upstream.Answer, err error) {
+// handleFailure handles an order that failed. If the order may have arrived, or may still arrive before
+// the end of its lease, it counts as in flight until the engine has been read, and the lease is not
+// released before that time is over.
+func (s *Service) handleFailure(now time.Time, o core.Order, e *engine, l fence.HeldLease, st *core.State, a *upstream.Answer, err error) {
 	known := a != nil && a.Status < fasthttp.StatusInternalServerError
 	if !known && upstream.EvidenceOf(err) == upstream.Unknown {
-		s.late = later(s.late, l.Until.Add(s.cfg.MaxEffectDelay))
+		s.uncertainUntil = later(s.uncertainUntil, l.Until.Add(s.cfg.MaxEffectDelay))
 		e.failures++ // is read again soon
 		return
 	}
@@ -81,21 +81,23 @@
 	s.domain.NotSent(now, o.Engine)
 }
 
-// superseded ends the lease under which an engine refused an order: it has seen a
-// greater number. The next lease has a greater one than this.
+// superseded ends the lease under which an engine refused an order because it has seen a greater fencing
+// number. The next lease has a greater number than this one.
 func (s *Service) superseded(now time.Time, l fence.HeldLease) {
 	switch {
 	case s.lease.Number != l.Number:
-	case s.uncertain(now) || s.asking:
+	case s.orderMayArrive(now) || s.requestPending:
 		s.lease.Drop()
-		s.askAt = l.Until.Add(s.cfg.Margin)
+		s.nextRequestAt = l.Until.Add(s.cfg.Margin)
 	default:
-		s.giveUp()
+		s.releaseLease()
 	}
 }
 
-// uncertain reports whether an order may be under way.
-func (s *Service) uncertain(now time.Time) bool { return s.flying > 0 || now.Before(s.late) }
+// orderMayArrive reports whether an order may be in flight.
+func (s *Service) orderMayArrive(now time.Time) bool {
+	return s.ordersInFlight > 0 || now.Before(s.uncertainUntil)
+}
 
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
