--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -15,8 +15,8 @@
 	"github.com/comfreyladder/comfreyladder/instance/eventlog"
 )
 
-// ChannelRights carries a Question to a member of the control group, and an Answer.
-const ChannelRights = "ratelimit.rights"
+// ChannelTokens carries a Question to a member of the control group, and an Answer.
+const ChannelTokens = "ratelimit.rights"
 
 // Question asks for the right to send requests to upstreams.
 type Question struct {
@@ -228,7 +228,7 @@
 	if members := c.cfg.Members(); len(members) > 0 {
 		ctx, cancel := context.WithTimeout(ctx, askTimeout)
 		defer cancel()
-		err = c.cfg.Links.Call(ctx, members[0], ChannelRights, &Question{Wants: wants}, &a)
+		err = c.cfg.Links.Call(ctx, members[0], ChannelTokens, &Question{Wants: wants}, &a)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/instance/ratelimit/service.go
+++ b/instance/ratelimit/service.go
@@ -57,7 +57,7 @@
 // New returns a service; it registers its channel.
 func New(cfg Config) *Service {
 	s := &Service{cfg: cfg}
-	cfg.Links.Handle(ChannelRights, s.answer)
+	cfg.Links.Handle(ChannelTokens, s.answer)
 	return s
 }
 
@@ -88,7 +88,7 @@
 	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
 	var a Answer
-	return &a, s.cfg.Links.Call(ctx, st.Members[leader].Name, ChannelRights, &q, &a)
+	return &a, s.cfg.Links.Call(ctx, st.Members[leader].Name, ChannelTokens, &q, &a)
 }
 
 var errNoLeader = fault.New(fault.Unavailable, "the control group has no leader that is known here").WithRetryAfter(time.Second)
--- a/instance/ratelimit/service_test.go
+++ b/instance/ratelimit/service_test.go
@@ -104,7 +104,7 @@
 	defer cancel()
 	var a ratelimit.Answer
 	q := ratelimit.Question{Wants: []core.Demand{{Upstream: upstream, Count: count}}}
-	err := g.nodes[name].links.Call(ctx, name, ratelimit.ChannelRights, &q, &a)
+	err := g.nodes[name].links.Call(ctx, name, ratelimit.ChannelTokens, &q, &a)
 	n := 0
 	for _, x := range a.Grants {
 		n += x.Count
