--- a/instance/ratelimit/client_test.go
+++ b/instance/ratelimit/client_test.go
@@ -31,7 +31,7 @@
 	if m.down {
 		return fault.New(fault.Unavailable, "down")
 	}
-	for _, w := range req.(*ratelimit.Question).Wants {
+	for _, w := range req.(*ratelimit.Request).Wants {
 		m.asked = append(m.asked, w)
 		resp.(*ratelimit.Answer).Grants = append(resp.(*ratelimit.Answer).Grants, core.Grant{Upstream: w.Upstream, Count: 1})
 	}
--- a/instance/ratelimit/service.go
+++ b/instance/ratelimit/service.go
@@ -68,7 +68,7 @@
 func (s *Service) Stop(context.Context) error { return nil }
 
 func (s *Service) answer(ctx context.Context, _ string, msg link.Message) (any, error) {
-	var q Question
+	var q Request
 	if err := msg.Decode(&q); err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 var errNoLeader = fault.New(fault.Unavailable, "the control group has no leader that is known here").WithRetryAfter(time.Second)
 
 // serve holds a question until it gets a first right, or for holdFor.
-func (s *Service) serve(ctx context.Context, st *consensus.Status, q *Question) *Answer {
+func (s *Service) serve(ctx context.Context, st *consensus.Status, q *Request) *Answer {
 	a := &ratelimit.TokenRequest{Demands: q.Wants}
 	s.enter(st, a)
 	until := clock.Now().Add(holdFor)
