--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -25,8 +25,8 @@
 	Forwarded bool `codec:"f,omitempty"`
 }
 
-// Answer is what was granted.
-type Answer struct {
+// Response is what was granted.
+type Response struct {
 	Grants []ratelimit.Grant `codec:"g,omitempty"`
 }
 
@@ -223,7 +223,7 @@
 		return
 	}
 	asked := clock.Now()
-	var a Answer
+	var a Response
 	err := errNoMember
 	if members := c.cfg.Members(); len(members) > 0 {
 		ctx, cancel := context.WithTimeout(ctx, askTimeout)
--- a/instance/ratelimit/client_test.go
+++ b/instance/ratelimit/client_test.go
@@ -33,7 +33,7 @@
 	}
 	for _, w := range req.(*ratelimit.Request).Wants {
 		m.asked = append(m.asked, w)
-		resp.(*ratelimit.Answer).Grants = append(resp.(*ratelimit.Answer).Grants, core.Grant{Upstream: w.Upstream, Count: 1})
+		resp.(*ratelimit.Response).Grants = append(resp.(*ratelimit.Response).Grants, core.Grant{Upstream: w.Upstream, Count: 1})
 	}
 	return nil
 }
--- a/instance/ratelimit/service.go
+++ b/instance/ratelimit/service.go
@@ -87,14 +87,14 @@
 	q.Forwarded = true
 	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
-	var a Answer
+	var a Response
 	return &a, s.cfg.Links.Call(ctx, st.Members[leader].Name, ChannelTokens, &q, &a)
 }
 
 var errNoLeader = fault.New(fault.Unavailable, "the control group has no leader that is known here").WithRetryAfter(time.Second)
 
 // serve holds a question until it gets a first right, or for holdFor.
-func (s *Service) serve(ctx context.Context, st *consensus.Status, q *Request) *Answer {
+func (s *Service) serve(ctx context.Context, st *consensus.Status, q *Request) *Response {
 	a := &ratelimit.TokenRequest{Demands: q.Wants}
 	s.enter(st, a)
 	until := clock.Now().Add(holdFor)
@@ -104,7 +104,7 @@
 			break
 		}
 	}
-	return &Answer{Grants: a.Grants}
+	return &Response{Grants: a.Grants}
 }
 
 // enter puts a question among those that wait. What a leader before this one handed out may
