--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -20,7 +20,7 @@
 
 // Request asks for the right to send requests to upstreams.
 type Request struct {
-	Wants []ratelimit.Demand `codec:"w"`
+	Demands []ratelimit.Demand `codec:"w"`
 	// Forwarded says that a member asks the leader.
 	Forwarded bool `codec:"f,omitempty"`
 }
@@ -228,7 +228,7 @@
 	if members := c.cfg.Members(); len(members) > 0 {
 		ctx, cancel := context.WithTimeout(ctx, askTimeout)
 		defer cancel()
-		err = c.cfg.Links.Call(ctx, members[0], ChannelTokens, &Request{Wants: wants}, &a)
+		err = c.cfg.Links.Call(ctx, members[0], ChannelTokens, &Request{Demands: wants}, &a)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/instance/ratelimit/client_test.go
+++ b/instance/ratelimit/client_test.go
@@ -31,7 +31,7 @@
 	if m.down {
 		return fault.New(fault.Unavailable, "down")
 	}
-	for _, w := range req.(*ratelimit.Request).Wants {
+	for _, w := range req.(*ratelimit.Request).Demands {
 		m.asked = append(m.asked, w)
 		resp.(*ratelimit.Response).Grants = append(resp.(*ratelimit.Response).Grants, core.Grant{Upstream: w.Upstream, Count: 1})
 	}
--- a/instance/ratelimit/service.go
+++ b/instance/ratelimit/service.go
@@ -95,7 +95,7 @@
 
 // serve holds a question until it gets a first right, or for holdFor.
 func (s *Service) serve(ctx context.Context, st *consensus.Status, q *Request) *Response {
-	a := &ratelimit.TokenRequest{Demands: q.Wants}
+	a := &ratelimit.TokenRequest{Demands: q.Demands}
 	s.enter(st, a)
 	until := clock.Now().Add(holdFor)
 	for !s.handOut(a, !clock.Now().Before(until)) {
--- a/instance/ratelimit/service_test.go
+++ b/instance/ratelimit/service_test.go
@@ -103,7 +103,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
 	var a ratelimit.Response
-	q := ratelimit.Request{Wants: []core.Demand{{Upstream: upstream, Count: count}}}
+	q := ratelimit.Request{Demands: []core.Demand{{Upstream: upstream, Count: count}}}
 	err := g.nodes[name].links.Call(ctx, name, ratelimit.ChannelTokens, &q, &a)
 	n := 0
 	for _, x := range a.Grants {
