--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -42,9 +42,9 @@
 	Members func() []string
 	// Forwarders returns how many instances forward requests.
 	Forwarders func() int
-	// There reports whether an upstream is still known.
-	There func(upstream uint64) bool
-	Log   *eventlog.Sink
+	// UpstreamExists reports whether an upstream is still known.
+	UpstreamExists func(upstream uint64) bool
+	Log            *eventlog.Sink
 }
 
 const (
@@ -210,7 +210,7 @@
 func (c *Client) forget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.book.Prune(clock.Now(), c.cfg.There)
+	c.book.Prune(clock.Now(), c.cfg.UpstreamExists)
 	c.known.Store(!c.book.Empty())
 }
 
--- a/instance/ratelimit/client_test.go
+++ b/instance/ratelimit/client_test.go
@@ -47,7 +47,7 @@
 func client(t *testing.T, m *members, forwarders int) *ratelimit.Client {
 	RegisterTestingT(t)
 	c := ratelimit.NewClient(ratelimit.ClientConfig{
-		Links: m, Members: func() []string { return []string{"m"} }, Forwarders: func() int { return forwarders }, There: func(uint64) bool { return true },
+		Links: m, Members: func() []string { return []string{"m"} }, Forwarders: func() int { return forwarders }, UpstreamExists: func(uint64) bool { return true },
 	})
 	Expect(c.Start(context.Background())).To(Succeed())
 	t.Cleanup(func() { _ = c.Stop(context.Background()) })
--- a/instance/roles/edge.go
+++ b/instance/roles/edge.go
@@ -61,7 +61,7 @@
 			return nil, err
 		}
 		return ratelimit.NewClient(ratelimit.ClientConfig{
-			Links: links, Members: state.Members, Forwarders: func() int { return state.View().Forwarders }, There: func(upstream uint64) bool { return state.View().Knows(upstream) }, Log: p.events,
+			Links: links, Members: state.Members, Forwarders: func() int { return state.View().Forwarders }, UpstreamExists: func(upstream uint64) bool { return state.View().Knows(upstream) }, Log: p.events,
 		}), nil
 	}}
 }
