--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -100,9 +100,9 @@
 	return nil
 }
 
-// Heard notes what an answer of an upstream said of its limit, zero for none, to a request that
+// RecordLimit notes what an answer of an upstream said of its limit, zero for none, to a request that
 // was sent and answered at two times of clock.Now. name is the upstream's in logs.
-func (c *Client) Heard(upstream uint64, name string, perSecond float64, sent, heard time.Time) {
+func (c *Client) RecordLimit(upstream uint64, name string, perSecond float64, sent, heard time.Time) {
 	if perSecond <= 0 && !c.known.Load() {
 		return
 	}
--- a/instance/ratelimit/client_test.go
+++ b/instance/ratelimit/client_test.go
@@ -60,7 +60,7 @@
 }
 
 func hear(c *ratelimit.Client, perSecond float64) {
-	c.Heard(upstream, "u", perSecond, clock.Now(), clock.Now())
+	c.RecordLimit(upstream, "u", perSecond, clock.Now(), clock.Now())
 }
 
 // Guards against messages on days on which no upstream names a limit.
--- a/instance/relay/limit.go
+++ b/instance/relay/limit.go
@@ -13,9 +13,9 @@
 // Limits are the limits that upstreams name, and the rights of this instance to send requests
 // to them.
 type Limits interface {
-	// Heard notes what an answer of an upstream said of its limit, zero for none, to a request
+	// RecordLimit notes what an answer of an upstream said of its limit, zero for none, to a request
 	// that was sent and answered at two times of clock.Now. name is the upstream's in logs.
-	Heard(upstream uint64, name string, perSecond float64, sent, heard time.Time)
+	RecordLimit(upstream uint64, name string, perSecond float64, sent, heard time.Time)
 	// Known reports whether any upstream names a limit, Limit returns that of one.
 	Known() bool
 	Limit(upstream uint64) (perSecond float64, limited bool)
@@ -48,7 +48,7 @@
 		}
 		perSecond = max(leastLimit, n)
 	}
-	a.s.cfg.Limits.Heard(a.up.begun, a.up.id, perSecond, a.sent, clock.Now())
+	a.s.cfg.Limits.RecordLimit(a.up.begun, a.up.id, perSecond, a.sent, clock.Now())
 }
 
 const (
--- a/instance/relay/limit_test.go
+++ b/instance/relay/limit_test.go
@@ -26,7 +26,7 @@
 	told     []ratelimit.Statement
 }
 
-func (l *fakeLimits) Heard(_ uint64, _ string, perSecond float64, sent, heard time.Time) {
+func (l *fakeLimits) RecordLimit(_ uint64, _ string, perSecond float64, sent, heard time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !heard.Before(sent) {
