--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -136,8 +136,8 @@
 	c.known.Store(!c.book.Empty())
 }
 
-// Known reports whether any upstream names a limit.
-func (c *Client) Known() bool { return c.known.Load() }
+// HasLimits reports whether any upstream names a limit.
+func (c *Client) HasLimits() bool { return c.known.Load() }
 
 // Limit returns the limit that an upstream names, if it does.
 func (c *Client) Limit(upstream uint64) (perSecond float64, limited bool) {
--- a/instance/ratelimit/client_test.go
+++ b/instance/ratelimit/client_test.go
@@ -69,7 +69,7 @@
 	c := client(t, m, 1)
 	hear(c, 0)
 	c.Take(nil)
-	Expect(c.Known()).To(BeFalse())
+	Expect(c.HasLimits()).To(BeFalse())
 	Expect(c.Statements()).To(BeNil())
 	Consistently(m.count, 200*time.Millisecond).Should(BeZero())
 }
--- a/instance/relay/limit.go
+++ b/instance/relay/limit.go
@@ -16,8 +16,8 @@
 	// RecordLimit notes what an answer of an upstream said of its limit, zero for none, to a request
 	// that was sent and answered at two times of clock.Now. name is the upstream's in logs.
 	RecordLimit(upstream uint64, name string, perSecond float64, sent, heard time.Time)
-	// Known reports whether any upstream names a limit, Limit returns that of one.
-	Known() bool
+	// HasLimits reports whether any upstream names a limit, Limit returns that of one.
+	HasLimits() bool
 	Limit(upstream uint64) (perSecond float64, limited bool)
 	// Has reports whether a request may be sent to a limited upstream, Spend uses that right
 	// and Return gives it back. Want asks for one.
@@ -60,7 +60,7 @@
 )
 
 // limiting reports whether any upstream names a limit.
-func (f *fleet) limiting() bool { return f.limits != nil && f.limits.Known() }
+func (f *fleet) limiting() bool { return f.limits != nil && f.limits.HasLimits() }
 
 // pick chooses among the described upstreams. One that names a limit is passed over as long as
 // there is no right to send a request there; it is asked for if it would have been chosen. It
--- a/instance/relay/limit_test.go
+++ b/instance/relay/limit_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func (l *fakeLimits) Known() bool {
+func (l *fakeLimits) HasLimits() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.limits) > 0
