--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -149,8 +149,8 @@
 	return c.book.Limit(upstream)
 }
 
-// Has reports whether this instance may send a request to a limited upstream now.
-func (c *Client) Has(upstream uint64) bool {
+// Available reports whether this instance may send a request to a limited upstream now.
+func (c *Client) Available(upstream uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.wallet.Available(clock.Now(), upstream)
--- a/instance/ratelimit/client_test.go
+++ b/instance/ratelimit/client_test.go
@@ -82,14 +82,14 @@
 	Expect(limitOf(c)).To(Equal(2.0))
 	Expect(c.Spend(upstream, 3)).To(BeFalse())
 	c.Want(upstream, 3)
-	Eventually(func() bool { return c.Has(upstream) }, time.Second, time.Millisecond).Should(BeTrue())
+	Eventually(func() bool { return c.Available(upstream) }, time.Second, time.Millisecond).Should(BeTrue())
 	Expect(m.asked).To(Equal([]core.Demand{{Upstream: upstream, Count: 1, Urgency: 3}}))
 	Expect(c.Spend(upstream, 3)).To(BeTrue())
 	Expect(c.Spend(upstream, 3)).To(BeFalse())
-	Eventually(func() bool { return c.Has(upstream) }, time.Second, time.Millisecond).Should(BeTrue(), "the next one was asked for")
+	Eventually(func() bool { return c.Available(upstream) }, time.Second, time.Millisecond).Should(BeTrue(), "the next one was asked for")
 	Expect(c.Spend(upstream, 3)).To(BeTrue())
 	c.Return(upstream)
-	Expect(c.Has(upstream)).To(BeTrue())
+	Expect(c.Available(upstream)).To(BeTrue())
 }
 
 // Guards against an instance that asks for each request by itself.
--- a/instance/relay/limit.go
+++ b/instance/relay/limit.go
@@ -19,9 +19,9 @@
 	// HasLimits reports whether any upstream names a limit, Limit returns that of one.
 	HasLimits() bool
 	Limit(upstream uint64) (perSecond float64, limited bool)
-	// Has reports whether a request may be sent to a limited upstream, Spend uses that right
+	// Available reports whether a request may be sent to a limited upstream, Spend uses that right
 	// and Return gives it back. Want asks for one.
-	Has(upstream uint64) bool
+	Available(upstream uint64) bool
 	Spend(upstream uint64, urgency int) bool
 	Return(upstream uint64)
 	Want(upstream uint64, urgency int)
@@ -86,7 +86,7 @@
 // the most urgent ones that wait.
 func (f *fleet) closed(r *request, u *upstream) bool {
 	_, limited := f.limits.Limit(u.begun)
-	return limited && (!f.limits.Has(u.begun) || f.moreUrgentWaits(r))
+	return limited && (!f.limits.Available(u.begun) || f.moreUrgentWaits(r))
 }
 
 func (f *fleet) want(r *request, u *upstream) {
--- a/instance/relay/limit_test.go
+++ b/instance/relay/limit_test.go
@@ -47,7 +47,7 @@
 	return perSecond, limited
 }
 
-func (l *fakeLimits) Has(upstream uint64) bool {
+func (l *fakeLimits) Available(upstream uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rights[upstream] > 0
