--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -156,9 +156,9 @@
 	return c.wallet.Available(clock.Now(), upstream)
 }
 
-// Spend uses the right to send a request to a limited upstream, and reports whether there was
+// Use uses the right to send a request to a limited upstream, and reports whether there was
 // one. It asks for another: what comes next would mostly go there as well.
-func (c *Client) Spend(upstream uint64, urgency int) bool {
+func (c *Client) Use(upstream uint64, urgency int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.wallet.Use(clock.Now(), upstream) {
--- a/instance/ratelimit/client_test.go
+++ b/instance/ratelimit/client_test.go
@@ -80,14 +80,14 @@
 	c := client(t, m, 1)
 	hear(c, 2)
 	Expect(limitOf(c)).To(Equal(2.0))
-	Expect(c.Spend(upstream, 3)).To(BeFalse())
+	Expect(c.Use(upstream, 3)).To(BeFalse())
 	c.Want(upstream, 3)
 	Eventually(func() bool { return c.Available(upstream) }, time.Second, time.Millisecond).Should(BeTrue())
 	Expect(m.asked).To(Equal([]core.Demand{{Upstream: upstream, Count: 1, Urgency: 3}}))
-	Expect(c.Spend(upstream, 3)).To(BeTrue())
-	Expect(c.Spend(upstream, 3)).To(BeFalse())
+	Expect(c.Use(upstream, 3)).To(BeTrue())
+	Expect(c.Use(upstream, 3)).To(BeFalse())
 	Eventually(func() bool { return c.Available(upstream) }, time.Second, time.Millisecond).Should(BeTrue(), "the next one was asked for")
-	Expect(c.Spend(upstream, 3)).To(BeTrue())
+	Expect(c.Use(upstream, 3)).To(BeTrue())
 	c.Return(upstream)
 	Expect(c.Available(upstream)).To(BeTrue())
 }
@@ -112,7 +112,7 @@
 	sent, begun := 0, time.Now()
 	for time.Since(begun) < 4*time.Second {
 		c.Want(upstream, 0)
-		if c.Spend(upstream, 0) {
+		if c.Use(upstream, 0) {
 			sent++
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/instance/relay/limit.go
+++ b/instance/relay/limit.go
@@ -19,10 +19,10 @@
 	// HasLimits reports whether any upstream names a limit, Limit returns that of one.
 	HasLimits() bool
 	Limit(upstream uint64) (perSecond float64, limited bool)
-	// Available reports whether a request may be sent to a limited upstream, Spend uses that right
+	// Available reports whether a request may be sent to a limited upstream, Use uses that right
 	// and Return gives it back. Want asks for one.
 	Available(upstream uint64) bool
-	Spend(upstream uint64, urgency int) bool
+	Use(upstream uint64, urgency int) bool
 	Return(upstream uint64)
 	Want(upstream uint64, urgency int)
 	// Statements are for other instances, Take takes in theirs.
@@ -106,7 +106,7 @@
 	if _, limited := f.limits.Limit(u.begun); !limited {
 		return true
 	}
-	r.right = f.limits.Spend(u.begun, r.urgency)
+	r.right = f.limits.Use(u.begun, r.urgency)
 	r.limited = !r.right
 	return r.right
 }
--- a/instance/relay/limit_test.go
+++ b/instance/relay/limit_test.go
@@ -53,7 +53,7 @@
 	return l.rights[upstream] > 0
 }
 
-func (l *fakeLimits) Spend(upstream uint64, _ int) bool {
+func (l *fakeLimits) Use(upstream uint64, _ int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rights[upstream]--
