--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -184,8 +184,8 @@
 	}
 }
 
-// Return gives back the right to send a request that did not leave.
-func (c *Client) Return(upstream uint64) {
+// ReturnToken gives back the right to send a request that did not leave.
+func (c *Client) ReturnToken(upstream uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.wallet.Add(clock.Now(), []ratelimit.Grant{{Upstream: upstream, Count: 1}})
--- a/instance/ratelimit/client_test.go
+++ b/instance/ratelimit/client_test.go
@@ -88,7 +88,7 @@
 	Expect(c.Use(upstream, 3)).To(BeFalse())
 	Eventually(func() bool { return c.Available(upstream) }, time.Second, time.Millisecond).Should(BeTrue(), "the next one was asked for")
 	Expect(c.Use(upstream, 3)).To(BeTrue())
-	c.Return(upstream)
+	c.ReturnToken(upstream)
 	Expect(c.Available(upstream)).To(BeTrue())
 }
 
--- a/instance/relay/limit.go
+++ b/instance/relay/limit.go
@@ -20,10 +20,10 @@
 	HasLimits() bool
 	Limit(upstream uint64) (perSecond float64, limited bool)
 	// Available reports whether a request may be sent to a limited upstream, Use uses that right
-	// and Return gives it back. Want asks for one.
+	// and ReturnToken gives it back. Want asks for one.
 	Available(upstream uint64) bool
 	Use(upstream uint64, urgency int) bool
-	Return(upstream uint64)
+	ReturnToken(upstream uint64)
 	Want(upstream uint64, urgency int)
 	// Statements are for other instances, Take takes in theirs.
 	Statements() []ratelimit.Statement
--- a/instance/relay/limit_test.go
+++ b/instance/relay/limit_test.go
@@ -60,7 +60,7 @@
 	return l.rights[upstream] >= 0
 }
 
-func (l *fakeLimits) Return(upstream uint64) {
+func (l *fakeLimits) ReturnToken(upstream uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rights[upstream]++
--- a/instance/relay/serve.go
+++ b/instance/relay/serve.go
@@ -258,7 +258,7 @@
 	switch o {
 	case notSent:
 		if a.right {
-			s.cfg.Limits.Return(a.up.begun)
+			s.cfg.Limits.ReturnToken(a.up.begun)
 		}
 		if a.conn == nil {
 			pause = a.up.failed(true)
