--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -168,8 +168,8 @@
 	return true
 }
 
-// Want notes that a request of an urgency would go to a limited upstream.
-func (c *Client) Want(upstream uint64, urgency int) {
+// AddDemand notes that a request of an urgency would go to a limited upstream.
+func (c *Client) AddDemand(upstream uint64, urgency int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.want(upstream, urgency)
--- a/instance/ratelimit/client_test.go
+++ b/instance/ratelimit/client_test.go
@@ -81,7 +81,7 @@
 	hear(c, 2)
 	Expect(limitOf(c)).To(Equal(2.0))
 	Expect(c.Use(upstream, 3)).To(BeFalse())
-	c.Want(upstream, 3)
+	c.AddDemand(upstream, 3)
 	Eventually(func() bool { return c.Available(upstream) }, time.Second, time.Millisecond).Should(BeTrue())
 	Expect(m.asked).To(Equal([]core.Demand{{Upstream: upstream, Count: 1, Urgency: 3}}))
 	Expect(c.Use(upstream, 3)).To(BeTrue())
@@ -98,7 +98,7 @@
 	c := client(t, m, 100)
 	hear(c, 2)
 	for until := time.Now().Add(time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		c.Want(upstream, 0)
+		c.AddDemand(upstream, 0)
 	}
 	Expect(m.count()).To(BeNumerically("<=", 5))
 }
@@ -111,7 +111,7 @@
 	hear(c, 8)
 	sent, begun := 0, time.Now()
 	for time.Since(begun) < 4*time.Second {
-		c.Want(upstream, 0)
+		c.AddDemand(upstream, 0)
 		if c.Use(upstream, 0) {
 			sent++
 		}
--- a/instance/relay/limit.go
+++ b/instance/relay/limit.go
@@ -20,11 +20,11 @@
 	HasLimits() bool
 	Limit(upstream uint64) (perSecond float64, limited bool)
 	// Available reports whether a request may be sent to a limited upstream, Use uses that right
-	// and ReturnToken gives it back. Want asks for one.
+	// and ReturnToken gives it back. AddDemand asks for one.
 	Available(upstream uint64) bool
 	Use(upstream uint64, urgency int) bool
 	ReturnToken(upstream uint64)
-	Want(upstream uint64, urgency int)
+	AddDemand(upstream uint64, urgency int)
 	// Statements are for other instances, Take takes in theirs.
 	Statements() []ratelimit.Statement
 	Take([]ratelimit.Statement)
@@ -92,7 +92,7 @@
 func (f *fleet) want(r *request, u *upstream) {
 	if now := time.Now(); r.wanted != u.begun || now.Sub(r.wantedAt) >= wantEvery {
 		r.wanted, r.wantedAt = u.begun, now
-		f.limits.Want(u.begun, r.urgency)
+		f.limits.AddDemand(u.begun, r.urgency)
 	}
 }
 
--- a/instance/relay/limit_test.go
+++ b/instance/relay/limit_test.go
@@ -67,7 +67,7 @@
 	l.returned++
 }
 
-func (l *fakeLimits) Want(upstream uint64, _ int) {
+func (l *fakeLimits) AddDemand(upstream uint64, _ int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.wants == nil {
