--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -125,8 +125,8 @@
 	return c.book.Statements(clock.Now())
 }
 
-// Take takes in what others were told.
-func (c *Client) Take(list []ratelimit.Statement) {
+// Merge takes in what others were told.
+func (c *Client) Merge(list []ratelimit.Statement) {
 	if len(list) == 0 {
 		return
 	}
--- a/instance/ratelimit/client_test.go
+++ b/instance/ratelimit/client_test.go
@@ -68,7 +68,7 @@
 	m := &members{}
 	c := client(t, m, 1)
 	hear(c, 0)
-	c.Take(nil)
+	c.Merge(nil)
 	Expect(c.HasLimits()).To(BeFalse())
 	Expect(c.Statements()).To(BeNil())
 	Consistently(m.count, 200*time.Millisecond).Should(BeZero())
@@ -126,10 +126,10 @@
 	m := &members{}
 	a, b := client(t, m, 2), client(t, m, 2)
 	hear(a, 2)
-	b.Take(a.Statements())
+	b.Merge(a.Statements())
 	Expect(limitOf(b)).To(Equal(2.0))
 	time.Sleep(5 * time.Millisecond)
 	hear(a, 0)
-	b.Take(a.Statements())
+	b.Merge(a.Statements())
 	Expect(limitOf(b)).To(BeZero())
 }
--- a/instance/relay/exchange.go
+++ b/instance/relay/exchange.go
@@ -34,7 +34,7 @@
 	}
 	f.othersAt = time.Now()
 	if f.limits != nil {
-		f.limits.Take(r.Limits)
+		f.limits.Merge(r.Limits)
 	}
 	if r.HasObserved {
 		f.takeObserved(r.Observed)
--- a/instance/relay/limit.go
+++ b/instance/relay/limit.go
@@ -25,9 +25,9 @@
 	Use(upstream uint64, urgency int) bool
 	ReturnToken(upstream uint64)
 	AddDemand(upstream uint64, urgency int)
-	// Statements are for other instances, Take takes in theirs.
+	// Statements are for other instances, Merge takes in theirs.
 	Statements() []ratelimit.Statement
-	Take([]ratelimit.Statement)
+	Merge([]ratelimit.Statement)
 }
 
 // leastLimit and maxLimit bound the limits that are believed, in requests a second. An upstream
--- a/instance/relay/limit_test.go
+++ b/instance/relay/limit_test.go
@@ -80,7 +80,7 @@
 	return []ratelimit.Statement{{Upstream: 1, PerSecond: 2}}
 }
 
-func (l *fakeLimits) Take(list []ratelimit.Statement) {
+func (l *fakeLimits) Merge(list []ratelimit.Statement) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.told = append(l.told, list...)
