--- a/instance/ratelimit/client.go
+++ b/instance/ratelimit/client.go
@@ -1,7 +1,7 @@
-// Package ratelimit keeps the requests of all instances together within the rates that
-// upstreams name (core/ratelimit). Instances tell each other with the loads what upstreams
-// named; for what they want to send there they ask the control group, whose leader holds the
-// rights. Without a limit nothing is sent and nothing is asked.
+// Package ratelimit keeps the requests of all instances together within the rate limits that upstreams
+// announce (core/ratelimit). Instances exchange the announced limits with their load reports. To send
+// requests to a limited upstream they request tokens from the control group, whose leader allocates
+// them. While no upstream announces a limit, nothing is sent or requested.
 package ratelimit
 
 import (
@@ -15,32 +15,33 @@
 	"github.com/comfreyladder/comfreyladder/instance/eventlog"
 )
 
-// ChannelTokens carries a Question to a member of the control group, and an Answer.
+// ChannelTokens is the link channel that carries a Request to a member of the control group, and its
+// Response.
 const ChannelTokens = "ratelimit.rights"
 
-// Request asks for the right to send requests to upstreams.
+// Request requests tokens: permissions to send requests to upstreams.
 type Request struct {
 	Demands []ratelimit.Demand `codec:"w"`
-	// Forwarded says that a member asks the leader.
+	// Forwarded reports that a member forwarded the request to the leader.
 	Forwarded bool `codec:"f,omitempty"`
 }
 
-// Response is what was granted.
+// Response holds the granted tokens.
 type Response struct {
 	Grants []ratelimit.Grant `codec:"g,omitempty"`
 }
 
-// Caller is what this package needs of instance/link to ask.
+// Caller is the part of instance/link that a Client uses.
 type Caller interface {
 	Call(ctx context.Context, to, channel string, req, resp any) error
 }
 
-// ClientConfig of a Client.
+// ClientConfig holds the settings of a Client.
 type ClientConfig struct {
 	Links Caller
-	// Members returns the members of the control group, the one to ask first at the front.
+	// Members returns the members of the control group, the preferred one first.
 	Members func() []string
-	// Forwarders returns how many instances forward requests.
+	// Forwarders returns the number of instances that forward requests.
 	Forwarders func() int
 	// UpstreamExists reports whether an upstream is still known.
 	UpstreamExists func(upstream uint64) bool
@@ -48,39 +49,39 @@
 }
 
 const (
-	// askEvery is the least time between two questions of an instance, and askEach what each
-	// instance adds to it, so that all together ask the leader some hundred times a second.
-	askEvery, askEach = 50 * time.Millisecond, 2 * time.Millisecond
-	// askTimeout bounds a question: a member that is cut off answers nothing.
-	askTimeout = 500 * time.Millisecond
-	// aloneAfter is after what time without an answer an instance goes by its part alone.
-	aloneAfter = time.Second
-	// forgetEvery is the time between two looks for upstreams that are gone.
-	forgetEvery = 2 * time.Second
+	// requestInterval is the minimum time between two requests of an instance. Each instance adds
+	// requestIntervalPerInstance to it, so that all together send the leader some hundred requests a
+	// second.
+	requestInterval, requestIntervalPerInstance = 50 * time.Millisecond, 2 * time.Millisecond
+	// requestTimeout bounds a request: a member that is cut off does not answer.
+	requestTimeout = 500 * time.Millisecond
+	// localAfter is the time without an answer after which an instance uses its own share of the limits.
+	localAfter = time.Second
+	// pruneInterval is the time between two removals of upstreams that are gone.
+	pruneInterval = 2 * time.Second
 )
 
-// Client is the limits as one instance knows them, and its rights. It is safe for concurrent
-// use.
+// Client holds the limits known to one instance and its tokens. It is safe for concurrent use.
 type Client struct {
 	cfg    ClientConfig
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 	wake   chan struct{}
-	// known says that the book is not empty.
-	known atomic.Bool
+	// hasLimits reports whether the tracker is not empty.
+	hasLimits atomic.Bool
 
-	mu     sync.Mutex
-	book   *ratelimit.Tracker
-	wallet *ratelimit.TokenStore
-	// alone hands out this instance's part while no member answers; unanswered is since when
-	// that is, zero while one does.
-	alone      *ratelimit.Allocator
-	unanswered time.Time
+	mu      sync.Mutex
+	tracker *ratelimit.Tracker
+	tokens  *ratelimit.TokenStore
+	// localAllocator allocates this instance's share while no member answers. unansweredSince is when that
+	// began, zero while a member answers.
+	localAllocator  *ratelimit.Allocator
+	unansweredSince time.Time
 }
 
-// NewClient returns a client that has not started.
+// NewClient returns a client that is not started.
 func NewClient(cfg ClientConfig) *Client {
-	return &Client{cfg: cfg, wake: make(chan struct{}, 1), book: ratelimit.NewTracker(), wallet: ratelimit.NewTokenStore()}
+	return &Client{cfg: cfg, wake: make(chan struct{}, 1), tracker: ratelimit.NewTracker(), tokens: ratelimit.NewTokenStore()}
 }
 
 // Start implements kernel.Service.
@@ -100,171 +101,172 @@
 	return nil
 }
 
-// RecordLimit notes what an answer of an upstream said of its limit, zero for none, to a request that
-// was sent and answered at two times of clock.Now. name is the upstream's in logs.
+// RecordLimit records the limit that an upstream announced in an answer, zero for none. sent and heard
+// are the times of clock.Now at which the request was sent and answered. name identifies the upstream
+// in logs.
 func (c *Client) RecordLimit(upstream uint64, name string, perSecond float64, sent, heard time.Time) {
-	if perSecond <= 0 && !c.known.Load() {
+	if perSecond <= 0 && !c.hasLimits.Load() {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.book.Record(upstream, perSecond, sent, heard) {
-		now, _ := c.book.Limit(upstream)
+	if c.tracker.Record(upstream, perSecond, sent, heard) {
+		now, _ := c.tracker.Limit(upstream)
 		c.cfg.Log.Event("upstream_limit").Str("upstream", name).Float("per_second", now).End()
 	}
-	c.known.Store(!c.book.Empty())
+	c.hasLimits.Store(!c.tracker.Empty())
 }
 
-// Statements returns what upstreams named, for other instances; nil for nothing.
+// Statements returns the announced limits for other instances, or nil if there are none.
 func (c *Client) Statements() []ratelimit.Statement {
-	if !c.known.Load() {
+	if !c.hasLimits.Load() {
 		return nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.book.Statements(clock.Now())
+	return c.tracker.Statements(clock.Now())
 }
 
-// Merge takes in what others were told.
+// Merge merges the limits that were announced to other instances.
 func (c *Client) Merge(list []ratelimit.Statement) {
 	if len(list) == 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.book.Merge(clock.Now(), list)
-	c.known.Store(!c.book.Empty())
+	c.tracker.Merge(clock.Now(), list)
+	c.hasLimits.Store(!c.tracker.Empty())
 }
 
-// HasLimits reports whether any upstream names a limit.
-func (c *Client) HasLimits() bool { return c.known.Load() }
+// HasLimits reports whether any upstream announces a limit.
+func (c *Client) HasLimits() bool { return c.hasLimits.Load() }
 
-// Limit returns the limit that an upstream names, if it does.
+// Limit returns the limit that an upstream announces, if any.
 func (c *Client) Limit(upstream uint64) (perSecond float64, limited bool) {
-	if !c.known.Load() {
+	if !c.hasLimits.Load() {
 		return 0, false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.book.Limit(upstream)
+	return c.tracker.Limit(upstream)
 }
 
-// Available reports whether this instance may send a request to a limited upstream now.
+// Available reports whether this instance has a token for a limited upstream.
 func (c *Client) Available(upstream uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.wallet.Available(clock.Now(), upstream)
+	return c.tokens.Available(clock.Now(), upstream)
 }
 
-// Use uses the right to send a request to a limited upstream, and reports whether there was
-// one. It asks for another: what comes next would mostly go there as well.
+// Use uses a token for a limited upstream and reports whether there was one. It also requests another
+// one, since the next request will mostly go to the same upstream.
 func (c *Client) Use(upstream uint64, urgency int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.wallet.Use(clock.Now(), upstream) {
+	if !c.tokens.Use(clock.Now(), upstream) {
 		return false
 	}
-	c.want(upstream, urgency)
+	c.addDemand(upstream, urgency)
 	return true
 }
 
-// AddDemand notes that a request of an urgency would go to a limited upstream.
+// AddDemand records that a request of the given urgency would go to a limited upstream.
 func (c *Client) AddDemand(upstream uint64, urgency int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.want(upstream, urgency)
+	c.addDemand(upstream, urgency)
 }
 
-// want needs mu.
-func (c *Client) want(upstream uint64, urgency int) {
-	c.wallet.AddDemand(upstream, urgency)
+// addDemand implements AddDemand. The caller must hold mu.
+func (c *Client) addDemand(upstream uint64, urgency int) {
+	c.tokens.AddDemand(upstream, urgency)
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// ReturnToken gives back the right to send a request that did not leave.
+// ReturnToken returns the token of a request that was not sent.
 func (c *Client) ReturnToken(upstream uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.wallet.Add(clock.Now(), []ratelimit.Grant{{Upstream: upstream, Count: 1}})
+	c.tokens.Add(clock.Now(), []ratelimit.Grant{{Upstream: upstream, Count: 1}})
 }
 
 func (c *Client) run(ctx context.Context) {
-	ticker := time.NewTicker(forgetEvery)
+	ticker := time.NewTicker(pruneInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-c.wake:
-			c.ask(ctx)
-			clock.Sleep(ctx, askEvery+askEach*time.Duration(c.cfg.Forwarders()))
+			c.requestTokens(ctx)
+			clock.Sleep(ctx, requestInterval+requestIntervalPerInstance*time.Duration(c.cfg.Forwarders()))
 		case <-ticker.C:
-			c.forget()
+			c.prune()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (c *Client) forget() {
+func (c *Client) prune() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.book.Prune(clock.Now(), c.cfg.UpstreamExists)
-	c.known.Store(!c.book.Empty())
+	c.tracker.Prune(clock.Now(), c.cfg.UpstreamExists)
+	c.hasLimits.Store(!c.tracker.Empty())
 }
 
-// ask puts one question to a member.
-func (c *Client) ask(ctx context.Context) {
+// requestTokens sends one request to a member.
+func (c *Client) requestTokens(ctx context.Context) {
 	c.mu.Lock()
-	wants := c.wallet.DrainDemands()
+	demands := c.tokens.DrainDemands()
 	c.mu.Unlock()
-	if len(wants) == 0 {
+	if len(demands) == 0 {
 		return
 	}
-	asked := clock.Now()
+	requestedAt := clock.Now()
 	var a Response
 	err := errNoMember
 	if members := c.cfg.Members(); len(members) > 0 {
-		ctx, cancel := context.WithTimeout(ctx, askTimeout)
+		ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 		defer cancel()
-		err = c.cfg.Links.Call(ctx, members[0], ChannelTokens, &Request{Demands: wants}, &a)
+		err = c.cfg.Links.Call(ctx, members[0], ChannelTokens, &Request{Demands: demands}, &a)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
-		a.Grants = c.ownPart(asked, wants)
+		a.Grants = c.localTokens(requestedAt, demands)
 	} else {
-		c.unanswered, c.alone = time.Time{}, nil
+		c.unansweredSince, c.localAllocator = time.Time{}, nil
 	}
-	c.wallet.Add(asked, a.Grants)
+	c.tokens.Add(requestedAt, a.Grants)
 }
 
-// ownPart returns what this instance may send by itself: its part of what upstreams take, once
-// no member has answered for a while. It needs mu.
-func (c *Client) ownPart(now time.Time, wants []ratelimit.Demand) []ratelimit.Grant {
-	if c.unanswered.IsZero() {
-		c.unanswered = now
+// localTokens allocates this instance's share of the limits once no member has answered for localAfter.
+// The caller must hold mu.
+func (c *Client) localTokens(now time.Time, demands []ratelimit.Demand) []ratelimit.Grant {
+	if c.unansweredSince.IsZero() {
+		c.unansweredSince = now
 	}
-	if now.Sub(c.unanswered) < aloneAfter {
+	if now.Sub(c.unansweredSince) < localAfter {
 		return nil
 	}
-	if c.alone == nil {
-		c.alone = ratelimit.NewAllocator()
+	if c.localAllocator == nil {
+		c.localAllocator = ratelimit.NewAllocator()
 	}
-	own := &ratelimit.TokenRequest{Demands: wants}
-	c.alone.Allocate(clock.Now(), part{c.book, float64(max(1, c.cfg.Forwarders()))}, []*ratelimit.TokenRequest{own})
-	return own.Grants
+	request := &ratelimit.TokenRequest{Demands: demands}
+	c.localAllocator.Allocate(clock.Now(), limitShare{c.tracker, float64(max(1, c.cfg.Forwarders()))}, []*ratelimit.TokenRequest{request})
+	return request.Grants
 }
 
-// part is a part of the limits of a book.
-type part struct {
+// limitShare divides the limits of a tracker by the number of instances.
+type limitShare struct {
 	*ratelimit.Tracker
-	of float64
+	instances float64
 }
 
 // Limit implements ratelimit.Limits.
-func (p part) Limit(upstream uint64) (perSecond float64, limited bool) {
+func (p limitShare) Limit(upstream uint64) (perSecond float64, limited bool) {
 	perSecond, limited = p.Tracker.Limit(upstream)
-	return perSecond / p.of, limited
+	return perSecond / p.instances, limited
 }
--- a/instance/ratelimit/client_test.go
+++ b/instance/ratelimit/client_test.go
@@ -16,12 +16,12 @@
 
 const upstream = 7
 
-// members are fake members of a control group that grant what is asked for.
+// members is a fake control group that grants all requests.
 type members struct {
-	mu    sync.Mutex
-	down  bool
-	calls int
-	asked []core.Demand
+	mu      sync.Mutex
+	down    bool
+	calls   int
+	demands []core.Demand
 }
 
 func (m *members) Call(_ context.Context, _, _ string, req, resp any) error {
@@ -32,7 +32,7 @@
 		return fault.New(fault.Unavailable, "down")
 	}
 	for _, w := range req.(*ratelimit.Request).Demands {
-		m.asked = append(m.asked, w)
+		m.demands = append(m.demands, w)
 		resp.(*ratelimit.Response).Grants = append(resp.(*ratelimit.Response).Grants, core.Grant{Upstream: w.Upstream, Count: 1})
 	}
 	return nil
@@ -59,31 +59,31 @@
 	return perSecond
 }
 
-func hear(c *ratelimit.Client, perSecond float64) {
+func recordLimit(c *ratelimit.Client, perSecond float64) {
 	c.RecordLimit(upstream, "u", perSecond, clock.Now(), clock.Now())
 }
 
-// Guards against messages on days on which no upstream names a limit.
-func TestWithoutALimitNothingIsTold(t *testing.T) {
+// Guards against messages while no upstream announces a limit.
+func TestSendsNothingWithoutLimit(t *testing.T) {
 	m := &members{}
 	c := client(t, m, 1)
-	hear(c, 0)
+	recordLimit(c, 0)
 	c.Merge(nil)
 	Expect(c.HasLimits()).To(BeFalse())
 	Expect(c.Statements()).To(BeNil())
 	Consistently(m.count, 200*time.Millisecond).Should(BeZero())
 }
 
-// Guards against a request that is sent without a right, and one right that serves two.
-func TestARightIsAskedForAndUsedOnce(t *testing.T) {
+// Guards against a request that is sent without a token, and against a token that is used twice.
+func TestTokenIsRequestedAndUsedOnce(t *testing.T) {
 	m := &members{}
 	c := client(t, m, 1)
-	hear(c, 2)
+	recordLimit(c, 2)
 	Expect(limitOf(c)).To(Equal(2.0))
 	Expect(c.Use(upstream, 3)).To(BeFalse())
 	c.AddDemand(upstream, 3)
 	Eventually(func() bool { return c.Available(upstream) }, time.Second, time.Millisecond).Should(BeTrue())
-	Expect(m.asked).To(Equal([]core.Demand{{Upstream: upstream, Count: 1, Urgency: 3}}))
+	Expect(m.demands).To(Equal([]core.Demand{{Upstream: upstream, Count: 1, Urgency: 3}}))
 	Expect(c.Use(upstream, 3)).To(BeTrue())
 	Expect(c.Use(upstream, 3)).To(BeFalse())
 	Eventually(func() bool { return c.Available(upstream) }, time.Second, time.Millisecond).Should(BeTrue(), "the next one was asked for")
@@ -92,23 +92,23 @@
 	Expect(c.Available(upstream)).To(BeTrue())
 }
 
-// Guards against an instance that asks for each request by itself.
-func TestQuestionsAreBounded(t *testing.T) {
+// Guards against an instance that sends a separate token request for each request.
+func TestRequestRateIsBounded(t *testing.T) {
 	m := &members{}
 	c := client(t, m, 100)
-	hear(c, 2)
+	recordLimit(c, 2)
 	for until := time.Now().Add(time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		c.AddDemand(upstream, 0)
 	}
 	Expect(m.count()).To(BeNumerically("<=", 5))
 }
 
-// Guards against limited upstreams that are left idle, or overrun, by instances that can't
-// reach the control group.
-func TestAnInstanceThatIsAloneGoesByItsPart(t *testing.T) {
+// Guards against limited upstreams that are left idle or overloaded by instances that cannot reach the
+// control group.
+func TestInstanceThatIsCutOffUsesItsShare(t *testing.T) {
 	m := &members{down: true}
 	c := client(t, m, 4)
-	hear(c, 8)
+	recordLimit(c, 8)
 	sent, begun := 0, time.Now()
 	for time.Since(begun) < 4*time.Second {
 		c.AddDemand(upstream, 0)
@@ -120,16 +120,16 @@
 	Expect(sent).To(BeNumerically("~", 5, 2), "two a second, after a second of its own to find out and one to save up")
 }
 
-// Guards against an upstream that nobody tells an instance of: its limit comes from others, and
-// so does the end of it.
-func TestLimitsComeFromOthers(t *testing.T) {
+// Guards against an instance that does not learn of a limit, or of its end, because only other instances
+// received it from the upstream.
+func TestLimitsOfOtherInstancesAreMerged(t *testing.T) {
 	m := &members{}
 	a, b := client(t, m, 2), client(t, m, 2)
-	hear(a, 2)
+	recordLimit(a, 2)
 	b.Merge(a.Statements())
 	Expect(limitOf(b)).To(Equal(2.0))
 	time.Sleep(5 * time.Millisecond)
-	hear(a, 0)
+	recordLimit(a, 0)
 	b.Merge(a.Statements())
 	Expect(limitOf(b)).To(BeZero())
 }
--- a/instance/ratelimit/service.go
+++ b/instance/ratelimit/service.go
@@ -16,48 +16,48 @@
 
 var errNoMember error = fault.New(fault.Unavailable, "no member of the control group is known").WithRetryAfter(time.Second)
 
-// Links is what a Service needs of instance/link.
+// Links is the part of instance/link that a Service uses.
 type Links interface {
 	Caller
 	Handle(channel string, h link.Handler, options ...link.ChannelOption)
 }
 
-// Config of a Service.
+// Config holds the settings of a Service.
 type Config struct {
-	// Replica returns the member of the control group that runs here, or nil.
+	// Replica returns the control group member that runs on this instance, or nil.
 	Replica func() *consensus.Service
 	Links   Links
-	// Limits tells the limits as this member knows them.
+	// Limits returns the limits as known to this member.
 	Limits ratelimit.Limits
 }
 
 const (
-	// holdFor is for how long a question waits for the first right, and serveEvery the time
-	// between two looks whether there are some.
-	holdFor    = 150 * time.Millisecond
-	serveEvery = 20 * time.Millisecond
-	// leaderTimeout bounds a question that is passed on to the leader.
+	// maxWait is how long a request waits for its first token. allocateInterval is the time between two
+	// allocations.
+	maxWait          = 150 * time.Millisecond
+	allocateInterval = 20 * time.Millisecond
+	// leaderTimeout bounds a request that is forwarded to the leader.
 	leaderTimeout = 350 * time.Millisecond
 )
 
-// Service hands out rights at the leader of the control group; other members pass questions on
-// to it. It is safe for concurrent use.
+// Service allocates tokens on the leader of the control group; other members forward requests to it. It
+// is safe for concurrent use.
 type Service struct {
 	cfg Config
 
 	mu sync.Mutex
-	// holder is that of a term, which this member has led since.
-	holder *ratelimit.Allocator
-	term   uint64
-	since  time.Time
-	// waiting are the questions that have got nothing yet.
+	// allocator is the allocator of a term, in which this member has led since leaderSince.
+	allocator   *ratelimit.Allocator
+	term        uint64
+	leaderSince time.Time
+	// waiting are the requests without a token so far.
 	waiting []*ratelimit.TokenRequest
 }
 
-// New returns a service; it registers its channel.
+// New returns a service and registers its channel.
 func New(cfg Config) *Service {
 	s := &Service{cfg: cfg}
-	cfg.Links.Handle(ChannelTokens, s.answer)
+	cfg.Links.Handle(ChannelTokens, s.handle)
 	return s
 }
 
@@ -67,7 +67,7 @@
 // Stop implements kernel.Service.
 func (s *Service) Stop(context.Context) error { return nil }
 
-func (s *Service) answer(ctx context.Context, _ string, msg link.Message) (any, error) {
+func (s *Service) handle(ctx context.Context, _ string, msg link.Message) (any, error) {
 	var q Request
 	if err := msg.Decode(&q); err != nil {
 		return nil, err
@@ -91,43 +91,43 @@
 	return &a, s.cfg.Links.Call(ctx, st.Members[leader].Name, ChannelTokens, &q, &a)
 }
 
-var errNoLeader = fault.New(fault.Unavailable, "the control group has no leader that is known here").WithRetryAfter(time.Second)
+var errNoLeader = fault.New(fault.Unavailable, "this member knows no leader of the control group").WithRetryAfter(time.Second)
 
-// serve holds a question until it gets a first right, or for holdFor.
+// serve holds a request until it gets its first tokens, or for maxWait.
 func (s *Service) serve(ctx context.Context, st *consensus.Status, q *Request) *Response {
 	a := &ratelimit.TokenRequest{Demands: q.Demands}
-	s.enter(st, a)
-	until := clock.Now().Add(holdFor)
-	for !s.handOut(a, !clock.Now().Before(until)) {
-		if !clock.Sleep(ctx, serveEvery) {
-			s.handOut(a, true)
+	s.enqueue(st, a)
+	until := clock.Now().Add(maxWait)
+	for !s.allocate(a, !clock.Now().Before(until)) {
+		if !clock.Sleep(ctx, allocateInterval) {
+			s.allocate(a, true)
 			break
 		}
 	}
 	return &Response{Grants: a.Grants}
 }
 
-// enter puts a question among those that wait. What a leader before this one handed out may
-// still be used for a while: nothing is handed out until that is over.
-func (s *Service) enter(st *consensus.Status, a *ratelimit.TokenRequest) {
+// enqueue adds a request to those that wait. Tokens of the previous leader may still be in use for
+// TokenLifetime: allocate grants nothing before that time is over.
+func (s *Service) enqueue(st *consensus.Status, a *ratelimit.TokenRequest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.holder == nil || s.term != st.Term {
-		s.holder, s.term, s.since = ratelimit.NewAllocator(), st.Term, clock.Now()
+	if s.allocator == nil || s.term != st.Term {
+		s.allocator, s.term, s.leaderSince = ratelimit.NewAllocator(), st.Term, clock.Now()
 	}
 	s.waiting = append(s.waiting, a)
 }
 
-// handOut serves all that wait. Once one of them has got something, or waits no longer, it
-// gets nothing more and handOut returns true.
-func (s *Service) handOut(a *ratelimit.TokenRequest, ends bool) bool {
+// allocate allocates tokens to all requests that wait. Once the given request has tokens or has timed
+// out, it is removed from them and allocate returns true.
+func (s *Service) allocate(a *ratelimit.TokenRequest, timedOut bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	if now.Sub(s.since) >= ratelimit.TokenLifetime {
-		s.holder.Allocate(now, s.cfg.Limits, s.waiting)
+	if now.Sub(s.leaderSince) >= ratelimit.TokenLifetime {
+		s.allocator.Allocate(now, s.cfg.Limits, s.waiting)
 	}
-	if !ends && len(a.Grants) == 0 {
+	if !timedOut && len(a.Grants) == 0 {
 		return false
 	}
 	s.waiting = slices.DeleteFunc(s.waiting, func(other *ratelimit.TokenRequest) bool { return other == a })
--- a/instance/ratelimit/service_test.go
+++ b/instance/ratelimit/service_test.go
@@ -19,30 +19,30 @@
 	"github.com/comfreyladder/comfreyladder/instance/ratelimit"
 )
 
-const patience = 15 * time.Second
+const timeout = 15 * time.Second
 
 // group is a control group in one process.
 type group struct {
-	book  sync.Map
-	names []string
-	nodes map[string]*node
+	addresses sync.Map
+	names     []string
+	instances map[string]*testInstance
 }
 
-type node struct {
+type testInstance struct {
 	links   *link.Service
 	control *control.Service
 }
 
 // Address implements link.AddressBook.
 func (g *group) Address(name string) (string, bool) {
-	v, ok := g.book.Load(name)
+	v, ok := g.addresses.Load(name)
 	if !ok {
 		return "", false
 	}
 	return v.(string), true
 }
 
-// limits are what all members know.
+// limits are the limits known to all members.
 type limits map[uint64]float64
 
 func (l limits) Limit(upstream uint64) (float64, bool) {
@@ -52,13 +52,13 @@
 
 func newGroup(t *testing.T, members int, known limits) *group {
 	RegisterTestingT(t)
-	g := &group{nodes: map[string]*node{}}
+	g := &group{instances: map[string]*testInstance{}}
 	for i := range members {
 		g.names = append(g.names, fmt.Sprint("m", i))
 	}
 	ctx := context.Background()
 	for _, name := range g.names {
-		n := &node{}
+		n := &testInstance{}
 		var err error
 		n.links, err = link.New(link.Config{Self: name, Listen: "127.0.0.1:0", Open: true, Book: g, Log: zerolog.Nop()})
 		Expect(err).NotTo(HaveOccurred())
@@ -69,10 +69,10 @@
 			Heartbeat: 30 * time.Millisecond, ElectionTimeout: 200 * time.Millisecond,
 		})
 		Expect(n.links.Start(ctx)).To(Succeed())
-		g.book.Store(name, n.links.Addr().String())
-		g.nodes[name] = n
+		g.addresses.Store(name, n.links.Addr().String())
+		g.instances[name] = n
 	}
-	for _, n := range g.nodes {
+	for _, n := range g.instances {
 		Expect(n.control.Start(ctx)).To(Succeed())
 		t.Cleanup(func() {
 			_ = n.control.Stop(ctx)
@@ -86,7 +86,7 @@
 func (g *group) leader() (leader, other string) {
 	Eventually(func() string {
 		leader, other = "", ""
-		for name, n := range g.nodes {
+		for name, n := range g.instances {
 			if r := n.control.Replica(); r != nil && r.Status().Role == raft.Leader {
 				leader = name
 				continue
@@ -94,17 +94,17 @@
 			other = name
 		}
 		return leader
-	}, patience).ShouldNot(BeEmpty())
+	}, timeout).ShouldNot(BeEmpty())
 	return leader, other
 }
 
-// ask puts a question to a member, and returns how many rights it got.
-func (g *group) ask(name string, count int) (int, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// request requests tokens from a member and returns how many it got.
+func (g *group) request(name string, count int) (int, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	var a ratelimit.Response
 	q := ratelimit.Request{Demands: []core.Demand{{Upstream: upstream, Count: count}}}
-	err := g.nodes[name].links.Call(ctx, name, ratelimit.ChannelTokens, &q, &a)
+	err := g.instances[name].links.Call(ctx, name, ratelimit.ChannelTokens, &q, &a)
 	n := 0
 	for _, x := range a.Grants {
 		n += x.Count
@@ -112,8 +112,8 @@
 	return n, err
 }
 
-// Guards against members that each hand out the whole of what an upstream takes.
-func TestAllMembersHandOutOneLimitTogether(t *testing.T) {
+// Guards against members that each allocate the whole limit of an upstream.
+func TestMembersShareOneLimit(t *testing.T) {
 	const perSecond, span = 10.0, 4 * time.Second
 	g := newGroup(t, 3, limits{upstream: perSecond})
 	g.leader()
@@ -124,7 +124,7 @@
 	for _, name := range g.names {
 		all.Go(func() {
 			for time.Since(begun) < span {
-				n, err := g.ask(name, 5)
+				n, err := g.request(name, 5)
 				if err != nil {
 					continue
 				}
@@ -139,17 +139,17 @@
 	Expect(total).To(BeNumerically(">=", 0.8*perSecond*(span-core.TokenLifetime).Seconds()-2), "a new holder waits before it begins")
 }
 
-// Guards against a successor that hands out rights beside those of the one before it.
-func TestASuccessorWaitsUntilOldRightsHaveEnded(t *testing.T) {
+// Guards against a successor that allocates tokens while those of its predecessor are still valid.
+func TestSuccessorWaitsUntilOldTokensExpire(t *testing.T) {
 	g := newGroup(t, 3, limits{upstream: 1000})
 	leader, other := g.leader()
-	Eventually(func() int { n, _ := g.ask(other, 1); return n }, patience).Should(Equal(1))
-	r := g.nodes[leader].control.Replica()
+	Eventually(func() int { n, _ := g.request(other, 1); return n }, timeout).Should(Equal(1))
+	r := g.instances[leader].control.Replica()
 	Expect(r.Transfer(context.Background(), memberOf(r, other))).To(Succeed())
-	Eventually(func() string { name, _ := g.leader(); return name }, patience).Should(Equal(other))
+	Eventually(func() string { name, _ := g.leader(); return name }, timeout).Should(Equal(other))
 	begun := time.Now()
 	for {
-		n, _ := g.ask(other, 1)
+		n, _ := g.request(other, 1)
 		if n > 0 {
 			break
 		}
@@ -166,12 +166,12 @@
 	return 0
 }
 
-// Guards against questions that wait for what never comes.
-func TestQuestionWithoutRightsIsAnsweredSoon(t *testing.T) {
+// Guards against requests that wait for tokens that are never granted.
+func TestRequestWithoutTokensIsAnsweredQuickly(t *testing.T) {
 	g := newGroup(t, 1, limits{})
 	name, _ := g.leader()
 	begun := time.Now()
-	n, err := g.ask(name, 5)
+	n, err := g.request(name, 5)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(n).To(BeZero())
 	Expect(time.Since(begun)).To(BeNumerically("<", time.Second))
