--- a/instance/duty/status.go
+++ b/instance/duty/status.go
@@ -14,7 +14,6 @@
 	Holder string
 	// Number is the fencing number of the local lease, zero without one. LeaseLeft is how long the
 	// lease remains valid.
-	//
 	Number    uint64
 	LeaseLeft time.Duration
 	// Next is the next window to close, Windows the latest closed ones.
--- a/instance/order/lease.go
+++ b/instance/order/lease.go
@@ -71,7 +71,7 @@
 }
 
 // sendRequest sends a request to the control group without blocking the loop.
-func (s *Service) sendRequest(r fence.Request, done func(asked, now time.Time, g fence.Grant)) {
+func (s *Service) sendRequest(r fence.Request, done func(requestedAt, now time.Time, g fence.Grant)) {
 	s.requestPending = true
 	requestedAt := s.cfg.Now()
 	s.calls.Go(func() {
