--- a/instance/follow/follow.go
+++ b/instance/follow/follow.go
@@ -258,20 +258,20 @@
 // ask sends one request to a member and reports whether to keep asking this member.
 func (f *Follower) ask(ctx context.Context, name string) bool {
 	view := f.view.Load()
-	q := servingsvc.Question{Index: view.Index, Forwards: true, Quarantine: view.Quarantine.index()}
+	q := servingsvc.WatchRequest{Index: view.Index, Forwards: true, Quarantine: view.Quarantine.index()}
 	if f.cfg.Report != nil {
 		q.Report = f.cfg.Report()
 	}
 	hold := f.holdTime(&q.Report)
-	q.HoldMS = hold.Milliseconds()
+	q.MaxWaitMS = hold.Milliseconds()
 	if f.workSource == name {
-		q.Told = f.workSeen
+		q.NextPlacement = f.workSeen
 	}
 	revision := f.addUsage(&q, name)
 	ctx, cancel := context.WithTimeout(ctx, hold+f.cfg.Slack)
 	defer cancel()
 	sent := clock.Now()
-	var a servingsvc.Answer
+	var a servingsvc.WatchResponse
 	if err := f.cfg.Links.Call(ctx, name, servingsvc.ChannelWatch, q, &a); err != nil {
 		f.cfg.Log.Debug().Str("event", "watch_failed").Str("peer", name).Err(err).Msg("control member did not answer")
 		return false
@@ -283,12 +283,12 @@
 	f.handleUsageReply(&q, &a, revision, name, sent)
 	f.domains[name] = a.Domain
 	f.applyAnswer(view, &a)
-	f.workSeen, f.workSource, f.othersBusy = a.Told, name, a.Summary.Busy
+	f.workSeen, f.workSource, f.othersBusy = a.NextPlacement, name, a.Summary.Busy
 	f.passOthersWork(&a.Summary, &q.Report.Work)
 	if !a.Confirmed {
 		return false
 	}
-	at := sent.Add(time.Duration(a.HeldMS) * time.Millisecond)
+	at := sent.Add(time.Duration(a.WaitedMS) * time.Millisecond)
 	f.leaseStart.Store(at.UnixNano())
 	f.leaseUntil.Store(at.Add(f.cfg.Lease).UnixNano())
 	f.noteContact(name)
@@ -296,7 +296,7 @@
 }
 
 // addUsage adds this instance's usage counts to a request.
-func (f *Follower) addUsage(q *servingsvc.Question, member string) (revision uint64) {
+func (f *Follower) addUsage(q *servingsvc.WatchRequest, member string) (revision uint64) {
 	if f.cfg.Meter == nil {
 		return 0
 	}
@@ -312,7 +312,7 @@
 
 // handleUsageReply records that a member received this instance's usage counts, and
 // processes the agreed time in the answer.
-func (f *Follower) handleUsageReply(q *servingsvc.Question, a *servingsvc.Answer, revision uint64, member string, sent time.Time) {
+func (f *Follower) handleUsageReply(q *servingsvc.WatchRequest, a *servingsvc.WatchResponse, revision uint64, member string, sent time.Time) {
 	if f.cfg.Meter == nil {
 		return
 	}
@@ -321,7 +321,7 @@
 	}
 	f.settled = a.Settled
 	if a.Agreed != 0 {
-		f.cfg.Meter.Observe(sent, clock.Now(), time.Duration(a.HeldMS)*time.Millisecond, time.Unix(0, a.Agreed))
+		f.cfg.Meter.Observe(sent, clock.Now(), time.Duration(a.WaitedMS)*time.Millisecond, time.Unix(0, a.Agreed))
 	}
 }
 
@@ -351,7 +351,7 @@
 
 // applyAnswer applies the changes in an answer. Changes older than the view are ignored, so
 // that a view never goes back.
-func (f *Follower) applyAnswer(old *View, a *servingsvc.Answer) {
+func (f *Follower) applyAnswer(old *View, a *servingsvc.WatchResponse) {
 	if len(a.Members) > 0 {
 		f.updateMembers(a.Members)
 	}
--- a/instance/relay/exchange.go
+++ b/instance/relay/exchange.go
@@ -22,7 +22,7 @@
 	defer f.mu.Unlock()
 	clear(f.others)
 	for _, l := range r.Work.Loads {
-		f.others[l.Begun] = l
+		f.others[l.FirstIndex] = l
 	}
 	routes := map[string]map[string]balance.RouteLoad{}
 	for i := range r.Work.Routes {
@@ -34,14 +34,14 @@
 	}
 	f.othersAt = time.Now()
 	if f.limits != nil {
-		f.limits.Take(r.Limits)
+		f.limits.Merge(r.Limits)
 	}
-	if r.Observes {
+	if r.HasObserved {
 		f.takeObserved(r.Observed)
 	}
-	for _, p := range r.Placed {
+	for _, p := range r.Placements {
 		// What was placed at an incarnation that has ended since is kept nowhere.
-		if u := f.byBegun[p.Begun]; u != nil {
+		if u := f.byBegun[p.FirstIndex]; u != nil {
 			u.kept.RecordAnnounced(f.othersAt, p.Prompt)
 		}
 	}
@@ -70,7 +70,7 @@
 	o := u.observer.Sums(now)
 	u.mu.Unlock()
 	return servingsvc.Observation{
-		Begun: u.begun, Answers: int(o.Answers * answerUnit), Failures: int(o.Failures * answerUnit), Predicted: int(o.Predicted), Took: int(o.Took),
+		FirstIndex: u.begun, Answers: int(o.Answers * answerUnit), Failures: int(o.Failures * answerUnit), Predicted: int(o.Predicted), Took: int(o.Took),
 	}
 }
 
@@ -94,24 +94,24 @@
 	clear(f.observedByOthers)
 	for i := range list {
 		o := observedOf(&list[i])
-		o.Subtract(f.told[list[i].Begun])
-		f.observedByOthers[list[i].Begun] = o
+		o.Subtract(f.told[list[i].FirstIndex])
+		f.observedByOthers[list[i].FirstIndex] = o
 	}
 }
 
 func (f *fleet) report() servingsvc.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := servingsvc.Report{Placed: f.placed}
+	r := servingsvc.Report{Placements: f.placed}
 	f.placed = nil
 	now := time.Now()
 	for _, u := range f.upstreams {
 		if u.active > 0 {
-			r.Work.Loads = append(r.Work.Loads, servingsvc.Load{Begun: u.begun, Active: u.active, Reading: u.reading, Held: u.held})
+			r.Work.Loads = append(r.Work.Loads, servingsvc.Load{FirstIndex: u.begun, Active: u.active, QueuedTokens: u.reading, UsedTokens: u.held})
 		}
 	}
-	if now.Sub(f.toldAt) >= servingsvc.ObserveEvery {
-		r.Observes, r.Observed, f.toldAt = true, f.observations(now), now
+	if now.Sub(f.toldAt) >= servingsvc.ObservationInterval {
+		r.HasObserved, r.Observed, f.toldAt = true, f.observations(now), now
 	}
 	for service, p := range f.pools {
 		perMS := f.pace(service).rate.PerMS()
@@ -142,7 +142,7 @@
 			engines++
 			reading += u.reading
 			if now.Sub(f.othersAt) < othersAge {
-				reading += f.others[u.begun].Reading
+				reading += f.others[u.begun].QueuedTokens
 			}
 		}
 	}
--- a/instance/relay/limit.go
+++ b/instance/relay/limit.go
@@ -13,21 +13,21 @@
 // Limits are the limits that upstreams name, and the rights of this instance to send requests
 // to them.
 type Limits interface {
-	// Heard notes what an answer of an upstream said of its limit, zero for none, to a request
+	// RecordLimit notes what an answer of an upstream said of its limit, zero for none, to a request
 	// that was sent and answered at two times of clock.Now. name is the upstream's in logs.
-	Heard(upstream uint64, name string, perSecond float64, sent, heard time.Time)
-	// Known reports whether any upstream names a limit, Limit returns that of one.
-	Known() bool
+	RecordLimit(upstream uint64, name string, perSecond float64, sent, heard time.Time)
+	// HasLimits reports whether any upstream names a limit, Limit returns that of one.
+	HasLimits() bool
 	Limit(upstream uint64) (perSecond float64, limited bool)
-	// Has reports whether a request may be sent to a limited upstream, Spend uses that right
-	// and Return gives it back. Want asks for one.
-	Has(upstream uint64) bool
-	Spend(upstream uint64, urgency int) bool
-	Return(upstream uint64)
-	Want(upstream uint64, urgency int)
-	// Statements are for other instances, Take takes in theirs.
+	// Available reports whether a request may be sent to a limited upstream, Use uses that right
+	// and ReturnToken gives it back. AddDemand asks for one.
+	Available(upstream uint64) bool
+	Use(upstream uint64, urgency int) bool
+	ReturnToken(upstream uint64)
+	AddDemand(upstream uint64, urgency int)
+	// Statements are for other instances, Merge takes in theirs.
 	Statements() []ratelimit.Statement
-	Take([]ratelimit.Statement)
+	Merge([]ratelimit.Statement)
 }
 
 // leastLimit and maxLimit bound the limits that are believed, in requests a second. An upstream
@@ -48,7 +48,7 @@
 		}
 		perSecond = max(leastLimit, n)
 	}
-	a.s.cfg.Limits.Heard(a.up.begun, a.up.id, perSecond, a.sent, clock.Now())
+	a.s.cfg.Limits.RecordLimit(a.up.begun, a.up.id, perSecond, a.sent, clock.Now())
 }
 
 const (
@@ -60,7 +60,7 @@
 )
 
 // limiting reports whether any upstream names a limit.
-func (f *fleet) limiting() bool { return f.limits != nil && f.limits.Known() }
+func (f *fleet) limiting() bool { return f.limits != nil && f.limits.HasLimits() }
 
 // pick chooses among the described upstreams. One that names a limit is passed over as long as
 // there is no right to send a request there; it is asked for if it would have been chosen. It
@@ -86,13 +86,13 @@
 // the most urgent ones that wait.
 func (f *fleet) closed(r *request, u *upstream) bool {
 	_, limited := f.limits.Limit(u.begun)
-	return limited && (!f.limits.Has(u.begun) || f.moreUrgentWaits(r))
+	return limited && (!f.limits.Available(u.begun) || f.moreUrgentWaits(r))
 }
 
 func (f *fleet) want(r *request, u *upstream) {
 	if now := time.Now(); r.wanted != u.begun || now.Sub(r.wantedAt) >= wantEvery {
 		r.wanted, r.wantedAt = u.begun, now
-		f.limits.Want(u.begun, r.urgency)
+		f.limits.AddDemand(u.begun, r.urgency)
 	}
 }
 
@@ -106,7 +106,7 @@
 	if _, limited := f.limits.Limit(u.begun); !limited {
 		return true
 	}
-	r.right = f.limits.Spend(u.begun, r.urgency)
+	r.right = f.limits.Use(u.begun, r.urgency)
 	r.limited = !r.right
 	return r.right
 }
--- a/instance/relay/limit_test.go
+++ b/instance/relay/limit_test.go
@@ -26,7 +26,7 @@
 	told     []ratelimit.Statement
 }
 
-func (l *fakeLimits) Heard(_ uint64, _ string, perSecond float64, sent, heard time.Time) {
+func (l *fakeLimits) RecordLimit(_ uint64, _ string, perSecond float64, sent, heard time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !heard.Before(sent) {
@@ -34,7 +34,7 @@
 	}
 }
 
-func (l *fakeLimits) Known() bool {
+func (l *fakeLimits) HasLimits() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.limits) > 0
@@ -47,27 +47,27 @@
 	return perSecond, limited
 }
 
-func (l *fakeLimits) Has(upstream uint64) bool {
+func (l *fakeLimits) Available(upstream uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rights[upstream] > 0
 }
 
-func (l *fakeLimits) Spend(upstream uint64, _ int) bool {
+func (l *fakeLimits) Use(upstream uint64, _ int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rights[upstream]--
 	return l.rights[upstream] >= 0
 }
 
-func (l *fakeLimits) Return(upstream uint64) {
+func (l *fakeLimits) ReturnToken(upstream uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rights[upstream]++
 	l.returned++
 }
 
-func (l *fakeLimits) Want(upstream uint64, _ int) {
+func (l *fakeLimits) AddDemand(upstream uint64, _ int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.wants == nil {
@@ -80,7 +80,7 @@
 	return []ratelimit.Statement{{Upstream: 1, PerSecond: 2}}
 }
 
-func (l *fakeLimits) Take(list []ratelimit.Statement) {
+func (l *fakeLimits) Merge(list []ratelimit.Statement) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.told = append(l.told, list...)
--- a/instance/relay/load_test.go
+++ b/instance/relay/load_test.go
@@ -212,10 +212,10 @@
 	for i, s := range services {
 		s.fleet.mu.Lock()
 		for _, o := range s.fleet.observations(time.Now()) {
-			if observed[o.Begun] == nil {
-				observed[o.Begun] = &servingsvc.Observation{Begun: o.Begun}
+			if observed[o.FirstIndex] == nil {
+				observed[o.FirstIndex] = &servingsvc.Observation{FirstIndex: o.FirstIndex}
 			}
-			sum := observed[o.Begun]
+			sum := observed[o.FirstIndex]
 			sum.Answers, sum.Failures, sum.Predicted, sum.Took = sum.Answers+o.Answers, sum.Failures+o.Failures, sum.Predicted+o.Predicted, sum.Took+o.Took
 		}
 		s.fleet.mu.Unlock()
@@ -226,29 +226,29 @@
 		r := s.fleet.report()
 		s.fleet.placed = placed
 		for _, l := range r.Work.Loads {
-			if loads[l.Begun] == nil {
-				loads[l.Begun] = &servingsvc.Load{Begun: l.Begun}
+			if loads[l.FirstIndex] == nil {
+				loads[l.FirstIndex] = &servingsvc.Load{FirstIndex: l.FirstIndex}
 			}
-			sum := loads[l.Begun]
-			sum.Active, sum.Reading, sum.Held = sum.Active+l.Active, sum.Reading+l.Reading, sum.Held+l.Held
+			sum := loads[l.FirstIndex]
+			sum.Active, sum.QueuedTokens, sum.UsedTokens = sum.Active+l.Active, sum.QueuedTokens+l.QueuedTokens, sum.UsedTokens+l.UsedTokens
 		}
 		for _, l := range r.Work.Routes {
 			if routes[l.Route] == nil {
-				routes[l.Route] = &servingsvc.RouteLoad{Service: l.Service, Route: l.Route, Gap: l.Gap, Rank: l.Rank}
+				routes[l.Route] = &servingsvc.RouteLoad{Service: l.Service, Route: l.Route, MaxPause: l.MaxPause, Rank: l.Rank}
 			}
 			sum := routes[l.Route]
-			sum.Tokens, sum.Unread, sum.Requests = sum.Tokens+l.Tokens, sum.Unread+l.Unread, sum.Requests+l.Requests
+			sum.Tokens, sum.UncachedTokens, sum.Requests = sum.Tokens+l.Tokens, sum.UncachedTokens+l.UncachedTokens, sum.Requests+l.Requests
 			sum.Recent, sum.SlotTime, sum.RecentSlots = sum.Recent+l.Recent, sum.SlotTime+l.SlotTime, sum.RecentSlots+l.RecentSlots
 			sum.RecentCached += l.RecentCached
 		}
 	}
-	out := servingsvc.Report{Placed: services[to].fleet.placed, Observes: true}
+	out := servingsvc.Report{Placements: services[to].fleet.placed, HasObserved: true}
 	for _, o := range observed {
 		out.Observed = append(out.Observed, *o)
 	}
 	for i, s := range services {
 		if i != to {
-			out.Placed = append(out.Placed, s.fleet.placed...)
+			out.Placements = append(out.Placements, s.fleet.placed...)
 		}
 	}
 	for _, l := range loads {
--- a/instance/relay/quarantine.go
+++ b/instance/relay/quarantine.go
@@ -11,23 +11,23 @@
 // Quarantine is what this instance tells, and knows by itself, of requests that crash
 // upstreams; what all know of them is in the view.
 type Quarantine interface {
-	// Crashed tells that an upstream has crashed at a time of clock.Now, and what was under
+	// RecordCrash tells that an upstream has crashed at a time of clock.Now, and what was under
 	// way there.
-	Crashed(upstream uint64, at time.Time, underWay []quarantine.Attempt)
-	// Succeeded notes that an upstream ran a request to its end, Alive that one has answered that
-	// was told to have crashed. Successes of large requests are noted after Watch, as long as
-	// Watching says.
-	Watch()
-	Watching() bool
-	Succeeded(f quarantine.Fingerprint)
-	Alive(upstream uint64)
+	RecordCrash(upstream uint64, at time.Time, underWay []quarantine.Attempt)
+	// RecordSuccess notes that an upstream ran a request to its end, RetractCrash that one has answered that
+	// was told to have crashed. Successes of large requests are noted after TrackLarge, as long as
+	// TracksLarge says.
+	TrackLarge()
+	TracksLarge() bool
+	RecordSuccess(f quarantine.Fingerprint)
+	RetractCrash(upstream uint64)
 	// Idle reports whether this instance suspects nothing by itself.
 	Idle() bool
 	Suspects(f quarantine.Fingerprint) bool
-	Holds(f quarantine.Fingerprint) bool
-	// Trial asks for the trial of a quarantined request, ReturnTrial gives it back unused.
+	Blocks(f quarantine.Fingerprint) bool
+	// Trial asks for the trial of a quarantined request, CancelTrial gives it back unused.
 	Trial(ctx context.Context, f quarantine.Fingerprint) bool
-	ReturnTrial(ctx context.Context, f quarantine.Fingerprint)
+	CancelTrial(ctx context.Context, f quarantine.Fingerprint)
 }
 
 const (
@@ -73,7 +73,7 @@
 	f := r.fingerprint()
 	q := s.cfg.State.View().Quarantine
 	held, quarantined := q.Held(f)
-	return standing{q.Suspects(f) || s.cfg.Quarantine.Suspects(f), quarantined || s.cfg.Quarantine.Holds(f), held.Trial, held.Final}
+	return standing{q.Suspects(f) || s.cfg.Quarantine.Suspects(f), quarantined || s.cfg.Quarantine.Blocks(f), held.Trial, held.Final}
 }
 
 // screen decides whether a request may be sent to an upstream; nil means yes. It notes whether
@@ -118,7 +118,7 @@
 	s.running.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), trialTimeout)
 		defer cancel()
-		s.cfg.Quarantine.ReturnTrial(ctx, f)
+		s.cfg.Quarantine.CancelTrial(ctx, f)
 	})
 }
 
@@ -135,9 +135,9 @@
 		return
 	}
 	if a.up.losses.alive(a.begun) {
-		s.cfg.Quarantine.Alive(a.up.begun)
+		s.cfg.Quarantine.RetractCrash(a.up.begun)
 	}
-	if len(a.r.body) <= smallBody || s.cfg.Quarantine.Watching() {
-		s.cfg.Quarantine.Succeeded(a.r.fingerprint())
+	if len(a.r.body) <= smallBody || s.cfg.Quarantine.TracksLarge() {
+		s.cfg.Quarantine.RecordSuccess(a.r.fingerprint())
 	}
 }
--- a/instance/relay/quarantine_test.go
+++ b/instance/relay/quarantine_test.go
@@ -27,7 +27,7 @@
 	returned  int
 }
 
-func (q *fakeQuarantine) Crashed(upstream uint64, _ time.Time, underWay []quarantine.Attempt) {
+func (q *fakeQuarantine) RecordCrash(upstream uint64, _ time.Time, underWay []quarantine.Attempt) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.crashed == nil {
@@ -36,25 +36,25 @@
 	q.crashed[upstream] = append(q.crashed[upstream], underWay...)
 }
 
-func (q *fakeQuarantine) Succeeded(f quarantine.Fingerprint) {
+func (q *fakeQuarantine) RecordSuccess(f quarantine.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.succeeded = append(q.succeeded, f)
 }
 
-func (q *fakeQuarantine) Watch() {
+func (q *fakeQuarantine) TrackLarge() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.watching = true
 }
 
-func (q *fakeQuarantine) Watching() bool {
+func (q *fakeQuarantine) TracksLarge() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.watching
 }
 
-func (q *fakeQuarantine) Alive(upstream uint64) {
+func (q *fakeQuarantine) RetractCrash(upstream uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.alive = append(q.alive, upstream)
@@ -72,7 +72,7 @@
 	return q.suspects[f]
 }
 
-func (q *fakeQuarantine) Holds(quarantine.Fingerprint) bool { return false }
+func (q *fakeQuarantine) Blocks(quarantine.Fingerprint) bool { return false }
 
 func (q *fakeQuarantine) Trial(context.Context, quarantine.Fingerprint) bool {
 	q.mu.Lock()
@@ -81,7 +81,7 @@
 	return q.trials >= 0
 }
 
-func (q *fakeQuarantine) ReturnTrial(context.Context, quarantine.Fingerprint) {
+func (q *fakeQuarantine) CancelTrial(context.Context, quarantine.Fingerprint) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.returned++
--- a/instance/roles/duties.go
+++ b/instance/roles/duties.go
@@ -46,12 +46,12 @@
 		if orders != nil {
 			// A copy: what the settings say is compared with what they say later.
 			known := *orders
-			known.Look = state.Scalable
+			known.Services = state.ScalableServices
 			orders = &known
 		}
 		client := upstream.New(upstream.Config{DialTimeout: providerDial, FirstByte: duty.DefaultCallTimeout})
 		s := duty.New(duty.Config{
-			Instance: p.cfg.Instance, Machine: p.cfg.Peer, Agreed: state.Agreed, Provider: p.dialect.Provider(d.Provider, client),
+			Instance: p.cfg.Instance, Peer: p.cfg.Peer, Agreed: state.Agreed, Provider: p.dialect.Provider(d.Provider, client),
 			Usage: d.Usage, Scale: orders, Lease: d.Lease, PerSecond: d.PerSecond, Log: p.log,
 			Group: func() duty.Group {
 				if g := state.replica(); g != nil {
