--- a/instance/schedule/bench_test.go
+++ b/instance/schedule/bench_test.go
@@ -11,9 +11,8 @@
 	"github.com/comfreyladder/comfreyladder/core/sched"
 )
 
-// BenchmarkRemoteRequest is one request of a follower, from Acquire to Done,
-// with the bytes of the messages that it takes, both ways, without the
-// envelopes of the links.
+// BenchmarkRemoteRequest measures one request of a follower from Acquire to Done, and the
+// size of its messages in both directions without the envelopes of the links.
 func BenchmarkRemoteRequest(b *testing.B) {
 	d := newDomain(b, 64, "a", "b", "c")
 	name := d.follower()
--- a/instance/schedule/fault_test.go
+++ b/instance/schedule/fault_test.go
@@ -13,8 +13,8 @@
 	"github.com/comfreyladder/comfreyladder/instance/schedule"
 )
 
-// cut cuts an instance off: nothing reaches it or comes from it.
-func (d *domain) cut(name string) {
+// partition partitions an instance: all messages from and to it are lost.
+func (d *domain) partition(name string) {
 	d.net.setLose(func(from, to, _ string) bool { return from == name || to == name })
 }
 
@@ -28,12 +28,12 @@
 	return out
 }
 
-// deputy is who schedules while the elected one is silent.
+// deputy returns the instance that schedules while the elected one is unresponsive.
 func (d *domain) deputy(elected string) string { return schedule.Elect(d.without(elected)) }
 
-// follows returns whom the instances follow, the deputy itself included; empty while
-// they don't agree.
-func (d *domain) follows(names ...string) string {
+// agreedScheduler returns the scheduler that all given instances follow, including the deputy
+// itself, or "" while they disagree.
+func (d *domain) agreedScheduler(names ...string) string {
 	agreed := ""
 	for _, name := range names {
 		st := d.services[name].Status()
@@ -45,7 +45,7 @@
 	return agreed
 }
 
-// acquireInto acquires in the background.
+// acquireInto acquires a grant in the background.
 func (d *domain) acquireInto(got chan<- *schedule.Grant, name string) {
 	tk := d.ticket("draft")
 	go func() {
@@ -54,19 +54,19 @@
 	}()
 }
 
-// Requests hang, or slots stay taken, after the death of one instance.
-// The scheduler dies with grants of the others in flight and tickets queued. Its
-// successor must count those grants before it gives new ones, and must serve the
-// queued tickets without their callers' doing.
-func TestSchedulerDiesWithGrantsInFlight(t *testing.T) {
+// Guards against requests that hang, or slots that stay taken, after one instance fails.
+// The scheduler fails while other instances have grants in flight and tickets queued. Its
+// successor must count those grants before it issues new ones, and must serve the queued
+// tickets without action by their callers.
+func TestSchedulerFailsWithGrantsInFlight(t *testing.T) {
 	d := newDomain(t, 2, "a", "b", "c")
 	dead := d.scheduler()
 	live := d.without(dead)
 	held := []*schedule.Grant{d.acquire(live[0]), d.acquire(live[1])}
-	waiting := d.later(live[0])
+	waiting := d.acquireAsync(live[0])
 	d.Eventually(func() int { return d.services[live[0]].Status().Waiting }).Should(Equal(1))
 
-	d.cut(dead)
+	d.partition(dead)
 	d.net.setMembers(live...)
 	d.Eventually(d.scheduler).Should(BeElementOf(live[0], live[1]))
 	successor := d.scheduler()
@@ -80,11 +80,11 @@
 	d.Eventually(d.inFlight(successor)).Should(Equal(0))
 }
 
-// An engine gets more requests than it has slots, and urgent work waits there.
-// The scheduler dies while one instance has all slots taken. Another instance notices
-// the silence seconds before the members are told of the death, and grants itself its
-// share of slots that are in use.
-func TestNobodyGrantsOnTopOfOthersBeforeTheMembersKnowOfTheDeath(t *testing.T) {
+// Guards against more requests on an engine than it has slots, which delays urgent work.
+// The scheduler fails while one instance holds all slots. Another instance detects this
+// seconds before the member list shows it, and must not grant itself a share of slots that
+// are in use.
+func TestSlotLimitHoldsBeforeMembersDetectSchedulerFailure(t *testing.T) {
 	d := newDomain(t, 3, "a", "b", "c")
 	dead := d.scheduler()
 	live := d.without(dead)
@@ -92,9 +92,9 @@
 	for range 3 {
 		held = append(held, d.acquire(live[0]))
 	}
-	d.cut(dead)
-	waiting := d.later(live[1])
-	d.Eventually(func() bool { return d.follows(live...) == d.deputy(dead) }).Should(BeTrue())
+	d.partition(dead)
+	waiting := d.acquireAsync(live[1])
+	d.Eventually(func() bool { return d.agreedScheduler(live...) == d.deputy(dead) }).Should(BeTrue())
 	d.Eventually(d.inFlight(d.deputy(dead))).Should(Equal(3))
 	d.Consistently(waiting, "300ms").ShouldNot(Receive(), "all three slots are taken")
 
@@ -105,25 +105,25 @@
 	d.Eventually(d.inFlight(d.deputy(dead))).Should(Equal(0))
 }
 
-// Requests wait for ever although engines idle: the link to the scheduler fell
-// silent, and no other member is elected, since the scheduler itself is alive.
-// A deputy stands in with all slots, and gives them back later.
-func TestDeputyStandsInWhileTheSchedulerIsSilent(t *testing.T) {
+// Guards against requests that wait forever while engines are idle. The link to the
+// scheduler fails, and no other member is elected because the scheduler itself is alive.
+// The deputy must schedule with all slots and later hand them back.
+func TestDeputySchedulesWhileSchedulerIsUnresponsive(t *testing.T) {
 	d := newDomain(t, 3, "a", "b", "c")
 	silent := d.scheduler()
 	live := d.without(silent)
-	d.cut(silent)
+	d.partition(silent)
 	got := make(chan *schedule.Grant, 4)
 	for _, name := range []string{live[0], live[0], live[1], live[1]} {
 		d.acquireInto(got, name)
 	}
 	held := []*schedule.Grant{<-got, <-got, <-got}
 	d.Consistently(got, "100ms").ShouldNot(Receive(), "the engine has three slots")
-	d.Expect(d.follows(live...)).To(Equal(d.deputy(silent)))
+	d.Expect(d.agreedScheduler(live...)).To(Equal(d.deputy(silent)))
 	d.Expect(d.inFlight(d.deputy(silent))()).To(Equal(3))
 
 	d.net.setLose(nil)
-	d.Eventually(func() string { return d.follows(live...) }).Should(Equal(silent))
+	d.Eventually(func() string { return d.agreedScheduler(live...) }).Should(Equal(silent))
 	held[0].Done(done)
 	fourth := <-got
 	d.Eventually(d.inFlight(silent)).Should(Equal(3))
@@ -133,10 +133,10 @@
 	d.Eventually(d.inFlight(silent)).Should(Equal(0))
 }
 
-// The same where one instance alone has lost its link to the scheduler: the deputy
-// hears the scheduler and does not stand in. The instance then schedules for itself
-// on its share, and goes back later.
-func TestInstanceSchedulesAloneWhereTheDeputyHearsTheScheduler(t *testing.T) {
+// The same, when a single instance has lost its link to the scheduler: the deputy still
+// reaches the scheduler and does not replace it. The instance then schedules for itself on
+// its share, and later follows the scheduler again.
+func TestInstanceSchedulesAloneIfDeputyReachesScheduler(t *testing.T) {
 	d := newDomain(t, 3, "a", "b", "c")
 	elected := d.scheduler()
 	deputy := d.deputy(elected)
@@ -165,21 +165,21 @@
 	d.Eventually(d.inFlight(elected)).Should(Equal(0))
 }
 
-// An engine serves fewer requests each day until the scheduler is restarted.
-// Instances die with grants in flight that nobody will ever end.
-func TestGrantsOfADeadInstanceEndWithItsLease(t *testing.T) {
+// Guards against slots that leak until the scheduler restarts: instances crash with grants
+// in flight that nobody will ever end.
+func TestGrantsOfFailedInstanceEndWithItsLease(t *testing.T) {
 	d := newDomain(t, 1, "a", "b", "c")
 	dead := d.follower()
 	d.acquire(dead)
 	elected := d.scheduler()
 	d.Expect(d.inFlight(elected)()).To(Equal(1))
-	d.cut(dead)
+	d.partition(dead)
 	d.Eventually(d.inFlight(elected)).Should(Equal(0))
 	d.acquire(elected).Done(done)
 }
 
-// One request hangs for ever while others pass it, and its slot stays taken.
-// The message with its grant was lost on a link that was just being replaced.
+// Guards against a request that hangs forever and keeps its slot: the message with its
+// grant was lost on a link that was being replaced.
 func TestLostGrantIsRepeated(t *testing.T) {
 	d := newDomain(t, 1, "a", "b", "c")
 	name := d.follower()
@@ -198,8 +198,8 @@
 	d.Eventually(d.inFlight(d.scheduler())).Should(Equal(0))
 }
 
-// The same for the ticket on its way, and for the end of a grant.
-func TestLostTicketsAndEndsAreRepeated(t *testing.T) {
+// The same for lost tickets and for lost ends of grants.
+func TestLostTicketsAndFinishesAreRepeated(t *testing.T) {
 	d := newDomain(t, 1, "a", "b", "c")
 	name := d.follower()
 	rnd := rand.New(rand.NewSource(1))
@@ -212,10 +212,10 @@
 	d.Eventually(d.inFlight(d.scheduler())).Should(Equal(0))
 }
 
-// After a bad night some requests still wait and an engine has lost slots.
-// The scheduler changes again and again, links lose messages, callers give up at
-// any moment. In the end each request was answered once and no slot is taken.
-func TestNothingIsLostWhileTheSchedulerKeepsChanging(t *testing.T) {
+// Guards against hanging requests and leaked slots while the scheduler changes repeatedly,
+// links lose messages and callers cancel at any moment. In the end each request has been
+// answered once and no slot is taken.
+func TestNoRequestOrSlotIsLostWhileSchedulerChanges(t *testing.T) {
 	d := newDomain(t, 4, "a", "b", "c")
 	rnd := rand.New(rand.NewSource(7))
 	d.net.setLose(func(string, string, string) bool { return rnd.Intn(10) == 0 })
@@ -251,10 +251,9 @@
 	d.Eventually(func() int { return d.inFlight(d.scheduler())() }).Should(Equal(0))
 }
 
-// Answers crawl on a slow engine for a while after each death of a scheduler.
-// A follower takes the role over and knows of no engine how fast it is, although
-// requests of its own ran there all the time.
-func TestSuccessorKnowsWhatItLearnedAsAFollower(t *testing.T) {
+// Guards against a new scheduler that has no measurements of the engines, and so uses slow
+// ones, although its own requests as a follower have measured them.
+func TestSuccessorKeepsMeasurementsMadeAsFollower(t *testing.T) {
 	d := newDomain(t, 4, "a", "b", "c")
 	dead := d.scheduler()
 	live := d.without(dead)
@@ -265,7 +264,7 @@
 		g.Progress(16)
 		g.Done(done)
 	}
-	d.cut(dead)
+	d.partition(dead)
 	d.net.setMembers(live...)
 	d.Eventually(d.scheduler).Should(BeElementOf(live[0], live[1]))
 	known := d.services[d.scheduler()].Status().Domain.Upstreams
--- a/instance/schedule/grant.go
+++ b/instance/schedule/grant.go
@@ -8,61 +8,62 @@
 )
 
 const (
-	// progressStep is the count of tokens between two notes of progress: often
-	// enough to charge long answers while they run, rarely enough to cost
-	// nothing.
-	progressStep = 64
-	// firstProgress is the count of tokens of the first note, or leastProgress
-	// after firstWait; progressWait is the longest time between two notes of a
-	// stream that moves. They let the scheduler see within a second or two that
-	// an engine has become slow; a stream at the wanted 29 ms between tokens is
-	// never that late.
-	firstProgress = 8
-	leastProgress = 5
-	firstWait     = 300 * time.Millisecond
-	progressWait  = 2 * time.Second
+	// progressStepTokens is the number of tokens between two progress events. It is small
+	// enough to charge long answers while they run, and large enough to keep the cost of
+	// the events negligible.
+	progressStepTokens = 64
+	// The first progress event is sent after firstProgressTokens tokens, or after
+	// minFirstProgressTokens tokens once firstProgressDelay has passed. Later,
+	// maxProgressInterval is the longest time between two events while tokens arrive. The
+	// scheduler thus detects a slow engine within one to two seconds. A stream with the
+	// target of 29 ms between tokens reaches firstProgressTokens before
+	// firstProgressDelay.
+	firstProgressTokens    = 8
+	minFirstProgressTokens = 5
+	firstProgressDelay     = 300 * time.Millisecond
+	maxProgressInterval    = 2 * time.Second
 )
 
-// Grant lets a request be sent to an upstream. Done must be called exactly when
-// the attempt ended; further calls do nothing.
+// Grant permits sending a request to an upstream. Done must be called when the attempt has
+// ended; further calls have no effect.
 type Grant struct {
 	sched.Grant
 	s *Service
 
-	mu      sync.Mutex
-	started bool
-	ended   bool
-	noted   int
-	notedAt time.Time
+	mu             sync.Mutex
+	started        bool
+	ended          bool
+	reportedTokens int
+	reportedAt     time.Time
 }
 
-// FirstToken notes that the first token arrived.
+// FirstToken reports that the first token arrived.
 func (g *Grant) FirstToken() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.started || g.ended {
 		return
 	}
-	g.started, g.notedAt = true, time.Now()
-	g.note(event{Kind: eventStarted, ID: g.ID})
+	g.started, g.reportedAt = true, time.Now()
+	g.report(event{Kind: eventStarted, ID: g.ID})
 }
 
-// Progress notes how many tokens arrived so far.
+// Progress reports how many tokens have arrived so far.
 func (g *Grant) Progress(tokens int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.ended || !g.worthNoting(tokens, time.Now()) {
+	if g.ended || !g.shouldReport(tokens, time.Now()) {
 		return
 	}
-	g.noted, g.notedAt = tokens, time.Now()
-	g.note(event{Kind: eventProgress, ID: g.ID, Tokens: tokens})
+	g.reportedTokens, g.reportedAt = tokens, time.Now()
+	g.report(event{Kind: eventProgress, ID: g.ID, Tokens: tokens})
 }
 
-func (g *Grant) worthNoting(tokens int, now time.Time) bool {
-	if g.noted == 0 {
-		return tokens >= firstProgress || tokens >= leastProgress && now.Sub(g.notedAt) >= firstWait
+func (g *Grant) shouldReport(tokens int, now time.Time) bool {
+	if g.reportedTokens == 0 {
+		return tokens >= firstProgressTokens || tokens >= minFirstProgressTokens && now.Sub(g.reportedAt) >= firstProgressDelay
 	}
-	return tokens >= g.noted+progressStep || now.Sub(g.notedAt) >= progressWait
+	return tokens >= g.reportedTokens+progressStepTokens || now.Sub(g.reportedAt) >= maxProgressInterval
 }
 
 // Done ends the grant and frees its slot.
@@ -73,9 +74,9 @@
 		return
 	}
 	g.ended = true
-	g.note(event{Kind: eventFinish, ID: g.ID, Outcome: o})
+	g.report(event{Kind: eventFinish, ID: g.ID, Outcome: o})
 }
 
-func (g *Grant) note(e event) {
-	g.s.post(func(now time.Time) { g.s.state.note(now, e) })
+func (g *Grant) report(e event) {
+	g.s.enqueue(func(now time.Time) { g.s.state.recordEvent(now, e) })
 }
--- a/instance/schedule/message.go
+++ b/instance/schedule/message.go
@@ -14,12 +14,12 @@
 const (
 	// channelUp carries tickets and events to the domain's scheduler.
 	channelUp = "schedule.up"
-	// channelDown carries grants and refusals back.
+	// channelDown carries grants and refusals to the other instances.
 	channelDown = "schedule.down"
 )
 
-// Tickets, grants and events travel as arrays: they come with each request, and
-// the names of their fields would be a fifth of them.
+// Tickets, grants and events are encoded as arrays: they are sent for each request, and
+// field names would make up a fifth of their size.
 
 type eventKind int
 
@@ -30,31 +30,31 @@
 	eventFinish
 )
 
-// event tells the scheduler what became of a ticket.
+// event reports a change of a ticket to the scheduler.
 type event struct {
 	wire.Array
 	Kind    eventKind
 	ID      string
 	Tokens  int
 	Outcome sched.Outcome
-	// Age is how long ago it happened, in milliseconds.
+	// Age is the time between the event and the departure of the message, in milliseconds.
 	Age int64
 	at  time.Time
 }
 
-// maxAge bounds the age of an event; older ones come from a defect.
-const maxAge = 10 * time.Second
+// maxEventAge bounds the age of an event. A greater age can only come from a defect.
+const maxEventAge = 10 * time.Second
 
-// happened returns when an event that came with a message happened.
-func (e event) happened(now time.Time) time.Time {
-	return now.Add(-min(max(millis(e.Age), 0), maxAge))
+// occurredAt returns when a received event occurred.
+func (e event) occurredAt(now time.Time) time.Time {
+	return now.Add(-min(max(millis(e.Age), 0), maxEventAge))
 }
 
-// urgent reports whether somebody may wait for the scheduler to know.
+// urgent reports whether others may be waiting until the scheduler knows of the event.
 func (e event) urgent() bool { return e.Kind == eventCancel || e.Kind == eventFinish }
 
-// flight is a grant in flight, told to a successor.
-type flight struct {
+// inFlightGrant describes a grant in flight to a new scheduler.
+type inFlightGrant struct {
 	wire.Array
 	Ticket   ticketMessage
 	Upstream string
@@ -62,33 +62,33 @@
 	Started  bool
 }
 
-// upMessage goes to the scheduler. Its parts apply in the order of the fields.
+// upMessage goes to the scheduler. Its parts are applied in the order of the fields.
 type upMessage struct {
-	// Full says that Flights and Submits list all that the instance has.
-	Full    bool            `codec:"f,omitempty"`
-	Flights []flight        `codec:"g,omitempty"`
-	Submits []ticketMessage `codec:"s,omitempty"`
-	Events  []event         `codec:"e,omitempty"`
-	// Beat asks for an acknowledgement and carries digests of what the instance
-	// waits for and has in flight, by which the scheduler finds losses.
-	Beat    bool   `codec:"b,omitempty"`
-	Waiting digest `codec:"w,omitempty"`
-	Flying  digest `codec:"y,omitempty"`
+	// Full means that InFlightGrants and Submits are the complete state of the instance.
+	Full           bool            `codec:"f,omitempty"`
+	InFlightGrants []inFlightGrant `codec:"g,omitempty"`
+	Submits        []ticketMessage `codec:"s,omitempty"`
+	Events         []event         `codec:"e,omitempty"`
+	// Beat requests an acknowledgement and carries digests of the queued tickets and the
+	// grants in flight, by which the scheduler detects lost messages.
+	Beat     bool   `codec:"b,omitempty"`
+	Waiting  digest `codec:"w,omitempty"`
+	InFlight digest `codec:"y,omitempty"`
 }
 
 func (m *upMessage) empty() bool {
-	return !m.Full && !m.Beat && len(m.Flights)+len(m.Submits)+len(m.Events) == 0
+	return !m.Full && !m.Beat && len(m.InFlightGrants)+len(m.Submits)+len(m.Events) == 0
 }
 
-// urgent reports whether the message should go out at once. First tokens and
-// progress of streams can wait for others: they are most of the events, and each
-// message costs 30 bytes besides what it says.
+// urgent reports whether the message must be sent immediately. First tokens and progress
+// of streams are collected: they are the majority of the events, and each message has an
+// overhead of 30 bytes.
 func (m *upMessage) urgent() bool {
-	return m.Full || m.Beat || len(m.Flights)+len(m.Submits) > 0 || slices.ContainsFunc(m.Events, event.urgent)
+	return m.Full || m.Beat || len(m.InFlightGrants)+len(m.Submits) > 0 || slices.ContainsFunc(m.Events, event.urgent)
 }
 
-// stamp says how old the events are as they leave.
-func (m *upMessage) stamp(now time.Time) {
+// setAges sets the ages of the events before the message is sent.
+func (m *upMessage) setAges(now time.Time) {
 	for i := range m.Events {
 		if e := &m.Events[i]; !e.at.IsZero() {
 			e.Age = now.Sub(e.at).Milliseconds()
@@ -96,18 +96,18 @@
 	}
 }
 
-// downMessage goes from the scheduler to an instance; an empty one acknowledges
-// a beat.
+// downMessage goes from the scheduler to an instance. An empty one acknowledges a
+// heartbeat.
 type downMessage struct {
 	Grants []grantMessage `codec:"g,omitempty"`
 	Sheds  []sched.Shed   `codec:"s,omitempty"`
-	// Resync asks for a Full message.
+	// Resync requests a Full message.
 	Resync bool `codec:"r,omitempty"`
-	// NotScheduler says that the sender is not the scheduler by its own view.
+	// NotScheduler means that the sender does not consider itself the scheduler.
 	NotScheduler bool `codec:"n,omitempty"`
 }
 
-// digest stands for a set of IDs, whatever their order.
+// digest summarises a set of IDs independently of their order.
 type digest struct {
 	Count int    `codec:"c,omitempty"`
 	Hash  uint64 `codec:"h,omitempty"`
--- a/instance/schedule/pack.go
+++ b/instance/schedule/pack.go
@@ -11,24 +11,24 @@
 	"github.com/comfreyladder/comfreyladder/core/wire"
 )
 
-// shortLength is the length of a ticket's ID between instances.
-const shortLength = 8
+// shortIDLength is the length of a ticket ID in messages, in bytes.
+const shortIDLength = 8
 
-// shortID stands for a ticket's ID: IDs made of an instance's name and a random
-// part take 45 bytes, and each message about the ticket carries it. IDs differ
-// also between starts of an instance; 64 bits of their hash are enough to tell
-// the few thousand tickets of a domain apart.
+// shortID shortens a ticket ID. IDs made of an instance's name and a random part take 45
+// bytes, and each message about the ticket carries the ID. IDs also differ between starts
+// of an instance. 64 bits of their hash suffice to distinguish the few thousand tickets
+// of a domain.
 func shortID(id string) string {
-	if len(id) <= shortLength {
+	if len(id) <= shortIDLength {
 		return id
 	}
-	var b [shortLength]byte
+	var b [shortIDLength]byte
 	binary.BigEndian.PutUint64(b[:], xxhash.Sum64String(id))
 	return string(b[:])
 }
 
-// ticketMessage is a ticket on its way. Clocks of instances differ, so that
-// times travel as durations, in milliseconds.
+// ticketMessage is the encoded form of a ticket. Because the clocks of instances differ,
+// times are sent as durations in milliseconds.
 type ticketMessage struct {
 	wire.Array
 	ID           string
@@ -39,9 +39,9 @@
 	MaxTokens    int
 	Prefixes     prefixes
 	Age          int64
-	// Left is the time to the deadline; 0 means that there is none.
-	Left     int64
-	Excluded []string
+	// Remaining is the time to the deadline, 0 if there is none.
+	Remaining int64
+	Excluded  []string
 }
 
 func packTicket(t sched.Ticket, now time.Time) ticketMessage {
@@ -50,7 +50,7 @@
 		Prefixes: packPrefixes(t.PrefixHashes), Age: now.Sub(t.Arrived).Milliseconds(), Excluded: t.Excluded,
 	}
 	if !t.Deadline.IsZero() {
-		m.Left = max(t.Deadline.Sub(now).Milliseconds(), 1)
+		m.Remaining = max(t.Deadline.Sub(now).Milliseconds(), 1)
 	}
 	return m
 }
@@ -60,8 +60,8 @@
 		ID: m.ID, Instance: from, Organisation: m.Organisation, Class: m.Class, Model: m.Model, PromptTokens: m.PromptTokens,
 		MaxTokens: m.MaxTokens, PrefixHashes: m.Prefixes.unpack(), Arrived: now.Add(-millis(m.Age)), Excluded: m.Excluded,
 	}
-	if m.Left > 0 {
-		t.Deadline = now.Add(millis(m.Left))
+	if m.Remaining > 0 {
+		t.Deadline = now.Add(millis(m.Remaining))
 	}
 	return t
 }
@@ -70,27 +70,27 @@
 
 const (
 	hashLength = 8
-	// maxPrefixes is how many prefixes of a prompt travel with its ticket. All
-	// of a long prompt's, up to 64, took more than half a kilobyte.
+	// maxPrefixes is how many prefixes of a prompt are sent with its ticket. All prefixes
+	// of a long prompt, up to 64, take more than half a kilobyte.
 	maxPrefixes = 6
-	// maxBlocks bounds what a garbled message can make the receiver allocate.
+	// maxBlocks bounds what the receiver allocates for a corrupt message.
 	maxBlocks = 1024
 )
 
-// prefixes are some of a prompt's prefixes: the whole, and those that end after
-// as many blocks as a power of two or one and a half times that. Prompts of
-// unlike length that share a beginning so name the same ones of it.
+// prefixes holds a selection of a prompt's prefixes: the whole prompt, and the prefixes
+// whose length in blocks is a power of two or one and a half times a power of two. Prompts
+// of different length that share a beginning thus select the same prefixes of it.
 type prefixes struct {
 	wire.Array
 	// Blocks is how many prefixes the prompt has.
 	Blocks int
-	// Hashes are those that travel, the longest first, eight bytes each.
+	// Hashes are those of the selected prefixes, the longest first, eight bytes each.
 	Hashes []byte
 }
 
-// keptBlocks returns which prefixes of a prompt travel, by their length in
-// blocks, the longest first.
-func keptBlocks(blocks int) []int {
+// sentBlocks returns which prefixes of a prompt are sent, by their length in blocks, the
+// longest first.
+func sentBlocks(blocks int) []int {
 	if blocks <= 0 {
 		return nil
 	}
@@ -101,8 +101,8 @@
 	return kept
 }
 
-// floorStep returns the greatest of 1, 2, 3, 4, 6, 8, 12, 16 and so on that is
-// not above n; 0 when there is none.
+// floorStep returns the greatest of 1, 2, 3, 4, 6, 8, 12, 16 and so on that is not above
+// n, or 0 if there is none.
 func floorStep(n int) int {
 	if n < 1 {
 		return 0
@@ -119,17 +119,17 @@
 
 func packPrefixes(longestFirst []uint64) prefixes {
 	p := prefixes{Blocks: len(longestFirst)}
-	for _, blocks := range keptBlocks(p.Blocks) {
+	for _, blocks := range sentBlocks(p.Blocks) {
 		p.Hashes = binary.BigEndian.AppendUint64(p.Hashes, longestFirst[p.Blocks-blocks])
 	}
 	return p
 }
 
-// unpack returns as many prefixes as the prompt has. In the place of one that did
-// not travel stands the next longer one that did, so that the share of a prompt
-// that an engine holds is never made out to be larger than it is.
+// unpack returns as many hashes as the prompt has prefixes. A prefix that was not sent is
+// replaced by the next longer one that was, so that the share of a prompt that an engine
+// has cached is never overestimated.
 func (p prefixes) unpack() []uint64 {
-	kept := keptBlocks(p.Blocks)
+	kept := sentBlocks(p.Blocks)
 	if p.Blocks < 0 || p.Blocks > maxBlocks || len(p.Hashes) != len(kept)*hashLength {
 		return nil
 	}
@@ -149,7 +149,7 @@
 	return out
 }
 
-// grantMessage is a grant on its way; shares travel in thousandths and times in
+// grantMessage is the encoded form of a grant. Shares are in thousandths, times in
 // milliseconds.
 type grantMessage struct {
 	wire.Array
@@ -167,16 +167,16 @@
 	Slots      int
 }
 
-const mille = 1000
+const perMille = 1000
 
-func inMille(share float64) int { return int(math.Round(share * mille)) }
+func toPerMille(share float64) int { return int(math.Round(share * perMille)) }
 
 func packGrant(g sched.Grant) grantMessage {
 	x := g.Explain
 	return grantMessage{
 		ID: g.ID, Upstream: g.Upstream, Address: g.Address, Priority: g.Priority,
 		Waited: x.Waited.Milliseconds(), Expected: x.ExpectedWait.Milliseconds(), Floor: x.BelowFloor, Candidates: x.Candidates,
-		Score: inMille(x.Score), Prefix: inMille(x.CachedPrefix), InFlight: x.InFlight, Slots: x.Slots,
+		Score: toPerMille(x.Score), Prefix: toPerMille(x.CachedPrefix), InFlight: x.InFlight, Slots: x.Slots,
 	}
 }
 
@@ -185,7 +185,7 @@
 		ID: m.ID, Instance: to, Upstream: m.Upstream, Address: m.Address, Priority: m.Priority,
 		Explain: sched.Explanation{
 			Waited: millis(m.Waited), ExpectedWait: millis(m.Expected), BelowFloor: m.Floor, Candidates: m.Candidates,
-			Score: float64(m.Score) / mille, CachedPrefix: float64(m.Prefix) / mille, InFlight: m.InFlight, Slots: m.Slots,
+			Score: float64(m.Score) / perMille, CachedPrefix: float64(m.Prefix) / perMille, InFlight: m.InFlight, Slots: m.Slots,
 		},
 	}
 }
--- a/instance/schedule/pack_test.go
+++ b/instance/schedule/pack_test.go
@@ -13,8 +13,7 @@
 	"github.com/comfreyladder/comfreyladder/instance/link"
 )
 
-// held returns the share of a prompt that an engine is taken to hold: that of the
-// longest prefix found.
+// held returns the estimated cached share of a prompt: that of the longest prefix found.
 func held(longestFirst []uint64, cached map[uint64]bool) float64 {
 	i := slices.IndexFunc(longestFirst, func(h uint64) bool { return cached[h] })
 	if i < 0 {
@@ -23,9 +22,9 @@
 	return float64(len(longestFirst)-i) / float64(len(longestFirst))
 }
 
-// What travels of a prompt's prefixes must not make an engine look better than it
-// is, and must show the whole prompt and a half of it when they are held.
-func TestThinnedPrefixes(t *testing.T) {
+// The prefixes that are sent must not overestimate what an engine has cached, and must
+// identify the whole prompt and half of it if those are cached.
+func TestSentPrefixesDoNotOverestimateCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		blocks := rapid.IntRange(0, 64).Draw(t, "blocks")
@@ -52,19 +51,19 @@
 	})
 }
 
-func TestSharedBeginningsAreNamedAlike(t *testing.T) {
+func TestSharedBeginningsHaveCommonPrefixes(t *testing.T) {
 	g := NewWithT(t)
 	for long := 13; long <= 64; long++ {
-		g.Expect(keptBlocks(long)).To(ContainElement(floorStep(long / 2)))
+		g.Expect(sentBlocks(long)).To(ContainElement(floorStep(long / 2)))
 	}
-	g.Expect(keptBlocks(20)).To(Equal([]int{20, 16, 12, 8, 6, 4}))
-	g.Expect(keptBlocks(2)).To(Equal([]int{2, 1}))
+	g.Expect(sentBlocks(20)).To(Equal([]int{20, 16, 12, 8, 6, 4}))
+	g.Expect(sentBlocks(2)).To(Equal([]int{2, 1}))
 	g.Expect(prefixes{Blocks: 1 << 30, Hashes: make([]byte, maxPrefixes*hashLength)}.unpack()).To(BeEmpty())
 	g.Expect(prefixes{Blocks: 9, Hashes: make([]byte, 7)}.unpack()).To(BeEmpty())
 	g.Expect(prefixes{Blocks: -1}.unpack()).To(BeEmpty())
 }
 
-func TestMessagesKeepWhatMatters(t *testing.T) {
+func TestMessagesSurviveEncoding(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	ticket := sched.Ticket{
@@ -76,13 +75,13 @@
 		Explain: sched.Explanation{Waited: time.Second, ExpectedWait: 2 * time.Second, BelowFloor: true, Candidates: 4, Score: 0.625, CachedPrefix: 0.25, InFlight: 5, Slots: 6},
 	}
 	up := upMessage{Submits: []ticketMessage{packTicket(ticket, now)}, Events: []event{{Kind: eventProgress, ID: ticket.ID, Tokens: 64, at: now.Add(-30 * time.Millisecond)}}}
-	up.stamp(now)
+	up.setAges(now)
 	data, err := link.Encode(up)
 	g.Expect(err).NotTo(HaveOccurred())
 	var gotUp upMessage
 	g.Expect(link.Decode(data, &gotUp)).To(Succeed())
 	g.Expect(gotUp.Submits[0].unpack(now, "entry-1")).To(Equal(ticket))
-	g.Expect(gotUp.Events[0].happened(now)).To(Equal(now.Add(-30 * time.Millisecond)))
+	g.Expect(gotUp.Events[0].occurredAt(now)).To(Equal(now.Add(-30 * time.Millisecond)))
 	data, err = link.Encode(downMessage{Grants: []grantMessage{packGrant(grant)}})
 	g.Expect(err).NotTo(HaveOccurred())
 	var gotDown downMessage
@@ -95,7 +94,7 @@
 	seen := map[string]bool{}
 	for n := range 10_000 {
 		id := shortID(fmt.Sprintf("entry-1-0190a8b2-7c3d-7e4f-8a9b-%012d-1", n))
-		g.Expect(id).To(HaveLen(shortLength))
+		g.Expect(id).To(HaveLen(shortIDLength))
 		g.Expect(seen).NotTo(HaveKey(id))
 		seen[id] = true
 	}
--- a/instance/schedule/schedule_test.go
+++ b/instance/schedule/schedule_test.go
@@ -18,17 +18,17 @@
 	"github.com/comfreyladder/comfreyladder/instance/schedule"
 )
 
-// network joins instances in one process. Messages are encoded, keep their order
-// from one instance to another, and are lost while a filter says so.
+// network connects instances in one process. Messages are encoded, arrive in order between
+// two instances, and are dropped when the lose function says so.
 type network struct {
 	mu      sync.Mutex
 	members []string
-	nodes   map[string]*node
+	peers   map[string]*testPeer
 	lose    func(from, to, channel string) bool
 	count   func(bytes int)
 }
 
-type node struct {
+type testPeer struct {
 	net      *network
 	name     string
 	handlers map[string]schedule.Handler
@@ -39,24 +39,24 @@
 
 func (b body) Decode(v any) error { return codec.NewDecoderBytes(b, &codec.CborHandle{}).Decode(v) }
 
-func (n *node) Self() string { return n.name }
+func (n *testPeer) Self() string { return n.name }
 
-func (n *node) Members() []string {
+func (n *testPeer) Members() []string {
 	n.net.mu.Lock()
 	defer n.net.mu.Unlock()
 	return slices.Clone(n.net.members)
 }
 
-func (n *node) Handle(channel string, h schedule.Handler) { n.handlers[channel] = h }
+func (n *testPeer) Handle(channel string, h schedule.Handler) { n.handlers[channel] = h }
 
-func (n *node) Send(to, channel string, msg any) error {
+func (n *testPeer) Send(to, channel string, msg any) error {
 	var data []byte
 	if err := codec.NewEncoderBytes(&data, &codec.CborHandle{}).Encode(msg); err != nil {
 		return err
 	}
 	n.net.mu.Lock()
 	defer n.net.mu.Unlock()
-	peer := n.net.nodes[to]
+	peer := n.net.peers[to]
 	if peer == nil || n.net.lose != nil && n.net.lose(n.name, to, channel) {
 		return nil
 	}
@@ -86,7 +86,7 @@
 	w.count = f
 }
 
-// domain is a set of instances before the same engines.
+// domain is a set of instances that share the same engines.
 type domain struct {
 	*GomegaWithT
 	t        testing.TB
@@ -95,8 +95,8 @@
 	next     int
 }
 
-var quick = schedule.Config{
-	Tick: 5 * time.Millisecond, Beat: 20 * time.Millisecond, Silence: 200 * time.Millisecond,
+var testConfig = schedule.Config{
+	Tick: 5 * time.Millisecond, Beat: 20 * time.Millisecond, SchedulerTimeout: 200 * time.Millisecond,
 	HandOver: 60 * time.Millisecond, Lease: 400 * time.Millisecond,
 	Policy: sched.Config{Headroom: 0.001},
 }
@@ -104,16 +104,16 @@
 func newDomain(t testing.TB, slots int, names ...string) *domain {
 	d := &domain{
 		GomegaWithT: NewWithT(t), t: t, services: map[string]*schedule.Service{},
-		net: &network{nodes: map[string]*node{}, members: names},
+		net: &network{peers: map[string]*testPeer{}, members: names},
 	}
 	d.SetDefaultEventuallyTimeout(10 * time.Second)
 	d.SetDefaultEventuallyPollingInterval(2 * time.Millisecond)
 	before := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, before) })
 	for _, name := range names {
-		n := &node{net: d.net, name: name, handlers: map[string]schedule.Handler{}, queue: make(chan func(), 10_000)}
-		d.net.nodes[name] = n
-		d.services[name] = schedule.New(quick, n)
+		n := &testPeer{net: d.net, name: name, handlers: map[string]schedule.Handler{}, queue: make(chan func(), 10_000)}
+		d.net.peers[name] = n
+		d.services[name] = schedule.New(testConfig, n)
 		go func() {
 			for f := range n.queue {
 				f()
@@ -139,7 +139,7 @@
 	return d
 }
 
-// scheduler returns the instance on whose election all live ones agree.
+// scheduler returns the elected scheduler, or "" while the live instances disagree.
 func (d *domain) scheduler() string {
 	d.net.mu.Lock()
 	members := slices.Clone(d.net.members)
@@ -184,8 +184,8 @@
 	return g
 }
 
-// later acquires in the background.
-func (d *domain) later(name string) chan *schedule.Grant {
+// acquireAsync acquires a grant in the background.
+func (d *domain) acquireAsync(name string) chan *schedule.Grant {
 	got := make(chan *schedule.Grant, 1)
 	t := d.ticket("draft")
 	go func() {
@@ -212,7 +212,7 @@
 	g := d.acquire("a")
 	g.FirstToken()
 	g.Progress(100)
-	waiting := d.later("a")
+	waiting := d.acquireAsync("a")
 	d.Eventually(func() int { return d.services["a"].Status().Waiting }).Should(Equal(1))
 	g.Done(done)
 	g.Done(done)
@@ -228,7 +228,7 @@
 	d.Expect(fault.CodeOf(err)).To(Equal(fault.Invalid))
 }
 
-func TestSlotsAreSharedExactlyByThreeInstances(t *testing.T) {
+func TestThreeInstancesShareAllSlots(t *testing.T) {
 	d := newDomain(t, 3, "a", "b", "c")
 	var held []*schedule.Grant
 	for _, name := range []string{"a", "b", "c"} {
@@ -236,7 +236,7 @@
 	}
 	var waiting []chan *schedule.Grant
 	for _, name := range []string{"a", "b", "c"} {
-		waiting = append(waiting, d.later(name))
+		waiting = append(waiting, d.acquireAsync(name))
 	}
 	elected := d.scheduler()
 	d.Eventually(func() int { return d.services[elected].Status().Domain.Classes[1].Queued }).Should(Equal(3))
@@ -250,9 +250,9 @@
 	d.Eventually(d.inFlight(elected)).Should(Equal(0))
 }
 
-// A slot stays taken for good each time a caller hangs up at a bad moment.
-// The caller gives up in the queue; the grant may come at the same moment.
-func TestCallerGivesUpInTheQueue(t *testing.T) {
+// Guards against a slot that is never freed. The caller cancels while queued, possibly at
+// the moment when the grant arrives.
+func TestCallerCancelsWhileQueued(t *testing.T) {
 	d := newDomain(t, 1, "a", "b", "c")
 	name := d.follower()
 	g := d.acquire(name)
@@ -279,7 +279,7 @@
 	d.Eventually(d.inFlight(d.scheduler())).Should(Equal(0))
 }
 
-func TestDeadlineInTheQueueIsTold(t *testing.T) {
+func TestDeadlineWhileQueuedIsReported(t *testing.T) {
 	d := newDomain(t, 1, "a", "b")
 	g := d.acquire("a")
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
@@ -290,9 +290,8 @@
 	g.Done(done)
 }
 
-// Callers see their connection cut during a restart.
-// A request is in flight when the drain begins; a drain that does not wait for
-// it lets the process end under it.
+// Guards against connections that are cut during a restart: a drain that does not wait for
+// requests in flight lets the process exit under them.
 func TestDrainWaitsForRequestsInFlight(t *testing.T) {
 	d := newDomain(t, 1, "a", "b")
 	g := d.acquire("a")
--- a/instance/schedule/service.go
+++ b/instance/schedule/service.go
@@ -1,15 +1,15 @@
-// Package schedule lets requests of this instance wait for a grant of an
-// upstream. One instance of the failure domain, elected by rendezvous hash over
-// the live ones, runs the domain's scheduler (core/sched); the others send it
-// tickets and events and get grants back. While it does not answer, the next in the
-// election stands in; an instance that reaches neither schedules for itself on its
-// share of the slots.
+// Package schedule queues the requests of this instance until an upstream is granted
+// to them. One instance of the failure domain, elected by rendezvous hash over the live
+// instances, runs the domain's scheduler (core/sched). The other instances send it
+// tickets and events and receive grants. While it does not answer, the next instance in
+// the election replaces it. An instance that reaches neither schedules its own requests
+// on its share of the slots.
 //
-// Scheduler state is soft. What was learned of engines and lengths is not lost
-// with it: followers learn from their own requests. Each instance knows its own tickets and grants and
-// repeats them to a new scheduler, which grants nothing for a short hand-over
-// time. Messages may be lost: digests in the heartbeats show it and lead to a
-// full exchange.
+// The scheduler state is not persisted. Measurements of engines and answer lengths
+// survive a change of scheduler, because followers record them from their own requests.
+// Each instance keeps its own tickets and grants and sends them to a new scheduler, which
+// issues no grants during a short hand-over time. Messages may be lost: heartbeats carry
+// digests that reveal a loss and trigger a full exchange.
 package schedule
 
 import (
@@ -25,50 +25,50 @@
 	"github.com/comfreyladder/comfreyladder/core/sched"
 )
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	// DefaultTick bounds how late an expired ticket is answered.
 	DefaultTick = 100 * time.Millisecond
 	// DefaultBeat is the interval of heartbeats to the scheduler.
 	DefaultBeat = 500 * time.Millisecond
-	// DefaultSilence is three missed heartbeats and some.
-	DefaultSilence = 2 * time.Second
-	// DefaultHandOver leaves the instances time for one message after they saw
-	// that the scheduler changed.
+	// DefaultSchedulerTimeout is slightly longer than three heartbeat intervals.
+	DefaultSchedulerTimeout = 2 * time.Second
+	// DefaultHandOver gives the instances time to send one message after they have
+	// detected a change of scheduler.
 	DefaultHandOver = time.Second
-	// DefaultLease is how long grants of a silent instance stay counted; it is
-	// longer than the engines' 2 s after which an unread stream is cancelled.
+	// DefaultLease is how long the grants of an unresponsive instance still count. It
+	// is longer than the 2 s after which engines cancel a stream that nobody reads.
 	DefaultLease = 5 * time.Second
 )
 
 const inboxSize = 1024
 
-// Config of a Service. Durations that are zero mean the defaults.
+// Config configures a Service. Zero durations select the defaults.
 type Config struct {
 	Policy sched.Config
-	// Seed seeds the choices that are random.
+	// Seed seeds the random choices.
 	Seed int64
 	Tick time.Duration
-	// Beat is the interval of heartbeats to the scheduler, Silence the time
-	// without any message from it after which its deputy is asked.
-	Beat, Silence time.Duration
-	// HandOver is how long a new scheduler listens before it grants, and the time
-	// without any message from a deputy after which the instance schedules for itself.
+	// Beat is the interval of heartbeats to the scheduler. SchedulerTimeout is the time
+	// without a message from the scheduler after which its deputy is used.
+	Beat, SchedulerTimeout time.Duration
+	// HandOver is how long a new scheduler collects state before it grants, and the time
+	// without a message from a deputy after which the instance schedules for itself.
 	HandOver time.Duration
-	// Lease is how long a silent instance's grants are kept.
+	// Lease is how long the grants of an unresponsive instance are kept.
 	Lease time.Duration
 }
 
 func (c Config) withDefaults() Config {
 	defaults.Set(&c.Tick, DefaultTick)
 	defaults.Set(&c.Beat, DefaultBeat)
-	defaults.Set(&c.Silence, DefaultSilence)
+	defaults.Set(&c.SchedulerTimeout, DefaultSchedulerTimeout)
 	defaults.Set(&c.HandOver, DefaultHandOver)
 	defaults.Set(&c.Lease, DefaultLease)
 	return c
 }
 
-// Service is the part of the scheduler that runs on each instance.
+// Service queues the requests of one instance and runs the domain's scheduler if elected.
 type Service struct {
 	cfg   Config
 	peers Peers
@@ -78,7 +78,7 @@
 	state *state
 }
 
-// New returns a service that is not started.
+// New returns a service that has not been started.
 func New(cfg Config, peers Peers) *Service {
 	cfg = cfg.withDefaults()
 	s := &Service{
@@ -86,47 +86,47 @@
 		inbox: make(chan func(time.Time), inboxSize), done: make(chan struct{}), ended: make(chan struct{}),
 	}
 	s.state = &state{
-		cfg: cfg, peers: peers, self: peers.Self(), rnd: rand.New(rand.NewSource(cfg.Seed)),
-		requests: map[string]*request{}, heard: map[string]time.Time{}, down: map[string]*downMessage{},
-		doc: &intent.Document{}, known: sched.NewEstimator(cfg.Policy),
+		cfg: cfg, peers: peers, self: peers.Self(), rng: rand.New(rand.NewSource(cfg.Seed)),
+		requests: map[string]*request{}, lastSeen: map[string]time.Time{}, down: map[string]*downMessage{},
+		doc: &intent.Document{}, estimator: sched.NewEstimator(cfg.Policy),
 	}
 	peers.Handle(channelUp, func(_ context.Context, from string, d Decoder) {
 		var m upMessage
 		if d.Decode(&m) == nil {
-			s.post(func(now time.Time) { s.state.receiveUp(now, from, &m) })
+			s.enqueue(func(now time.Time) { s.state.receiveUp(now, from, &m) })
 		}
 	})
 	peers.Handle(channelDown, func(_ context.Context, from string, d Decoder) {
 		var m downMessage
 		if d.Decode(&m) == nil {
-			s.post(func(now time.Time) { s.state.receiveDown(now, from, &m) })
+			s.enqueue(func(now time.Time) { s.state.receiveDown(now, from, &m) })
 		}
 	})
 	return s
 }
 
-// Start runs the service's goroutine.
+// Start starts the service's goroutine.
 func (s *Service) Start(context.Context) error {
 	go s.run()
 	return nil
 }
 
-// Stop ends the goroutine; requests that still wait end with fault.Draining.
+// Stop ends the goroutine. Requests that are still queued fail with fault.Draining.
 func (s *Service) Stop(ctx context.Context) error {
 	close(s.done)
 	select {
 	case <-s.ended:
 		return nil
 	case <-ctx.Done():
-		return fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "the scheduler's goroutine still runs")
+		return fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "the scheduler's goroutine is still running")
 	}
 }
 
-// Drain refuses new requests and returns when those that wait or are in flight
-// have ended; it fails with fault.DeadlineExceeded when ctx ends before.
+// Drain refuses new requests and returns once all queued and in-flight requests have
+// ended. It fails with fault.DeadlineExceeded if ctx ends first.
 func (s *Service) Drain(ctx context.Context) error {
 	idle := make(chan struct{})
-	s.post(func(time.Time) { s.state.drain(idle) })
+	s.enqueue(func(time.Time) { s.state.drain(idle) })
 	select {
 	case <-idle:
 		return nil
@@ -137,33 +137,33 @@
 	}
 }
 
-// SetIntent puts classes and organisations in force.
+// SetIntent applies the classes and organisations of doc.
 func (s *Service) SetIntent(doc *intent.Document) {
-	s.post(func(now time.Time) { s.state.setIntent(now, doc) })
+	s.enqueue(func(now time.Time) { s.state.setIntent(now, doc) })
 }
 
-// SetUpstreams replaces the view of the domain's model engines.
+// SetUpstreams replaces the list of the domain's model engines.
 func (s *Service) SetUpstreams(list []sched.Upstream) {
-	s.post(func(now time.Time) { s.state.setUpstreams(now, list) })
+	s.enqueue(func(now time.Time) { s.state.setUpstreams(now, list) })
 }
 
-// Status tells how this instance schedules.
+// Status describes the scheduling state of this instance.
 type Status struct {
 	// Scheduler is the instance that schedules for the domain.
 	Scheduler string `json:"scheduler"`
-	// Role is this instance's: "scheduler", "follower" or "alone".
+	// Role is the role of this instance: "scheduler", "follower" or "alone".
 	Role string `json:"role"`
-	// Waiting and Flying count this instance's requests.
-	Waiting int `json:"waiting"`
-	Flying  int `json:"flying"`
-	// Domain is the state of the scheduler that runs here, if one does.
+	// Waiting and InFlight count the requests of this instance.
+	Waiting  int `json:"waiting"`
+	InFlight int `json:"flying"`
+	// Domain is the state of the scheduler that runs on this instance, if any.
 	Domain *sched.Status `json:"domain,omitempty"`
 }
 
-// Status returns a snapshot; it is zero after Stop.
+// Status returns a snapshot. It is zero after Stop.
 func (s *Service) Status() Status {
 	got := make(chan Status, 1)
-	s.post(func(now time.Time) { got <- s.state.status(now) })
+	s.enqueue(func(now time.Time) { got <- s.state.status(now) })
 	select {
 	case st := <-got:
 		return st
@@ -172,13 +172,13 @@
 	}
 }
 
-// Acquire waits for a grant. The ticket's ID must be unique; Instance and, when
-// zero, Arrived are filled in, and Deadline from ctx. Failures: fault.Overloaded
-// with RetryAfter (refused; nothing was run), fault.DeadlineExceeded,
-// fault.Canceled, fault.Draining, fault.Invalid.
+// Acquire waits for a grant. The ticket's ID must be unique. Acquire sets Instance,
+// Arrived if it is zero, and Deadline from ctx if it is zero. It fails with
+// fault.Overloaded and RetryAfter (refused, not run), fault.DeadlineExceeded,
+// fault.Canceled, fault.Draining, fault.Conflict or fault.Invalid.
 func (s *Service) Acquire(ctx context.Context, t sched.Ticket) (*Grant, error) {
 	if t.ID == "" {
-		return nil, fault.New(fault.Invalid, "a ticket needs an ID")
+		return nil, fault.New(fault.Invalid, "the ticket has no ID")
 	}
 	t.ID = shortID(t.ID)
 	t.Instance = s.state.self
@@ -186,7 +186,7 @@
 		t.Deadline = at
 	}
 	r := &request{ticket: t, reply: make(chan reply, 1)}
-	s.post(func(now time.Time) { s.state.submit(now, r) })
+	s.enqueue(func(now time.Time) { s.state.submit(now, r) })
 	select {
 	case got := <-r.reply:
 		if got.err != nil {
@@ -194,31 +194,32 @@
 		}
 		return &Grant{Grant: got.grant, s: s}, nil
 	case <-ctx.Done():
-		s.post(func(now time.Time) { s.state.giveUp(now, r) })
-		return nil, gaveUp(ctx)
+		s.enqueue(func(now time.Time) { s.state.cancel(now, r) })
+		return nil, cancelError(ctx)
 	case <-s.ended:
 		return nil, fault.New(fault.Draining, "this instance has stopped; nothing was run")
 	}
 }
 
-func gaveUp(ctx context.Context) error {
+func cancelError(ctx context.Context) error {
 	code := fault.Canceled
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		code = fault.DeadlineExceeded
 	}
-	return fault.Wrap(ctx.Err(), code, "gave up in the queue; nothing was run")
+	return fault.Wrap(ctx.Err(), code, "cancelled while queued; nothing was run")
 }
 
-// post hands work to the goroutine that owns the state; after Stop it is dropped.
-func (s *Service) post(f func(now time.Time)) {
+// enqueue passes work to the goroutine that owns the state. After Stop the work is
+// dropped.
+func (s *Service) enqueue(f func(now time.Time)) {
 	select {
 	case s.inbox <- f:
 	case <-s.ended:
 	}
 }
 
-// run owns the state. Messages are sent after a batch of work, so that many
-// events travel in one.
+// run owns the state. It sends messages after a batch of work, so that one message
+// carries many events.
 func (s *Service) run() {
 	defer close(s.ended)
 	defer s.state.refuseAll()
@@ -233,13 +234,13 @@
 			s.state.tick(time.Now())
 		case f := <-s.inbox:
 			f(time.Now())
-			s.batch()
+			s.runBatch()
 		}
 		s.state.flush(time.Now())
 	}
 }
 
-func (s *Service) batch() {
+func (s *Service) runBatch() {
 	for range inboxSize / 4 {
 		select {
 		case f := <-s.inbox:
--- a/instance/schedule/state.go
+++ b/instance/schedule/state.go
@@ -19,7 +19,7 @@
 	roleScheduler
 	// roleFollower sends its tickets to the scheduler.
 	roleFollower
-	// roleAlone schedules for itself, as neither the scheduler nor its deputy answers.
+	// roleAlone schedules its own requests because neither the scheduler nor its deputy answers.
 	roleAlone
 )
 
@@ -27,16 +27,16 @@
 	return [...]string{"none", "scheduler", "follower", "alone"}[r]
 }
 
-// request is a request of this instance.
+// request is a request that this instance has submitted and not yet ended.
 type request struct {
-	ticket  sched.Ticket
-	reply   chan reply
-	flying  bool
-	grant   sched.Grant
-	tokens  int
-	started bool
-	// watch learns from the request while no scheduler runs here.
-	watch *sched.Observation
+	ticket         sched.Ticket
+	reply          chan reply
+	inFlight       bool
+	grant          sched.Grant
+	reportedTokens int
+	started        bool
+	// observation measures the request while no scheduler runs on this instance.
+	observation *sched.Observation
 }
 
 type reply struct {
@@ -49,19 +49,19 @@
 	cfg   Config
 	peers Peers
 	self  string
-	rnd   *rand.Rand
+	rng   *rand.Rand
 
 	role role
-	// scheduler is the elected instance; lastHeard when it last answered.
+	// scheduler is the elected instance, lastHeard the time of its last message.
 	scheduler string
 	lastHeard time.Time
 	nextBeat  time.Time
-	// deposed is the winner of the election while it is silent here; empty else.
-	deposed string
-	// local is the scheduler that runs here; nil for followers. known is what
-	// was learned, whoever schedules.
-	local *sched.Scheduler
-	known *sched.Estimator
+	// unresponsive is the winner of the election while it does not answer, otherwise empty.
+	unresponsive string
+	// local is the scheduler that runs on this instance, nil for followers. estimator
+	// holds the measurements and outlives changes of scheduler.
+	local     *sched.Scheduler
+	estimator *sched.Estimator
 
 	requests map[string]*request
 	draining bool
@@ -70,13 +70,13 @@
 	doc       *intent.Document
 	upstreams []sched.Upstream
 
-	// up collects what goes to the scheduler, down what goes to instances.
+	// up collects the message to the scheduler, down the messages to other instances.
 	up   upMessage
 	down map[string]*downMessage
-	// due says that up must go out, urgent or not.
-	due bool
-	// heard says when the scheduler here last heard each other instance.
-	heard map[string]time.Time
+	// flushAll makes the next flush send up even if nothing in it is urgent.
+	flushAll bool
+	// lastSeen is when the local scheduler last received a message from each other instance.
+	lastSeen map[string]time.Time
 }
 
 func (s *state) setIntent(now time.Time, doc *intent.Document) {
@@ -86,16 +86,16 @@
 	}
 	s.local.SetClasses(doc)
 	s.local.SetOrganisations(doc)
-	s.apply(now, s.local.Tick(now))
+	s.applyEffects(now, s.local.Tick(now))
 }
 
 func (s *state) setUpstreams(now time.Time, list []sched.Upstream) {
 	s.upstreams = list
 	if s.local == nil {
-		s.known.Retain(list)
+		s.estimator.Retain(list)
 		return
 	}
-	s.apply(now, s.local.SetUpstreams(now, list))
+	s.applyEffects(now, s.local.SetUpstreams(now, list))
 }
 
 func (s *state) submit(now time.Time, r *request) {
@@ -108,32 +108,32 @@
 		r.reply <- reply{err: fault.New(fault.Draining, "this instance is shutting down; nothing was run")}
 		return
 	case s.requests[t.ID] != nil:
-		r.reply <- reply{err: fault.New(fault.Conflict, "ticket %s is known already", t.ID)}
+		r.reply <- reply{err: fault.New(fault.Conflict, "ticket %s already exists", t.ID)}
 		return
 	}
 	s.requests[t.ID] = r
 	if s.local != nil {
-		s.apply(now, s.local.Submit(now, *t))
+		s.applyEffects(now, s.local.Submit(now, *t))
 		return
 	}
 	s.up.Submits = append(s.up.Submits, packTicket(*t, now))
 }
 
-// giveUp ends a request whose caller stopped waiting. The grant may have come at
-// the same moment; the caller will never see it, so its slot is freed here.
-func (s *state) giveUp(now time.Time, r *request) {
+// cancel ends a request whose caller stopped waiting. If the grant arrived at the same
+// moment, the caller never sees it, so cancel frees its slot.
+func (s *state) cancel(now time.Time, r *request) {
 	if s.requests[r.ticket.ID] != r {
 		return
 	}
-	if r.flying {
-		s.note(now, event{Kind: eventFinish, ID: r.ticket.ID, Outcome: sched.Outcome{Unused: true}})
+	if r.inFlight {
+		s.recordEvent(now, event{Kind: eventFinish, ID: r.ticket.ID, Outcome: sched.Outcome{Unused: true}})
 		return
 	}
-	s.note(now, event{Kind: eventCancel, ID: r.ticket.ID})
+	s.recordEvent(now, event{Kind: eventCancel, ID: r.ticket.ID})
 }
 
-// note takes in an event of this instance's request and passes it on.
-func (s *state) note(now time.Time, e event) {
+// recordEvent applies an event of a request of this instance and reports it to the scheduler.
+func (s *state) recordEvent(now time.Time, e event) {
 	r := s.requests[e.ID]
 	if r == nil {
 		return
@@ -142,17 +142,17 @@
 	case eventStarted:
 		r.started = true
 	case eventProgress:
-		r.tokens = e.Tokens
+		r.reportedTokens = e.Tokens
 	default:
-		s.forget(e.ID)
+		s.remove(e.ID)
 	}
-	if s.local == nil && r.watch != nil {
-		learn(now, r.watch, e)
+	if s.local == nil && r.observation != nil {
+		recordObservation(now, r.observation, e)
 	}
-	s.tell(now, e)
+	s.report(now, e)
 }
 
-func learn(now time.Time, w *sched.Observation, e event) {
+func recordObservation(now time.Time, w *sched.Observation, e event) {
 	switch e.Kind {
 	case eventStarted:
 		w.Started(now)
@@ -163,52 +163,52 @@
 	}
 }
 
-func (s *state) tell(now time.Time, e event) {
+func (s *state) report(now time.Time, e event) {
 	e.at = now
 	if s.local != nil {
-		s.take(now, e)
+		s.applyEvent(now, e)
 		return
 	}
 	s.up.Events = append(s.up.Events, e)
 }
 
-// take gives an event to the scheduler that runs here.
-func (s *state) take(now time.Time, e event) {
+// applyEvent passes an event to the local scheduler.
+func (s *state) applyEvent(now time.Time, e event) {
 	switch e.Kind {
 	case eventCancel:
-		s.apply(now, s.local.Cancel(now, e.ID))
+		s.applyEffects(now, s.local.Cancel(now, e.ID))
 	case eventStarted:
-		s.local.Started(e.happened(now), e.ID)
+		s.local.Started(e.occurredAt(now), e.ID)
 	case eventProgress:
-		s.local.Progress(e.happened(now), e.ID, e.Tokens)
+		s.local.Progress(e.occurredAt(now), e.ID, e.Tokens)
 	case eventFinish:
-		s.apply(now, s.local.Finish(now, e.ID, e.Outcome))
+		s.applyEffects(now, s.local.Finish(now, e.ID, e.Outcome))
 	}
 }
 
-// apply carries out effects of the scheduler that runs here.
-func (s *state) apply(now time.Time, effects []sched.Effect) {
+// applyEffects carries out effects of the local scheduler.
+func (s *state) applyEffects(now time.Time, effects []sched.Effect) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case sched.Grant:
 			if e.Instance == s.self {
-				s.granted(now, s.self, e)
+				s.receiveGrant(now, s.self, e)
 				continue
 			}
-			d := s.downTo(e.Instance)
+			d := s.messageTo(e.Instance)
 			d.Grants = append(d.Grants, packGrant(e))
 		case sched.Shed:
 			if e.Instance == s.self {
-				s.refused(e)
+				s.receiveShed(e)
 				continue
 			}
-			d := s.downTo(e.Instance)
+			d := s.messageTo(e.Instance)
 			d.Sheds = append(d.Sheds, e)
 		}
 	}
 }
 
-func (s *state) downTo(instance string) *downMessage {
+func (s *state) messageTo(instance string) *downMessage {
 	d := s.down[instance]
 	if d == nil {
 		d = &downMessage{}
@@ -217,46 +217,47 @@
 	return d
 }
 
-// granted gives a grant to the request that waits for it. A grant for a request
-// that has ended, or that got one from elsewhere, goes back unused at once; else
-// its slot would stay taken until the digests of the next beat show it.
-func (s *state) granted(now time.Time, giver string, g sched.Grant) {
+// receiveGrant delivers a grant to the request that waits for it. A grant for a request
+// that has ended, or that already has a grant from another scheduler, is returned unused
+// immediately; otherwise its slot would stay taken until the digests of the next
+// heartbeat reveal it.
+func (s *state) receiveGrant(now time.Time, sender string, g sched.Grant) {
 	r := s.requests[g.ID]
-	if r != nil && r.flying && r.grant.Upstream == g.Upstream {
+	if r != nil && r.inFlight && r.grant.Upstream == g.Upstream {
 		return
 	}
-	if r == nil || r.flying {
-		s.giveBack(now, giver, g.ID)
+	if r == nil || r.inFlight {
+		s.returnGrant(now, sender, g.ID)
 		return
 	}
-	r.flying, r.grant = true, g
+	r.inFlight, r.grant = true, g
 	if s.local == nil {
-		r.watch = s.known.Observe(now, r.ticket, g.Upstream)
+		r.observation = s.estimator.Observe(now, r.ticket, g.Upstream)
 	}
-	if giver != s.self && s.local != nil {
+	if sender != s.self && s.local != nil {
 		s.local.Restore(now, r.ticket, g.Upstream, 0)
 	}
 	r.reply <- reply{grant: g}
 }
 
-func (s *state) giveBack(now time.Time, giver, id string) {
+func (s *state) returnGrant(now time.Time, sender, id string) {
 	e := event{Kind: eventFinish, ID: id, Outcome: sched.Outcome{Unused: true}}
 	switch {
-	case giver == s.self && s.local != nil:
-		s.take(now, e)
-	case giver == s.scheduler && s.role == roleFollower:
+	case sender == s.self && s.local != nil:
+		s.applyEvent(now, e)
+	case sender == s.scheduler && s.role == roleFollower:
 		s.up.Events = append(s.up.Events, e)
 	default:
-		_ = s.peers.Send(giver, channelUp, &upMessage{Events: []event{e}})
+		_ = s.peers.Send(sender, channelUp, &upMessage{Events: []event{e}})
 	}
 }
 
-func (s *state) refused(e sched.Shed) {
+func (s *state) receiveShed(e sched.Shed) {
 	r := s.requests[e.ID]
-	if r == nil || r.flying {
+	if r == nil || r.inFlight {
 		return
 	}
-	s.forget(e.ID)
+	s.remove(e.ID)
 	code := fault.Overloaded
 	if e.Reason == sched.ReasonExpired || e.Reason == sched.ReasonExpiredOnArrival {
 		code = fault.DeadlineExceeded
@@ -264,10 +265,10 @@
 	r.reply <- reply{err: fault.New(code, "refused before it ran: %s", e.Reason).After(e.RetryAfter)}
 }
 
-func (s *state) forget(id string) {
+func (s *state) remove(id string) {
 	delete(s.requests, id)
 	if s.draining && len(s.requests) == 0 {
-		s.tellIdle()
+		s.signalIdle()
 	}
 }
 
@@ -275,11 +276,11 @@
 	s.draining = true
 	s.idle = append(s.idle, idle)
 	if len(s.requests) == 0 {
-		s.tellIdle()
+		s.signalIdle()
 	}
 }
 
-func (s *state) tellIdle() {
+func (s *state) signalIdle() {
 	for _, c := range s.idle {
 		close(c)
 	}
@@ -288,7 +289,7 @@
 
 func (s *state) refuseAll() {
 	for _, r := range s.requests {
-		if !r.flying {
+		if !r.inFlight {
 			r.reply <- reply{err: fault.New(fault.Draining, "this instance has stopped; nothing was run")}
 		}
 	}
@@ -297,8 +298,8 @@
 func (s *state) status(now time.Time) Status {
 	out := Status{Scheduler: s.scheduler, Role: s.role.String()}
 	for _, r := range s.requests {
-		if r.flying {
-			out.Flying++
+		if r.inFlight {
+			out.InFlight++
 		} else {
 			out.Waiting++
 		}
@@ -310,8 +311,8 @@
 	return out
 }
 
-// sorted returns this instance's requests by ID, so that replays are alike.
-func (s *state) sorted() []*request {
+// sortedRequests returns the requests of this instance by ID, for a deterministic order.
+func (s *state) sortedRequests() []*request {
 	var out []*request
 	for _, id := range slices.Sorted(maps.Keys(s.requests)) {
 		out = append(out, s.requests[id])
