--- a/instance/dispatch/attempt.go
+++ b/instance/dispatch/attempt.go
@@ -11,20 +11,19 @@
 	"github.com/comfreyladder/comfreyladder/instance/upstream"
 )
 
-// attempt is one try of a request at one upstream, under an ID of its own.
+// attempt is one attempt to run a request on one upstream, with its own request ID.
 type attempt struct {
 	d      *Dispatcher
 	job    *Job
 	ctx    context.Context
 	number int
 	id     string
-	// excluded names upstreams that it must not go to; reused says that the
-	// last of them failed on an old connection.
+	// excluded names upstreams that must not be used. reused means that the last of them
+	// failed on a reused connection.
 	excluded []string
 	reused   bool
 	hedge    bool
-	// onGrant is called once the grant is there, cancel at the end; both may be
-	// nil.
+	// onGrant is called after the grant, cancel at the end; both may be nil.
 	onGrant func()
 	cancel  context.CancelFunc
 
@@ -35,11 +34,11 @@
 	resumes int
 	events  int
 	tokens  int
-	// dropped says that the engine no longer keeps the request.
-	dropped bool
+	// removed means that the engine no longer keeps the request.
+	removed bool
 }
 
-func (r *Run) attempt(ctx context.Context) *attempt {
+func (r *Run) newAttempt(ctx context.Context) *attempt {
 	r.attempts++
 	return &attempt{
 		d: r.d, job: r.job, ctx: ctx, number: r.attempts, id: fmt.Sprintf("%s-%d", r.job.ID, r.attempts),
@@ -47,10 +46,10 @@
 	}
 }
 
-// first waits for a grant, sends the request and returns the first event.
-func (a *attempt) first() (Event, error) {
+// firstEvent waits for a grant, sends the request and returns the first event.
+func (a *attempt) firstEvent() (Event, error) {
 	if err := a.acquire(); err != nil {
-		a.note("no grant for attempt %d: %v", a.number, err)
+		a.trace("no grant for attempt %d: %v", a.number, err)
 		return Event{}, err
 	}
 	a.sentAt = time.Now()
@@ -67,8 +66,8 @@
 	t.ID, t.Excluded = a.id, a.excluded
 	lease, err := a.d.cfg.Queue.Acquire(a.ctx, t)
 	if err != nil && a.reused && !a.hedge && fault.CodeOf(err) == fault.Overloaded {
-		// An old connection failed and no other upstream is open. Over a fresh
-		// one the same upstream may well serve; nothing is held against it.
+		// The last failure was on a reused connection and no other upstream is available.
+		// The same upstream may work over a new connection, so it is no longer excluded.
 		t.Excluded = a.excluded[:len(a.excluded)-1]
 		lease, err = a.d.cfg.Queue.Acquire(a.ctx, t)
 	}
@@ -81,7 +80,7 @@
 	}
 	a.d.cfg.Telemetry.Attempt(a.job.Class.Name, a.kind())
 	g := lease.Grant()
-	a.note("attempt %d goes to %s: score %.2f of %d candidates, %d of %d slots, prefix cached %.0f%%, floor %t",
+	a.trace("attempt %d goes to %s: score %.2f of %d candidates, %d of %d slots, prefix cached %.0f%%, floor %t",
 		a.number, g.Upstream, g.Explain.Score, g.Explain.Candidates, g.Explain.InFlight, g.Explain.Slots, 100*g.Explain.CachedPrefix, g.Explain.BelowFloor)
 	return nil
 }
@@ -114,12 +113,12 @@
 	return nil
 }
 
-// next returns the next event, if need be after a resumption.
+// next returns the next event, resuming the stream if it broke.
 func (a *attempt) next() (Event, error) {
 	for {
 		ev, err := a.stream.Next()
 		if err == nil {
-			a.progress(ev)
+			a.recordProgress(ev)
 			return Event{Data: ev.Data, Head: ev.Head, AttemptID: a.id}, nil
 		}
 		if !a.resume(err) {
@@ -128,11 +127,11 @@
 	}
 }
 
-func (a *attempt) progress(ev upstream.Event) {
+func (a *attempt) recordProgress(ev upstream.Event) {
 	if a.events == 0 {
 		a.lease.FirstToken()
 		a.d.delays.observe(a.job.Class.Name, time.Since(a.sentAt))
-		a.note("first event from attempt %d", a.number)
+		a.trace("first event from attempt %d", a.number)
 	}
 	a.events++
 	a.tokens += ev.Head.Tokens
@@ -141,14 +140,14 @@
 
 func (a *attempt) upstream() string { return a.lease.Grant().Upstream }
 
-// broke ends an attempt that failed. The upstream is not blamed for what befell
-// an old connection.
-func (a *attempt) broke(evidence upstream.Evidence, reused bool) {
+// endFailed ends an attempt that failed. A failure on a reused connection before the first
+// event is not attributed to the upstream.
+func (a *attempt) endFailed(evidence upstream.Evidence, reused bool) {
 	cause := telemetry.CauseBroken
-	if a.dropped {
+	if a.removed {
 		cause = telemetry.CausePreempted
 	}
-	a.waste(cause)
+	a.recordWaste(cause)
 	if a.stream != nil {
 		a.stream.Forget()
 	}
@@ -156,14 +155,14 @@
 	a.end(sched.Outcome{Tokens: a.tokens, Failed: blamed, Unused: evidence == upstream.NotSent})
 }
 
-// abandon ends an attempt that may still run: it is cancelled at the engine.
+// abandon ends an attempt that may still run and cancels it at the engine.
 func (a *attempt) abandon(cause telemetry.Cause) {
-	a.note("attempt %d is cancelled: %s", a.number, cause)
-	a.waste(cause)
+	a.trace("attempt %d is cancelled: %s", a.number, cause)
+	a.recordWaste(cause)
 	a.end(sched.Outcome{Tokens: a.tokens})
 }
 
-// end closes the stream and gives the slot back.
+// end closes the stream and frees the slot.
 func (a *attempt) end(o sched.Outcome) {
 	if a.stream != nil {
 		_ = a.stream.Close()
@@ -175,8 +174,8 @@
 	}
 }
 
-func (a *attempt) waste(cause telemetry.Cause) {
+func (a *attempt) recordWaste(cause telemetry.Cause) {
 	a.d.cfg.Telemetry.Wasted(a.job.Class.Name, cause, a.tokens)
 }
 
-func (a *attempt) note(format string, args ...any) { a.d.cfg.Trace.Add(a.job.ID, format, args...) }
+func (a *attempt) trace(format string, args ...any) { a.d.cfg.Trace.Add(a.job.ID, format, args...) }
--- a/instance/dispatch/dispatch.go
+++ b/instance/dispatch/dispatch.go
@@ -1,8 +1,8 @@
-// Package dispatch runs one model request: it waits for a grant, sends the
-// request to the granted upstream, and hands the events of the answer on. A
-// broken stream is resumed where the engine kept it; an attempt that brought
-// nothing yet is repeated elsewhere, and one that is slow to begin gets a second
-// beside it (a hedge), both under one budget.
+// Package dispatch runs one model request: it waits for a grant, sends the request to the
+// granted upstream and returns the events of the answer. A broken stream is resumed if the
+// engine has kept it. An attempt that produced no event is retried on another upstream, and
+// one that is slow to produce its first event gets a second attempt in parallel (a hedge).
+// Retries and hedges share one budget.
 package dispatch
 
 import (
@@ -19,36 +19,35 @@
 	"github.com/comfreyladder/comfreyladder/instance/upstream"
 )
 
-// Lease is the right to run one attempt at one upstream.
+// Lease permits running one attempt on one upstream.
 type Lease interface {
-	// Grant names the upstream and says why it was chosen.
+	// Grant returns the upstream and the reason for choosing it.
 	Grant() sched.Grant
-	// FirstToken and Progress report how the attempt goes.
+	// FirstToken and Progress report the progress of the attempt.
 	FirstToken()
 	Progress(tokens int)
-	// Done gives the slot back. It must be called exactly once.
+	// Done frees the slot. It must be called exactly once.
 	Done(sched.Outcome)
 }
 
-// Queue hands out leases.
+// Queue issues leases.
 type Queue interface {
-	// Acquire waits for a lease. Failures have the codes Overloaded (with
-	// RetryAfter), DeadlineExceeded, Canceled or Draining; in all of them the
-	// request was not run.
+	// Acquire waits for a lease. It fails with Overloaded (with RetryAfter),
+	// DeadlineExceeded, Canceled or Draining; in each case the request was not run.
 	Acquire(ctx context.Context, t sched.Ticket) (Lease, error)
 }
 
-// Config holds what a Dispatcher needs.
+// Config holds the dependencies and limits of a Dispatcher.
 type Config struct {
 	Queue     Queue
 	Client    *upstream.Client
 	Telemetry *telemetry.Service
 	Trace     *trace.Log
-	// Attempts bounds the tries of one request, the first included.
+	// Attempts bounds the attempts of one request, including the first.
 	Attempts int
 	// Retries is the budget of each class for retries and hedges together.
 	Retries budget.Config
-	// Hedge says when a hedge is sent.
+	// Hedge determines when a hedge is sent.
 	Hedge HedgeConfig
 }
 
@@ -71,35 +70,33 @@
 	ID     string
 	Class  *intent.Class
 	Ticket sched.Ticket
-	// Restartable says that events already handed on may be thrown away, so
-	// that another attempt can start over: true while nothing of the answer has
-	// left for the caller.
+	// Restartable allows another attempt to discard the events delivered so far and start
+	// over. It is true while no part of the answer has been sent to the caller.
 	Restartable bool
-	// Once forbids whatever could run the request twice: no hedge, and no retry
-	// of an attempt that may have run.
-	Once bool
-	// Body returns the body for an engine at the given priority.
+	// AtMostOnce forbids whatever could run the request twice: hedges, and retries of an
+	// attempt that may have run.
+	AtMostOnce bool
+	// Body returns the request body for an engine at the given priority.
 	Body func(priority int) ([]byte, error)
 }
 
-// Event is one piece of the answer, valid until the next one is asked for. When
-// AttemptID changes, a Restartable job has started over and what came before is
-// void.
+// Event is one event of the answer, valid until the next call of Next. If AttemptID
+// changes, a Restartable job has started over and the earlier events are void.
 type Event struct {
-	// Data is one chunk, carrying the ID "chatcmpl-" + AttemptID; Head is what it
-	// says at a glance.
+	// Data is one chunk with the ID "chatcmpl-" + AttemptID. Head holds the fields parsed
+	// from it.
 	Data      []byte
 	Head      chat.Head
 	AttemptID string
 }
 
-// Start returns a Run; nothing happens before Next.
+// Start returns a Run. The request is sent by the first call of Next.
 func (d *Dispatcher) Start(ctx context.Context, job *Job) *Run {
-	d.first(job.Class.Name)
+	d.recordFirst(job.Class.Name)
 	return &Run{d: d, ctx: ctx, job: job}
 }
 
-func (d *Dispatcher) first(class string) {
+func (d *Dispatcher) recordFirst(class string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.retries.RecordFirst(time.Now(), class)
--- a/instance/dispatch/hedge.go
+++ b/instance/dispatch/hedge.go
@@ -13,48 +13,48 @@
 	"github.com/comfreyladder/comfreyladder/instance/upstream"
 )
 
-// HedgeConfig says when a second attempt is sent beside a first one that has
-// brought no event yet. Zero fields take the defaults.
+// HedgeConfig determines when a second attempt is sent in parallel to a first one that has
+// produced no event yet. Zero fields select the defaults.
 type HedgeConfig struct {
-	// Quantile of the class's times to a first event, in (0,1), after which the
-	// hedge is sent.
+	// Quantile, in (0,1), is the quantile of the class's times to the first event after
+	// which the hedge is sent.
 	Quantile float64
-	// LeastDelay bounds the delay from below.
-	LeastDelay time.Duration
-	// LeastSamples is how many times must have been seen before any hedge.
-	LeastSamples int
+	// MinDelay is the lower bound of the delay.
+	MinDelay time.Duration
+	// MinSamples is how many times must have been measured before any hedge is sent.
+	MinSamples int
 }
 
-// Defaults of HedgeConfig, after "The Tail at Scale": past the 95th percentile a
-// hedge costs at most a twentieth more work.
+// Default values of HedgeConfig, after "The Tail at Scale": a hedge after the 95th
+// percentile adds at most a twentieth of work.
 const (
-	DefaultHedgeQuantile     = 0.95
-	DefaultHedgeLeastDelay   = 50 * time.Millisecond
-	DefaultHedgeLeastSamples = 20
+	DefaultHedgeQuantile   = 0.95
+	DefaultHedgeMinDelay   = 50 * time.Millisecond
+	DefaultHedgeMinSamples = 20
 )
 
 func (c HedgeConfig) withDefaults() HedgeConfig {
 	if c.Quantile <= 0 {
 		c.Quantile = DefaultHedgeQuantile
 	}
-	if c.LeastDelay <= 0 {
-		c.LeastDelay = DefaultHedgeLeastDelay
+	if c.MinDelay <= 0 {
+		c.MinDelay = DefaultHedgeMinDelay
 	}
-	if c.LeastSamples <= 0 {
-		c.LeastSamples = DefaultHedgeLeastSamples
+	if c.MinSamples <= 0 {
+		c.MinSamples = DefaultHedgeMinSamples
 	}
 	return c
 }
 
 const (
-	// keptDelays is how many of a class's latest times are remembered.
-	keptDelays = 256
-	// sortEvery is how many new times make the quantile be worked out again.
-	sortEvery = 16
+	// maxSamples is how many of a class's latest times are kept.
+	maxSamples = 256
+	// quantileUpdateSamples is the number of new times after which the quantile is recomputed.
+	quantileUpdateSamples = 16
 )
 
-// delays knows, by class, how long attempts took from the grant to the first
-// event. It is safe for concurrent use.
+// delays holds, by class, the times from the grant to the first event of an attempt. It is
+// safe for concurrent use.
 type delays struct {
 	cfg     HedgeConfig
 	mu      sync.Mutex
@@ -62,10 +62,10 @@
 }
 
 type classDelays struct {
-	latest   []time.Duration
-	next     int
-	fresh    int
-	quantile time.Duration
+	samples    []time.Duration
+	next       int
+	newSamples int
+	quantile   time.Duration
 }
 
 func newDelays(cfg HedgeConfig) *delays {
@@ -80,45 +80,45 @@
 		c = &classDelays{}
 		d.classes[class] = c
 	}
-	c.fresh++
-	if len(c.latest) < keptDelays {
-		c.latest = append(c.latest, took)
+	c.newSamples++
+	if len(c.samples) < maxSamples {
+		c.samples = append(c.samples, took)
 		return
 	}
-	c.latest[c.next] = took
-	c.next = (c.next + 1) % keptDelays
+	c.samples[c.next] = took
+	c.next = (c.next + 1) % maxSamples
 }
 
-// after returns the delay of the class's hedges; false means that too little is
-// known.
-func (d *delays) after(class string) (time.Duration, bool) {
+// hedgeDelay returns the delay of the class's hedges, or false if there are too few
+// samples.
+func (d *delays) hedgeDelay(class string) (time.Duration, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c := d.classes[class]
-	if c == nil || len(c.latest) < d.cfg.LeastSamples {
+	if c == nil || len(c.samples) < d.cfg.MinSamples {
 		return 0, false
 	}
-	if c.quantile == 0 || c.fresh >= sortEvery {
-		sorted := slices.Clone(c.latest)
+	if c.quantile == 0 || c.newSamples >= quantileUpdateSamples {
+		sorted := slices.Clone(c.samples)
 		slices.Sort(sorted)
 		c.quantile = sorted[int(d.cfg.Quantile*float64(len(sorted)-1))]
-		c.fresh = 0
+		c.newSamples = 0
 	}
-	return max(c.quantile, d.cfg.LeastDelay), true
+	return max(c.quantile, d.cfg.MinDelay), true
 }
 
-// hedgeAfter returns the delay of a hedge, where one may be sent: only for the
-// first attempt of work that may run twice, in a class that permits it.
+// hedgeAfter returns the delay of a hedge, or false if none may be sent. A hedge is allowed
+// only for the first attempt of a request that may run twice, in a class that permits it.
 func (r *Run) hedgeAfter() (time.Duration, bool) {
-	if !r.job.Class.Hedge || r.job.Once || r.attempts > 0 || r.d.cfg.Attempts < 2 {
+	if !r.job.Class.Hedge || r.job.AtMostOnce || r.attempts > 0 || r.d.cfg.Attempts < 2 {
 		return 0, false
 	}
-	return r.d.delays.after(r.job.Class.Name)
+	return r.d.delays.hedgeDelay(r.job.Class.Name)
 }
 
-// entrant is one of the two attempts of a race. It runs in a goroutine of its
-// own until its first event and belongs to the run after that.
-type entrant struct {
+// racer is one of the two attempts of a race. It runs in its own goroutine until its first
+// event, and is used only by the run after that.
+type racer struct {
 	*attempt
 	cancel  context.CancelFunc
 	granted chan struct{}
@@ -127,21 +127,21 @@
 	err     error
 }
 
-func (r *Run) enter(a *attempt, cancel context.CancelFunc) *entrant {
-	e := &entrant{attempt: a, cancel: cancel, granted: make(chan struct{}), ready: make(chan struct{})}
+func (r *Run) startRacer(a *attempt, cancel context.CancelFunc) *racer {
+	e := &racer{attempt: a, cancel: cancel, granted: make(chan struct{}), ready: make(chan struct{})}
 	a.onGrant = func() { close(e.granted) }
 	go func() {
 		defer close(e.ready)
-		e.event, e.err = a.first()
+		e.event, e.err = a.firstEvent()
 	}()
 	return e
 }
 
-// won reports whether the entrant has the beginning of an answer.
-func (e *entrant) won() bool { return e.err == nil || errors.Is(e.err, io.EOF) }
+// hasAnswer reports whether the attempt has received the first event, or the end, of an answer.
+func (e *racer) hasAnswer() bool { return e.err == nil || errors.Is(e.err, io.EOF) }
 
-// lose cancels the entrant and ends it once it has noticed.
-func (e *entrant) lose(cause telemetry.Cause) {
+// discard cancels the attempt and ends it once its goroutine has returned.
+func (e *racer) discard(cause telemetry.Cause) {
 	e.cancel()
 	go func() {
 		<-e.ready
@@ -154,12 +154,12 @@
 	}()
 }
 
-// race runs an attempt and, when it has brought nothing for the given time after
-// its grant, a second one elsewhere. The first that brings an event is the
-// answer; the other is cancelled and counts as wasted.
+// race runs an attempt and, if it has produced no event within the given time after its
+// grant, a second one on another upstream. The first attempt that produces an event is
+// used; the other one is cancelled and counts as wasted.
 func (r *Run) race(wait time.Duration) (*attempt, Event, error) {
-	first := r.start()
-	second := (*entrant)(nil)
+	first := r.startFirst()
+	second := (*racer)(nil)
 	timer := time.NewTimer(wait)
 	timer.Stop()
 	defer timer.Stop()
@@ -172,11 +172,11 @@
 		case <-timer.C:
 			second = r.startHedge(first)
 		case <-first.ready:
-			return r.settle(first, second)
-		case <-second.readyOrNever():
-			if second.won() {
+			return r.finishRace(first, second)
+		case <-second.readyChan():
+			if second.hasAnswer() {
 				r.d.cfg.Telemetry.Hedge(r.job.Class.Name, telemetry.HedgeWon)
-				return r.settle(second, first)
+				return r.finishRace(second, first)
 			}
 			r.endHedge(second)
 			second = nil
@@ -184,90 +184,91 @@
 	}
 }
 
-func (e *entrant) readyOrNever() <-chan struct{} {
+func (e *racer) readyChan() <-chan struct{} {
 	if e == nil {
 		return nil
 	}
 	return e.ready
 }
 
-// start sends the first attempt.
-func (r *Run) start() *entrant {
+// startFirst starts the first attempt.
+func (r *Run) startFirst() *racer {
 	ctx, cancel := context.WithCancel(r.ctx)
-	a := r.attempt(ctx)
+	a := r.newAttempt(ctx)
 	a.cancel = cancel
-	return r.enter(a, cancel)
+	return r.startRacer(a, cancel)
 }
 
-// startHedge sends the second attempt, if the budget allows it.
-func (r *Run) startHedge(first *entrant) *entrant {
+// startHedge starts the second attempt if the budget allows it.
+func (r *Run) startHedge(first *racer) *racer {
 	if !r.d.spend(r.job.Class.Name) {
-		r.note("no hedge: the retry budget of class %s is spent", r.job.Class.Name)
+		r.trace("no hedge: the retry budget of class %s is exhausted", r.job.Class.Name)
 		return nil
 	}
 	ctx, cancel := context.WithCancel(r.ctx)
-	a := r.attempt(ctx)
+	a := r.newAttempt(ctx)
 	a.cancel, a.hedge = cancel, true
 	a.excluded = append(slices.Clone(a.excluded), first.upstream())
-	r.note("attempt %d is slow: attempt %d runs beside it", first.number, a.number)
-	return r.enter(a, cancel)
+	r.trace("attempt %d is slow: attempt %d runs in parallel", first.number, a.number)
+	return r.startRacer(a, cancel)
 }
 
-// endHedge ends a second attempt that failed while the first one still runs.
-func (r *Run) endHedge(e *entrant) {
+// endHedge ends a second attempt that failed while the first one is still running.
+func (r *Run) endHedge(e *racer) {
 	r.d.cfg.Telemetry.Hedge(r.job.Class.Name, telemetry.HedgeFailed)
 	if e.lease == nil {
 		e.cancel()
 		r.d.refund(r.job.Class.Name)
 		return
 	}
-	r.remember(e)
-	e.broke(upstream.EvidenceOf(e.err), upstream.ReusedIn(e.err))
+	r.recordFailure(e)
+	e.endFailed(upstream.EvidenceOf(e.err), upstream.ReusedIn(e.err))
 }
 
-// settle ends a race whose first entrant is done; the other may be nil.
-func (r *Run) settle(done, other *entrant) (*attempt, Event, error) {
+// finishRace ends a race in which one attempt is done; the other may be nil.
+func (r *Run) finishRace(done, other *racer) (*attempt, Event, error) {
 	r.queued += done.queued
 	switch {
 	case other == nil:
-	case done.won():
+	case done.hasAnswer():
 		if other.hedge {
 			r.d.cfg.Telemetry.Hedge(r.job.Class.Name, telemetry.HedgeLost)
 		}
-		other.lose(telemetry.CauseHedge)
+		other.discard(telemetry.CauseHedge)
 	default:
-		return r.await(done, other)
+		return r.awaitOther(done, other)
 	}
 	if done.lease == nil {
 		done.cancel()
-		return nil, Event{}, r.refused(done.err)
+		return nil, Event{}, r.grantError(done.err)
 	}
 	return done.attempt, done.event, done.err
 }
 
-// await goes on with the second attempt after the first one failed.
-func (r *Run) await(failed, other *entrant) (*attempt, Event, error) {
-	failed.note("attempt %d failed: %v", failed.number, failed.err)
+// awaitOther continues with the second attempt after the first one failed.
+func (r *Run) awaitOther(failed, other *racer) (*attempt, Event, error) {
+	failed.trace("attempt %d failed: %v", failed.number, failed.err)
 	switch {
 	case failed.lease == nil:
 		failed.cancel()
 	case r.ctx.Err() != nil:
 		failed.abandon(contextCause(r.ctx))
 	default:
-		r.remember(failed)
-		failed.broke(upstream.EvidenceOf(failed.err), upstream.ReusedIn(failed.err))
+		r.recordFailure(failed)
+		failed.endFailed(upstream.EvidenceOf(failed.err), upstream.ReusedIn(failed.err))
 	}
 	<-other.ready
 	outcome := telemetry.HedgeFailed
-	if other.won() {
+	if other.hasAnswer() {
 		outcome = telemetry.HedgeWon
 	}
 	r.d.cfg.Telemetry.Hedge(r.job.Class.Name, outcome)
-	return r.settle(other, nil)
+	return r.finishRace(other, nil)
 }
 
-// remember keeps what the failure of one of two attempts says about the request.
-func (r *Run) remember(e *entrant) {
+// recordFailure records the upstream of a failed attempt and whether the request may have
+// run there.
+func (r *Run) recordFailure(e *racer) {
 	r.excluded = append(slices.Clone(r.excluded), e.upstream())
 	if upstream.EvidenceOf(e.err) == upstream.Unknown && r.mayHaveRun == nil {
 		r.mayHaveRun = e.err
--- a/instance/dispatch/hedge_test.go
+++ b/instance/dispatch/hedge_test.go
@@ -16,32 +16,32 @@
 
 var _ = Describe("A hedge", func() {
 	hedged := &intent.Class{Name: "urgent", Hedge: true}
-	quick := dispatch.HedgeConfig{LeastSamples: 3, LeastDelay: 10 * time.Millisecond}
+	hedgeConfig := dispatch.HedgeConfig{MinSamples: 3, MinDelay: 10 * time.Millisecond}
 	ctx := context.Background()
 
-	// learned makes the class's times known by three requests to a good engine.
-	learned := func(cfg dispatch.Config, engines ...*fakeEngine) *bench {
-		cfg.Hedge = quick
-		b := newBench(cfg, engines...)
+	// newTrainedHarness runs three successful requests, so that the class has a hedge delay.
+	newTrainedHarness := func(cfg dispatch.Config, engines ...*fakeEngine) *harness {
+		cfg.Hedge = hedgeConfig
+		b := newHarness(cfg, engines...)
 		first := engines[0]
-		was := first.mood
-		first.mood = answers
+		was := first.behaviour
+		first.behaviour = answers
 		for range 3 {
 			_, err := b.run(ctx, b.job(hedged))
 			Expect(err).NotTo(HaveOccurred())
 		}
 		first.mu.Lock()
-		first.mood, first.seen = was, nil
+		first.behaviour, first.seen = was, nil
 		first.mu.Unlock()
 		return b
 	}
 
-	// An engine takes a nurse's review and stalls before the first token. Her
-	// request must not wait for it: another engine gets it as well, the first
-	// answer counts, and the stalled engine is told to stop.
-	It("answers in place of an attempt that brings nothing, which is cancelled", func() {
+	// An engine accepts a request and stalls before the first token. The request is sent
+	// to another engine as well, the first answer is used, and the attempt on the stalled
+	// engine is cancelled.
+	It("replaces an attempt without events, which is cancelled", func() {
 		slow, good := newEngine("slow", hangs), newEngine("good", answers)
-		b := learned(dispatch.Config{}, slow, good)
+		b := newTrainedHarness(dispatch.Config{}, slow, good)
 		text, err := b.run(ctx, b.job(hedged))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(text).To(Equal("good1 good2 good3 "))
@@ -51,9 +51,9 @@
 		Eventually(func() string { return b.metric(`wasted_attempts_total{class="urgent",cause="hedge_lost"}`) }, limit).Should(Equal("1"))
 	})
 
-	It("is cancelled when the first attempt begins after all", func() {
+	It("is cancelled if the first attempt produces an event first", func() {
 		slow, other := newEngine("slow", waits), newEngine("other", hangs)
-		b := learned(dispatch.Config{}, slow, other)
+		b := newTrainedHarness(dispatch.Config{}, slow, other)
 		go func() {
 			defer GinkgoRecover()
 			Eventually(other.requests, limit).ShouldNot(BeEmpty())
@@ -66,11 +66,11 @@
 		Expect(b.metric(`hedges_total{class="urgent",outcome="lost"}`)).To(Equal("1"))
 	})
 
-	// The first attempt dies while its hedge is on the way: the hedge is the
-	// retry, and no third attempt is made.
-	It("goes on alone when the first attempt fails", func() {
+	// The first attempt fails while its hedge is running: the hedge serves as the retry,
+	// and no third attempt is made.
+	It("continues alone if the first attempt fails", func() {
 		slow, other := newEngine("slow", hangs), newEngine("other", waits)
-		b := learned(dispatch.Config{}, slow, other)
+		b := newTrainedHarness(dispatch.Config{}, slow, other)
 		go func() {
 			defer GinkgoRecover()
 			Eventually(other.requests, limit).ShouldNot(BeEmpty())
@@ -84,22 +84,22 @@
 
 	DescribeTable("is not sent", func(cfg dispatch.Config, class *intent.Class, once bool) {
 		slow, other := newEngine("slow", waits), newEngine("other", answers)
-		b := learned(cfg, slow, other)
-		time.AfterFunc(20*quick.LeastDelay, func() { close(slow.release) })
-		text, err := b.run(ctx, b.job(class, func(j *dispatch.Job) { j.Once = once }))
+		b := newTrainedHarness(cfg, slow, other)
+		time.AfterFunc(20*hedgeConfig.MinDelay, func() { close(slow.release) })
+		text, err := b.run(ctx, b.job(class, func(j *dispatch.Job) { j.AtMostOnce = once }))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(text).To(Equal("slow1 slow2 slow3 "))
 		Expect(other.requests()).To(BeEmpty())
 	},
-		Entry("for work that may run once only", dispatch.Config{}, hedged, true),
+		Entry("for a request that may run only once", dispatch.Config{}, hedged, true),
 		Entry("in a class that doesn't permit it", dispatch.Config{}, &intent.Class{Name: "urgent"}, false),
-		Entry("without a budget, or an overload would feed itself", dispatch.Config{Retries: none}, hedged, false),
+		Entry("without a budget, since hedges would amplify an overload", dispatch.Config{Retries: noRetries}, hedged, false),
 	)
 
-	It("never spends more than the budget, whatever the engines do", func() {
+	It("never exceeds the budget, whatever the engines do", func() {
 		slow, good := newEngine("slow", hangs), newEngine("good", answers)
 		cfg := dispatch.Config{Retries: budget.Config{Ratio: 1e-9, PerSecond: 1e-9, Burst: 2}}
-		b := learned(cfg, slow, good)
+		b := newTrainedHarness(cfg, slow, good)
 		short, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
 		whole := 0
@@ -116,48 +116,48 @@
 	class := &intent.Class{Name: "bulk"}
 	ctx := context.Background()
 
-	It("goes elsewhere after a refusal and after a cut", func() {
-		b := newBench(dispatch.Config{}, newEngine("refuses", refuses), newEngine("cuts", cuts), newEngine("good", answers))
+	It("uses another upstream after a refusal and after a closed connection", func() {
+		b := newHarness(dispatch.Config{}, newEngine("refuses", refuses), newEngine("cuts", cuts), newEngine("good", answers))
 		text, err := b.run(ctx, b.job(class))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(text).To(Equal("good1 good2 good3 "))
 		Expect(b.metric(`attempts_total{class="bulk",kind="retry"}`)).To(Equal("2"))
 	})
 
-	It("is not made after an attempt that may have run, when the work may run once only", func() {
+	It("is not made after an attempt that may have run, if the request may run only once", func() {
 		good := newEngine("good", answers)
-		b := newBench(dispatch.Config{}, newEngine("cuts", cuts), good)
-		_, err := b.run(ctx, b.job(class, func(j *dispatch.Job) { j.Once = true }))
+		b := newHarness(dispatch.Config{}, newEngine("cuts", cuts), good)
+		_, err := b.run(ctx, b.job(class, func(j *dispatch.Job) { j.AtMostOnce = true }))
 		Expect(upstream.EvidenceOf(err)).To(Equal(upstream.Unknown))
 		Expect(good.requests()).To(BeEmpty())
 	})
 
-	// The first attempt reached an engine and was lost; the second found no
-	// upstream. Told as "refused before it ran", the caller would send again
-	// what may have run.
-	It("that finds no upstream doesn't make the request one that was not run", func() {
-		b := newBench(dispatch.Config{}, newEngine("cuts", cuts))
+	// The first attempt reached an engine and was lost; the second found no upstream. If
+	// the error said that the request was refused before it ran, the caller would repeat a
+	// request that may have run.
+	It("without an available upstream does not report the request as not run", func() {
+		b := newHarness(dispatch.Config{}, newEngine("cuts", cuts))
 		_, err := b.run(ctx, b.job(class))
 		Expect(fault.CodeOf(err)).To(Equal(fault.OutcomeUnknown))
 		Expect(upstream.EvidenceOf(err)).To(Equal(upstream.Unknown))
 		Expect(fault.From(err).RetryAfter).To(Equal(time.Second))
 	})
 
-	It("starts a whole answer over, and never a stream that has begun", func() {
+	It("restarts an answer that is sent whole, but never a stream that has begun", func() {
 		broken, good := newEngine("broken", breaks), newEngine("good", answers)
-		b := newBench(dispatch.Config{}, broken, good)
+		b := newHarness(dispatch.Config{}, broken, good)
 		text, err := b.run(ctx, b.job(class, func(j *dispatch.Job) { j.Restartable = true }))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(text).To(Equal("good1 good2 good3 "))
 		text, err = b.run(ctx, b.job(class))
 		Expect(fault.CodeOf(err)).To(Equal(fault.StreamBroken))
 		Expect(text).To(Equal("broken1 "))
-		Expect(b.metric(`wasted_tokens_total{class="bulk",cause="preempted"}`)).To(Equal("2"), "the engine kept neither")
+		Expect(b.metric(`wasted_tokens_total{class="bulk",cause="preempted"}`)).To(Equal("2"), "the engine kept neither stream")
 	})
 
-	It("ends with the caller: the engine is told, the slot is free", func() {
+	It("ends when the caller disconnects: the engine is told and the slot is freed", func() {
 		e := newEngine("hangs", hangs)
-		b := newBench(dispatch.Config{}, e)
+		b := newHarness(dispatch.Config{}, e)
 		gone, hangUp := context.WithCancel(ctx)
 		go func() {
 			defer GinkgoRecover()
--- a/instance/dispatch/resume.go
+++ b/instance/dispatch/resume.go
@@ -8,12 +8,12 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// maxResumes bounds the resumptions of one attempt: an engine that breaks the
-// stream again and again would otherwise hold a slot for little progress.
+// maxResumes bounds the resumptions of one attempt. Otherwise an engine that breaks the
+// stream repeatedly would occupy a slot for little progress.
 const maxResumes = 3
 
-// resume continues a broken stream on a fresh connection and reports whether it
-// did. Resumptions repeat no work, so that they need no budget.
+// resume continues a broken stream on a new connection and reports whether it succeeded.
+// Resumptions repeat no work and therefore need no budget.
 func (a *attempt) resume(cause error) bool {
 	if errors.Is(cause, io.EOF) || fault.CodeOf(cause) == fault.Corrupt {
 		return false
@@ -23,7 +23,7 @@
 		last := a.stream.Last()
 		s, err := a.d.cfg.Client.Resume(a.ctx, target(a.lease.Grant()), a.id, last)
 		if err == nil {
-			a.note("attempt %d is resumed after event %d: %v", a.number, last, cause)
+			a.trace("attempt %d is resumed after event %d: %v", a.number, last, cause)
 			a.d.cfg.Telemetry.Resumed(a.job.Class.Name)
 			_ = a.stream.Close()
 			a.stream = s
@@ -31,11 +31,11 @@
 		}
 		switch fault.CodeOf(err) {
 		case fault.NotFound:
-			// The engine took the request out, by preemption or a restart.
-			a.dropped = true
+			// The engine has removed the request, by preemption or a restart.
+			a.removed = true
 			return false
 		case fault.DeadlineExceeded:
-			// A fresh connection is silent too: it is the engine.
+			// A new connection timed out as well, so the engine itself does not respond.
 			return false
 		}
 	}
--- a/instance/dispatch/run.go
+++ b/instance/dispatch/run.go
@@ -13,38 +13,37 @@
 	"github.com/comfreyladder/comfreyladder/instance/upstream"
 )
 
-// Run is one request on its way. It is for one goroutine. Close must be called.
+// Run is the execution of one request. It must be used by one goroutine. Close must be called.
 type Run struct {
 	d        *Dispatcher
 	ctx      context.Context
 	job      *Job
 	attempts int
-	// excluded names the upstreams at which attempts failed.
+	// excluded names the upstreams on which attempts failed.
 	excluded []string
-	// reused says that the last failure was one of an old connection.
+	// reused means that the last failure was on a reused connection.
 	reused bool
-	// current is the attempt whose events are handed on, nil before its first.
+	// current is the attempt whose events are delivered, nil before its first event.
 	current *attempt
-	// handed counts what was handed on: after the first, only a resumption can
-	// go on, as another attempt would give another answer.
-	handed int
+	// delivered counts the events returned by Next. After the first event only a resumption
+	// is possible, because another attempt would produce a different answer.
+	delivered int
 	// mayHaveRun is the first failure after which the request may have run.
 	mayHaveRun error
 	queued     time.Duration
 	done       bool
 }
 
-// Queued returns how long the run waited for grants.
+// Queued returns how long the run has waited for grants.
 func (r *Run) Queued() time.Duration { return r.queued }
 
-// Next returns the next event, or io.EOF after a whole answer. Any other
-// failure is final.
+// Next returns the next event, or io.EOF after a complete answer. Any other error is final.
 func (r *Run) Next() (Event, error) {
 	for !r.done {
 		ev, err := r.step()
 		switch {
 		case err == nil:
-			r.handed++
+			r.delivered++
 			return ev, nil
 		case errors.Is(err, io.EOF):
 			r.current.end(sched.Outcome{Tokens: r.current.tokens, Complete: true})
@@ -56,13 +55,13 @@
 	return Event{}, io.EOF
 }
 
-// Ready reports whether the next event of the answer is there already.
+// Ready reports whether the next event is available without waiting.
 func (r *Run) Ready() bool {
 	return r.current != nil && r.current.stream != nil && r.current.stream.Ready()
 }
 
-// Close ends the run: an attempt on its way is cancelled at the engine and what
-// it generated counts as wasted by the given cause.
+// Close ends the run. An attempt in flight is cancelled at the engine, and its tokens count
+// as wasted for the given cause.
 func (r *Run) Close(cause telemetry.Cause) {
 	if r.current != nil {
 		r.current.abandon(cause)
@@ -70,88 +69,89 @@
 	}
 }
 
-// step returns the next event of the current attempt or of the one that follows
-// it. A failure other than io.EOF is final.
+// step returns the next event of the current attempt or of a following one. An error other
+// than io.EOF is final.
 func (r *Run) step() (Event, error) {
 	for {
 		ev, failed, err := r.advance()
 		if err == nil || errors.Is(err, io.EOF) {
 			return ev, err
 		}
-		if err := r.fail(failed, err); err != nil {
+		if err := r.handleFailure(failed, err); err != nil {
 			return Event{}, err
 		}
 	}
 }
 
-// advance returns the next event, or the attempt that failed with its failure;
-// the attempt is nil when it got no grant.
+// advance returns the next event, or the failed attempt and its error. The attempt is nil if
+// it got no grant.
 func (r *Run) advance() (Event, *attempt, error) {
 	if r.current != nil {
 		ev, err := r.current.next()
 		return ev, r.current, err
 	}
-	a, ev, err := r.begin()
+	a, ev, err := r.startAttempt()
 	if err == nil || errors.Is(err, io.EOF) {
 		r.current = a
 	}
 	return ev, a, err
 }
 
-// begin starts an attempt, with a hedge beside it where the class permits one.
-func (r *Run) begin() (*attempt, Event, error) {
+// startAttempt starts an attempt, with a hedge if the class permits it.
+func (r *Run) startAttempt() (*attempt, Event, error) {
 	if wait, ok := r.hedgeAfter(); ok {
 		return r.race(wait)
 	}
-	a := r.attempt(r.ctx)
-	ev, err := a.first()
+	a := r.newAttempt(r.ctx)
+	ev, err := a.firstEvent()
 	r.queued += a.queued
 	if a.lease == nil {
-		return nil, Event{}, r.refused(err)
+		return nil, Event{}, r.grantError(err)
 	}
 	return a, ev, err
 }
 
-// refused tells why no grant came. When an earlier attempt may have run, it is
-// told and not the refusal, which would say that the request was not run.
-func (r *Run) refused(err error) error {
+// grantError returns the error to report if no grant was issued. If an earlier attempt may
+// have run, it reports that attempt's outcome, because the refusal would claim that the
+// request was not run.
+func (r *Run) grantError(err error) error {
 	if r.mayHaveRun == nil || r.ctx.Err() != nil {
 		return err
 	}
 	return fault.Wrap(r.mayHaveRun, fault.OutcomeUnknown, "an attempt failed, may have run, and could not be repeated").After(fault.From(err).RetryAfter)
 }
 
-// fail decides what follows a failed attempt: nil means that a new one may
-// start; a failure is final.
-func (r *Run) fail(a *attempt, err error) error {
+// handleFailure decides what follows a failed attempt: it returns nil if a new attempt may
+// start, otherwise the final error.
+func (r *Run) handleFailure(a *attempt, err error) error {
 	r.current = nil
 	if a == nil {
-		return r.contextFault(err)
+		return r.contextError(err)
 	}
-	a.note("attempt %d failed: %v", a.number, err)
+	a.trace("attempt %d failed: %v", a.number, err)
 	if r.ctx.Err() != nil {
 		a.abandon(contextCause(r.ctx))
-		return r.contextFault(err)
+		return r.contextError(err)
 	}
 	evidence := upstream.EvidenceOf(err)
 	r.reused = upstream.ReusedIn(err)
-	a.broke(evidence, r.reused)
+	a.endFailed(evidence, r.reused)
 	if evidence == upstream.Unknown && r.mayHaveRun == nil {
 		r.mayHaveRun = err
 	}
-	if r.handed > 0 && !r.job.Restartable {
-		return fault.Wrap(err, fault.StreamBroken, "the stream broke after %d events and could not be resumed", r.handed)
+	if r.delivered > 0 && !r.job.Restartable {
+		return fault.Wrap(err, fault.StreamBroken, "the stream broke after %d events and could not be resumed", r.delivered)
 	}
 	if !r.mayRetry(evidence) {
-		return r.final(err)
+		return r.finalError(err)
 	}
 	r.excluded = append(r.excluded, a.upstream())
 	return nil
 }
 
-// final returns the failure to tell. A last attempt that is proved not to have
-// run says nothing about an earlier one.
-func (r *Run) final(err error) error {
+// finalError returns the error to report. The proof that the last attempt did not run does
+// not apply to an earlier attempt that may have run.
+func (r *Run) finalError(err error) error {
 	if r.mayHaveRun != nil {
 		return r.mayHaveRun
 	}
@@ -159,26 +159,25 @@
 }
 
 func (r *Run) mayRetry(evidence upstream.Evidence) bool {
-	if r.attempts >= r.d.cfg.Attempts || r.job.Once && evidence == upstream.Unknown {
+	if r.attempts >= r.d.cfg.Attempts || r.job.AtMostOnce && evidence == upstream.Unknown {
 		return false
 	}
 	if r.d.spend(r.job.Class.Name) {
 		return true
 	}
-	r.note("the retry budget of class %s is spent", r.job.Class.Name)
+	r.trace("the retry budget of class %s is exhausted", r.job.Class.Name)
 	return false
 }
 
-// contextFault names the end of the request's own context, if it ended; else it
-// returns err.
-func (r *Run) contextFault(err error) error {
+// contextError returns an error for the end of the request's context, or err if it has not ended.
+func (r *Run) contextError(err error) error {
 	switch {
 	case r.ctx.Err() == nil:
 		return err
 	case errors.Is(r.ctx.Err(), context.DeadlineExceeded):
 		return fault.New(fault.DeadlineExceeded, "the answer was not ready before the deadline of class %s", r.job.Class.Name)
 	}
-	return fault.New(fault.Canceled, "the caller hung up")
+	return fault.New(fault.Canceled, "the caller disconnected")
 }
 
 func contextCause(ctx context.Context) telemetry.Cause {
@@ -188,4 +187,4 @@
 	return telemetry.CauseHangUp
 }
 
-func (r *Run) note(format string, args ...any) { r.d.cfg.Trace.Add(r.job.ID, format, args...) }
+func (r *Run) trace(format string, args ...any) { r.d.cfg.Trace.Add(r.job.ID, format, args...) }
--- a/instance/dispatch/suite_test.go
+++ b/instance/dispatch/suite_test.go
@@ -34,32 +34,32 @@
 
 const limit = 10 * time.Second
 
-// mood is what a fake engine does with a request.
-type mood int
+// behaviour selects how a fake engine handles a request.
+type behaviour int
 
 const (
-	answers mood = iota // three events and the end
-	hangs               // the header, and then nothing
-	cuts                // cuts the connection before the header
-	breaks              // one event, then cuts the connection; nothing is kept
-	refuses             // 503 with X-Not-Run
-	waits               // answers once released
+	answers behaviour = iota // sends three events and the end marker
+	hangs                    // sends the header and nothing else
+	cuts                     // closes the connection before the header
+	breaks                   // sends one event, then closes the connection; the stream is not kept
+	refuses                  // answers 503 with X-Not-Run
+	waits                    // answers after release is closed
 )
 
-// fakeEngine speaks the engines' protocol by its mood.
+// fakeEngine implements the protocol of the engines with the selected behaviour.
 type fakeEngine struct {
-	name    string
-	ln      net.Listener
-	mu      sync.Mutex
-	mood    mood
-	seen    []string // "METHOD id"
-	release chan struct{}
+	name      string
+	ln        net.Listener
+	mu        sync.Mutex
+	behaviour behaviour
+	seen      []string // "METHOD id"
+	release   chan struct{}
 }
 
-func newEngine(name string, m mood) *fakeEngine {
+func newEngine(name string, m behaviour) *fakeEngine {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	e := &fakeEngine{name: name, ln: ln, mood: m, release: make(chan struct{})}
+	e := &fakeEngine{name: name, ln: ln, behaviour: m, release: make(chan struct{})}
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -69,7 +69,7 @@
 			go func() {
 				defer c.Close()
 				br := bufio.NewReader(c)
-				for e.one(c, br) {
+				for e.serveOne(c, br) {
 				}
 			}()
 		}
@@ -78,7 +78,7 @@
 	return e
 }
 
-func (e *fakeEngine) one(c net.Conn, br *bufio.Reader) bool {
+func (e *fakeEngine) serveOne(c net.Conn, br *bufio.Reader) bool {
 	req := &fasthttp.Request{}
 	if req.Read(br) != nil {
 		return false
@@ -86,7 +86,7 @@
 	id := string(req.Header.Peek("X-Request-Id"))
 	e.mu.Lock()
 	e.seen = append(e.seen, string(req.Header.Method())+" "+id)
-	m := e.mood
+	m := e.behaviour
 	e.mu.Unlock()
 	switch string(req.Header.Method()) {
 	case "DELETE":
@@ -128,12 +128,12 @@
 	return strings.Join(e.seen, ", ")
 }
 
-// queue grants the first engine that a ticket doesn't exclude.
+// queue grants the first engine that the ticket does not exclude.
 type queue struct {
-	mu      sync.Mutex
-	engines []*fakeEngine
-	open    int // leases that were not given back
-	ended   []sched.Outcome
+	mu         sync.Mutex
+	engines    []*fakeEngine
+	openLeases int // leases that have not ended
+	ended      []sched.Outcome
 }
 
 func (q *queue) Acquire(_ context.Context, t sched.Ticket) (dispatch.Lease, error) {
@@ -146,7 +146,7 @@
 				continue next
 			}
 		}
-		q.open++
+		q.openLeases++
 		return &lease{q: q, g: sched.Grant{ID: t.ID, Upstream: e.name, Address: e.ln.Addr().String()}}, nil
 	}
 	return nil, fault.New(fault.Overloaded, "refused before it ran").After(time.Second)
@@ -155,7 +155,7 @@
 func (q *queue) leases() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.open
+	return q.openLeases
 }
 
 type lease struct {
@@ -171,22 +171,22 @@
 	l.q.mu.Lock()
 	defer l.q.mu.Unlock()
 	if l.done {
-		panic("a lease was given back twice")
+		panic("a lease was ended twice")
 	}
 	l.done = true
-	l.q.open--
+	l.q.openLeases--
 	l.q.ended = append(l.q.ended, o)
 }
 
-// bench is a dispatcher with its surroundings.
-type bench struct {
+// harness is a dispatcher with its dependencies.
+type harness struct {
 	*dispatch.Dispatcher
 	q     *queue
 	tel   *telemetry.Service
 	count int
 }
 
-func newBench(cfg dispatch.Config, engines ...*fakeEngine) *bench {
+func newHarness(cfg dispatch.Config, engines ...*fakeEngine) *harness {
 	before := goleak.IgnoreCurrent()
 	q := &queue{engines: engines}
 	tel := telemetry.New()
@@ -196,7 +196,7 @@
 		cfg.Attempts = 3
 	}
 	DeferCleanup(func() {
-		Eventually(q.leases, limit).Should(BeZero(), "leases were not given back")
+		Eventually(q.leases, limit).Should(BeZero(), "leases have not ended")
 		ctx, done := context.WithTimeout(context.Background(), limit)
 		defer done()
 		Expect(client.Close(ctx)).To(Succeed())
@@ -205,10 +205,10 @@
 		}
 		Eventually(func() error { return goleak.Find(before) }, limit).Should(Succeed())
 	})
-	return &bench{Dispatcher: dispatch.New(cfg), q: q, tel: tel}
+	return &harness{Dispatcher: dispatch.New(cfg), q: q, tel: tel}
 }
 
-func (b *bench) job(class *intent.Class, change ...func(*dispatch.Job)) *dispatch.Job {
+func (b *harness) job(class *intent.Class, change ...func(*dispatch.Job)) *dispatch.Job {
 	b.count++
 	j := &dispatch.Job{ID: fmt.Sprintf("r%d", b.count), Class: class, Body: func(int) ([]byte, error) { return []byte("{}"), nil }}
 	for _, f := range change {
@@ -217,8 +217,8 @@
 	return j
 }
 
-// run reads a request to its end and returns the text and the failure, if any.
-func (b *bench) run(ctx context.Context, j *dispatch.Job) (text string, err error) {
+// run reads a request to its end and returns the text and the error, if any.
+func (b *harness) run(ctx context.Context, j *dispatch.Job) (text string, err error) {
 	r := b.Start(ctx, j)
 	defer r.Close(telemetry.CauseHangUp)
 	attempt := ""
@@ -239,7 +239,7 @@
 	}
 }
 
-func (b *bench) metric(series string) string {
+func (b *harness) metric(series string) string {
 	var out strings.Builder
 	b.tel.Write(&out)
 	for line := range strings.Lines(out.String()) {
@@ -250,4 +250,4 @@
 	return ""
 }
 
-var none = budget.Config{Ratio: 1e-9, PerSecond: 1e-9, Burst: 1e-9}
+var noRetries = budget.Config{Ratio: 1e-9, PerSecond: 1e-9, Burst: 1e-9}
