--- a/instance/gateway/bad_test.go
+++ b/instance/gateway/bad_test.go
@@ -17,10 +17,10 @@
 )
 
 var _ = Describe("Bad input", func() {
-	DescribeTable("gets a typed answer that says it was not run",
+	DescribeTable("is answered with a typed error that says that it was not run",
 		func(raw string, status int, code string) {
-			p := newPlace(newEngine(1), generous(), nil)
-			r := p.ask(raw)
+			p := newTestGateway(newEngine(1), defaultLimits(), nil)
+			r := p.send(raw)
 			Expect(r.StatusCode()).To(Equal(status), "%s", r.Body())
 			var body httpapi.ErrorBody
 			Expect(json.Unmarshal(r.Body(), &body)).To(Succeed())
@@ -32,9 +32,9 @@
 		Entry("malformed JSON", request(goodKey, `{"model":`), 400, "invalid_request"),
 		Entry("a wrong type", request(goodKey, `{"model":[],"messages":1}`), 400, "invalid_request"),
 		Entry("an unknown model", request(goodKey, strings.Replace(chatBody("x", true), `"m"`, `"other"`, 1)), 404, "not_found"),
-		Entry("a class of others", request(goodKey, strings.Replace(chatBody("x", true), `{`, `{"service_tier":"urgent",`, 1)), 403, "forbidden"),
+		Entry("a class of another organisation", request(goodKey, strings.Replace(chatBody("x", true), `{`, `{"service_tier":"urgent",`, 1)), 403, "forbidden"),
 		Entry("an unknown class", request(goodKey, strings.Replace(chatBody("x", true), `{`, `{"service_tier":"none",`, 1)), 403, "forbidden"),
-		Entry("a key of nobody", request("a-key-of-nobody", chatBody("x", true)), 401, "unauthenticated"),
+		Entry("an unknown key", request("a-key-of-nobody", chatBody("x", true)), 401, "unauthenticated"),
 		Entry("an expired key", request(oldKey, chatBody("x", true)), 401, "unauthenticated"),
 		Entry("no key", "GET /v1/models HTTP/1.1\r\nHost: x\r\n\r\n", 401, "unauthenticated"),
 		Entry("an unknown path", "GET /v2 HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer "+goodKey+"\r\n\r\n", 404, "not_found"),
@@ -43,8 +43,8 @@
 		Entry("no HTTP at all", "\x16\x03\x01 what\r\n\r\n", 400, "invalid_request"),
 	)
 
-	It("doesn't hurt the next request on the connection", func() {
-		p := newPlace(newEngine(2), generous(), nil)
+	It("does not affect the next request on the connection", func() {
+		p := newTestGateway(newEngine(2), defaultLimits(), nil)
 		c := p.dial()
 		br := bufio.NewReader(c)
 		for n := range 3 {
@@ -57,10 +57,10 @@
 		}
 	})
 
-	// A caller pipelines: it sends all its requests before the first answer.
-	// The answers must come in order, each whole, none with another's text.
-	It("is not what pipelined and chunked requests are", func() {
-		p := newPlace(newEngine(3), generous(), nil)
+	// A caller pipelines its requests. The answers must arrive in order and complete, and
+	// none may contain text of another one.
+	It("does not include pipelined and chunked requests", func() {
+		p := newTestGateway(newEngine(3), defaultLimits(), nil)
 		c := p.dial()
 		br := bufio.NewReader(c)
 		var all strings.Builder
@@ -80,12 +80,12 @@
 		}
 	})
 
-	// Callers send half a request and stay, or a byte now and then. The read
-	// limit ends them, and others are served meanwhile.
-	It("that never ends is cut off, and harms nobody else", func() {
-		limits := generous()
+	// Callers send half a request and stall, or send single bytes slowly. The read timeout
+	// closes their connections, and other callers are served meanwhile.
+	It("that never ends is closed by the read timeout and does not affect other callers", func() {
+		limits := defaultLimits()
 		limits.ReadTimeout = 300 * time.Millisecond
-		p := newPlace(newEngine(1), limits, nil)
+		p := newTestGateway(newEngine(1), limits, nil)
 		var wg sync.WaitGroup
 		for n := range 50 {
 			c := p.dial()
@@ -104,31 +104,31 @@
 			})
 		}
 		for range 20 {
-			Expect(p.ask(request(goodKey, chatBody("quick", false))).StatusCode()).To(Equal(200))
+			Expect(p.send(request(goodKey, chatBody("quick", false))).StatusCode()).To(Equal(200))
 		}
 		wg.Wait()
 		Eventually(p.Busy, limit).Should(BeZero())
 	})
 
-	// A caller asks for a long stream and doesn't read it. Its connection is
-	// cut after the write limit, its engine is freed, others are served.
-	It("of a caller that doesn't read its stream harms nobody else", func() {
-		limits := generous()
+	// A caller requests a long stream and does not read it. Its connection is closed after
+	// the write timeout, its slot is freed, and other callers are served meanwhile.
+	It("of a caller that does not read its stream does not affect other callers", func() {
+		limits := defaultLimits()
 		limits.WriteTimeout = 300 * time.Millisecond
 		e := newEngine(40_000)
-		p := newPlace(e, limits, nil)
+		p := newTestGateway(e, limits, nil)
 		for range 5 {
 			_, err := io.WriteString(p.dial(), request(goodKey, chatBody(strings.Repeat("x", 500), true)))
 			Expect(err).NotTo(HaveOccurred())
 		}
 		Eventually(p.queue.leases, limit).Should(Equal(5))
-		Expect(p.ask("GET /v1/models HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + goodKey + "\r\n\r\n").StatusCode()).To(Equal(200))
+		Expect(p.send("GET /v1/models HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + goodKey + "\r\n\r\n").StatusCode()).To(Equal(200))
 		Eventually(p.queue.leases, limit).Should(BeZero())
 	})
 
-	It("in numbers doesn't flood the log", func() {
+	It("in large numbers does not flood the log", func() {
 		e := newEngine(1)
-		p := newPlace(e, generous(), nil)
+		p := newTestGateway(e, defaultLimits(), nil)
 		Expect(e.ln.Close()).To(Succeed()) // each request fails
 		c := p.dial()
 		br := bufio.NewReader(c)
@@ -143,9 +143,9 @@
 
 var _ = Describe("Connections", func() {
 	It("above the limit are closed, and those below it are served", func() {
-		limits := generous()
+		limits := defaultLimits()
 		limits.MaxConnections = 100
-		p := newPlace(newEngine(1), limits, nil)
+		p := newTestGateway(newEngine(1), limits, nil)
 		var idle []net.Conn
 		for range 99 {
 			idle = append(idle, p.dial())
--- a/instance/gateway/chat.go
+++ b/instance/gateway/chat.go
@@ -23,23 +23,23 @@
 
 const answerIDPrefix = "chatcmpl-"
 
-// hangUpNotifier is a connection that knows at once when the peer goes away.
+// hangUpNotifier is a connection that reports immediately when the peer disconnects.
 type hangUpNotifier interface{ HangUp() <-chan struct{} }
 
-// exchange is one model request with what is measured of it.
+// exchange is one model request and its measurements.
 type exchange struct {
-	g      *Gateway
-	id     string
-	org    *intent.Organisation
-	class  *intent.Class
-	req    *chat.Request
-	run    *dispatch.Run
-	cancel context.CancelFunc
-	start  time.Time
-	first  time.Duration
-	tokens int
-	// sent is the ID of the attempt whose chunks are being sent.
-	sent string
+	g          *Gateway
+	id         string
+	org        *intent.Organisation
+	class      *intent.Class
+	req        *chat.Request
+	run        *dispatch.Run
+	cancel     context.CancelFunc
+	start      time.Time
+	firstToken time.Duration
+	tokens     int
+	// attemptID is the ID of the attempt whose chunks are being sent.
+	attemptID string
 }
 
 func (g *Gateway) chat(ctx *fasthttp.RequestCtx, view *config.View, org *intent.Organisation, id string) (streaming bool, err error) {
@@ -56,11 +56,11 @@
 		return false, fault.New(fault.NotFound, "model %q is not declared", req.Model)
 	}
 	x := &exchange{g: g, id: id, org: org, class: class, req: req, start: start}
-	x.begin(ctx.Conn())
+	x.startRun(ctx.Conn())
 	if req.Stream {
 		return x.serveStream(ctx)
 	}
-	return false, x.serveWhole(ctx)
+	return false, x.serveCompletion(ctx)
 }
 
 func classOf(doc *intent.Document, org *intent.Organisation, req *chat.Request) (*intent.Class, error) {
@@ -78,9 +78,9 @@
 	return class, nil
 }
 
-// begin starts the run under a context that ends at the class's deadline and as
-// soon as the caller hangs up: engine work for nobody is wasted.
-func (x *exchange) begin(conn net.Conn) {
+// startRun starts the run under a context that ends at the class's deadline or when the
+// caller disconnects, so that engines do not work on answers that nobody reads.
+func (x *exchange) startRun(conn net.Conn) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var deadline time.Time
 	if x.class.Deadline > 0 {
@@ -89,7 +89,7 @@
 	}
 	x.cancel = cancel
 	if h, ok := conn.(hangUpNotifier); ok {
-		go watchHangUp(ctx, h, cancel)
+		go cancelOnHangUp(ctx, h, cancel)
 	}
 	x.g.cfg.Trace.Begin(trace.Record{ID: x.id, Organisation: x.org.Name, Class: x.class.Name, Model: x.req.Model, Arrived: x.start})
 	maxTokens := smallerBound(x.req.MaxTokens, x.class.MaxTokens)
@@ -112,7 +112,7 @@
 	})
 }
 
-func watchHangUp(ctx context.Context, h hangUpNotifier, cancel context.CancelFunc) {
+func cancelOnHangUp(ctx context.Context, h hangUpNotifier, cancel context.CancelFunc) {
 	select {
 	case <-h.HangUp():
 		cancel()
@@ -120,7 +120,7 @@
 	}
 }
 
-// smallerBound returns the smaller of two bounds, of which 0 means none.
+// smallerBound returns the smaller of two bounds, where 0 means unbounded.
 func smallerBound(a, b int) int {
 	if a == 0 || (b > 0 && b < a) {
 		return b
@@ -134,20 +134,20 @@
 	if err != nil {
 		return ev, err
 	}
-	if x.sent != ev.AttemptID {
-		x.sent = ev.AttemptID
+	if x.attemptID != ev.AttemptID {
+		x.attemptID = ev.AttemptID
 		x.tokens = 0
 	}
-	if x.first == 0 {
-		x.first = time.Since(x.start)
+	if x.firstToken == 0 {
+		x.firstToken = time.Since(x.start)
 	}
 	x.tokens += ev.Head.Tokens
 	return ev, nil
 }
 
-func (x *exchange) serveWhole(ctx *fasthttp.RequestCtx) error {
+func (x *exchange) serveCompletion(ctx *fasthttp.RequestCtx) error {
 	answer, err := x.assemble()
-	x.end(err, telemetry.CauseDeadline)
+	x.finish(err, telemetry.CauseDeadline)
 	if err != nil {
 		return err
 	}
@@ -166,8 +166,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if attempt != x.sent {
-			attempt = x.sent
+		if attempt != x.attemptID {
+			attempt = x.attemptID
 			asm = &chat.Assembler{}
 		}
 		c, err := chat.ParseChunk(ev.Data)
@@ -178,8 +178,8 @@
 	}
 }
 
-// end closes the run and records what became of the request.
-func (x *exchange) end(err error, cause telemetry.Cause) {
+// finish closes the run and records the outcome of the request.
+func (x *exchange) finish(err error, cause telemetry.Cause) {
 	if fault.CodeOf(err) == fault.DeadlineExceeded {
 		cause = telemetry.CauseDeadline
 	}
@@ -189,7 +189,7 @@
 	total := time.Since(x.start)
 	x.g.cfg.Telemetry.Observe(&telemetry.Observation{
 		Organisation: x.org.Name, Class: x.class, Code: code,
-		Queue: x.run.Queued(), FirstToken: x.first, Total: total, Tokens: x.tokens,
+		Queue: x.run.Queued(), FirstToken: x.firstToken, Total: total, Tokens: x.tokens,
 	})
 	outcome := code
 	if outcome == "" {
@@ -201,5 +201,5 @@
 		ev = x.g.failures.event(x.g.cfg.Log, time.Now(), err)
 	}
 	ev.Str("request", x.id).Str("organisation", x.org.Name).Str("class", x.class.Name).Str("outcome", outcome).
-		Int("tokens", x.tokens).Dur("queue", x.run.Queued()).Dur("first_token", x.first).Dur("total", total).Msg("request ended")
+		Int("tokens", x.tokens).Dur("queue", x.run.Queued()).Dur("first_token", x.firstToken).Dur("total", total).Msg("request ended")
 }
--- a/instance/gateway/gateway.go
+++ b/instance/gateway/gateway.go
@@ -1,6 +1,6 @@
-// Package gateway serves callers: model requests in the published chat
-// completions format, the list of models, plain services under a path prefix,
-// announcements of upstreams, and the balancer's questions about readiness.
+// Package gateway serves callers: model requests in the chat completions format, the list
+// of models, plain services under a path prefix, announcements of upstreams, and the
+// readiness checks of the load balancer.
 package gateway
 
 import (
@@ -26,7 +26,7 @@
 	"github.com/comfreyladder/comfreyladder/instance/upstream"
 )
 
-// The paths of the callers' API.
+// Paths of the callers' API.
 const (
 	PathChat     = "/v1/chat/completions"
 	PathModels   = "/v1/models"
@@ -36,27 +36,27 @@
 	PathServices = "/services/"
 )
 
-// Registry takes announcements and knows which upstreams are there.
+// Registry receives announcements and lists the known upstreams.
 type Registry interface {
 	Announce(b announce.Beat) error
 	View() *registry.View
 }
 
-// Config holds what a Gateway needs.
+// Config holds the dependencies of a Gateway.
 type Config struct {
-	// Instance names this instance; it stands at the head of request IDs.
+	// Instance is the name of this instance and the prefix of request IDs.
 	Instance   string
 	Config     *config.Service
 	Dispatcher *dispatch.Dispatcher
 	Registry   Registry
 	Plain      Plain
-	// Targets chooses an upstream for a call of a plain service; it fails with
-	// fault.NotRun when none is there.
+	// Targets chooses an upstream for a call of a plain service. It fails with
+	// fault.NotRun if none is available.
 	Targets   func(v *config.View, service string) (upstream.Target, error)
 	Telemetry *telemetry.Service
 	Trace     *trace.Log
 	Log       zerolog.Logger
-	// CutOff reports whether the configuration lease has run out here.
+	// CutOff reports whether the configuration lease of this instance has expired.
 	CutOff func() bool
 }
 
@@ -71,11 +71,11 @@
 // New returns a Gateway.
 func New(cfg Config) *Gateway { return &Gateway{cfg: cfg} }
 
-// SetReady says whether the balancer should send requests here. A gateway that
-// is not ready still serves what arrives: the balancer notices late.
+// SetReady sets whether the load balancer should send requests here. A gateway that is not
+// ready still serves requests, because the load balancer notices the change late.
 func (g *Gateway) SetReady(ready bool) { g.notReady.Store(!ready) }
 
-// InFlight returns how many requests are being served, queued ones included.
+// InFlight returns how many requests are being served, including queued ones.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
 // Handle serves one request.
@@ -102,8 +102,8 @@
 	ctx.SetBodyString("ready\n")
 }
 
-// serveCaller counts the request as in flight until its answer is written; for
-// a stream, that is long after this function returns.
+// serveCaller counts the request as in flight until its answer is written. For a stream,
+// that is long after serveCaller has returned.
 func (g *Gateway) serveCaller(ctx *fasthttp.RequestCtx, path string) {
 	id := g.requestID()
 	ctx.Response.Header.Set(httpapi.HeaderRequestID, id)
@@ -149,24 +149,24 @@
 		return nil, err
 	}
 	if g.cfg.CutOff != nil && g.cfg.CutOff() && !org.ServeWhenCutOff {
-		return nil, fault.New(fault.NotRun, "this failure domain is cut off and does not serve organisation %q meanwhile", org.Name).After(cutOffRetry)
+		return nil, fault.New(fault.NotRun, "this failure domain is cut off and does not serve organisation %q meanwhile", org.Name).After(cutOffRetryAfter)
 	}
 	return org, nil
 }
 
-// cutOffRetry is the hint to callers that a cut-off failure domain refuses; a
-// retry reaches another instance through the balancer, maybe in another domain.
-const cutOffRetry = 2 * time.Second
+// cutOffRetryAfter is the retry hint for callers refused because the failure domain is cut
+// off. The load balancer sends the retry to another instance, possibly in another domain.
+const cutOffRetryAfter = 2 * time.Second
 
 func (g *Gateway) announce(ctx *fasthttp.RequestCtx) {
-	if err := g.takeBeat(ctx); err != nil {
+	if err := g.acceptAnnouncement(ctx); err != nil {
 		httpapi.WriteError(ctx, err, "")
 		return
 	}
 	ctx.SetStatusCode(fasthttp.StatusNoContent)
 }
 
-func (g *Gateway) takeBeat(ctx *fasthttp.RequestCtx) error {
+func (g *Gateway) acceptAnnouncement(ctx *fasthttp.RequestCtx) error {
 	view, err := g.cfg.Config.Current()
 	if err != nil {
 		return err
@@ -210,7 +210,7 @@
 	httpapi.WriteJSON(ctx, fasthttp.StatusOK, list)
 }
 
-// modelNames returns the sorted names of the models that live engines hold.
+// modelNames returns the sorted names of the models that live engines have loaded.
 func modelNames(v *registry.View) (names []string) {
 	for i := range v.Upstreams {
 		if v.Upstreams[i].Kind == intent.KindEngine {
@@ -223,8 +223,8 @@
 
 const requestIDBytes = 10
 
-// requestID makes an ID that no caller can choose: two callers with the same ID
-// could otherwise be mixed up at an engine.
+// requestID generates a request ID. Callers cannot choose it, because an engine could
+// confuse the requests of two callers with the same ID.
 func (g *Gateway) requestID() string {
 	var b [requestIDBytes]byte
 	_, _ = rand.Read(b[:])
--- a/instance/gateway/loglimit.go
+++ b/instance/gateway/loglimit.go
@@ -9,49 +9,50 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// maxFailureLines is how many failed requests of one code are logged a second.
-// All are counted in the metrics.
-const maxFailureLines = 10
+// maxFailuresPerSecond is how many failed requests are logged per second and code. All
+// failures are counted in the metrics.
+const maxFailuresPerSecond = 10
 
-// failureLog keeps refusals from flooding the log: an overload, or one caller
-// that sends nonsense, would else write a line for each. The first lines of each
-// second are written, and the next one after that says how many were left out.
+// failureLog limits the rate of logged failures. An overload, or one caller that sends
+// invalid requests, would otherwise log a line for each request. The first failures of each
+// second are logged, and the next logged line contains the number of omitted ones.
 type failureLog struct {
 	mu    sync.Mutex
-	codes map[fault.Code]*lines
+	codes map[fault.Code]*logWindow
 }
 
-type lines struct {
+type logWindow struct {
 	second  int64
 	written int
-	leftOut int
+	omitted int
 }
 
-// event returns a line for a failure, or nil, on which all calls do nothing.
+// event returns a log event for a failure, or nil if it is omitted. The methods of a nil
+// event do nothing.
 func (f *failureLog) event(log zerolog.Logger, now time.Time, err error) *zerolog.Event {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.codes == nil {
-		f.codes = map[fault.Code]*lines{}
+		f.codes = map[fault.Code]*logWindow{}
 	}
 	code := fault.CodeOf(err)
 	l := f.codes[code]
 	if l == nil {
-		l = &lines{}
+		l = &logWindow{}
 		f.codes[code] = l
 	}
 	if l.second != now.Unix() {
 		l.second, l.written = now.Unix(), 0
 	}
-	if l.written >= maxFailureLines {
-		l.leftOut++
+	if l.written >= maxFailuresPerSecond {
+		l.omitted++
 		return nil
 	}
 	l.written++
 	ev := log.Warn().Err(err)
-	if l.leftOut > 0 {
-		ev = ev.Int("left_out", l.leftOut)
-		l.leftOut = 0
+	if l.omitted > 0 {
+		ev = ev.Int("left_out", l.omitted)
+		l.omitted = 0
 	}
 	return ev
 }
--- a/instance/gateway/plain.go
+++ b/instance/gateway/plain.go
@@ -15,18 +15,19 @@
 	"github.com/comfreyladder/comfreyladder/instance/upstream"
 )
 
-// Plain carries calls of plain services.
+// Plain executes calls of plain services.
 type Plain interface {
 	Call(ctx context.Context, r plain.CallRequest) (plain.CallAnswer, error)
 }
 
-// Header names that tell more about an answer of a plain service.
+// Headers with details on the answer of a plain service.
 const (
 	headerReplayed  = "X-Replayed"
 	headerTruncated = "X-Truncated"
 )
 
-// hopByHop lists headers that belong to one connection, or to the router itself.
+// hopByHop lists headers that apply to a single connection or are handled by the router
+// itself.
 var hopByHop = map[string]bool{
 	"Authorization": true, "Connection": true, "Content-Length": true, "Host": true, "Keep-Alive": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true,
@@ -50,26 +51,26 @@
 	c, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if h, ok := ctx.Conn().(hangUpNotifier); ok {
-		go watchHangUp(c, h, cancel)
+		go cancelOnHangUp(c, h, cancel)
 	}
 	answer, err := g.cfg.Plain.Call(c, plain.CallRequest{
 		Organisation: org.Name, Service: service, Target: target,
 		Key:     string(ctx.Request.Header.Peek(httpapi.HeaderIdempotencyKey)),
 		Method:  string(ctx.Method()),
 		Path:    servicePath(ctx, rest),
-		Headers: forwarded(ctx),
+		Headers: forwardedHeaders(ctx),
 		Body:    append([]byte(nil), ctx.PostBody()...),
 	})
-	g.logPlain(org, service, target, &answer, err)
+	g.logServiceCall(org, service, target, &answer, err)
 	if err != nil {
-		return plainFault(err)
+		return mapConflict(err)
 	}
 	writeAnswer(ctx, &answer)
 	return nil
 }
 
-// servicePath is what the service sees: the path after its prefix as it was
-// sent, with its query.
+// servicePath returns the path that the service receives: the path as sent without the
+// service prefix, with its query.
 func servicePath(ctx *fasthttp.RequestCtx, rest string) string {
 	path := "/" + rest
 	if query := ctx.URI().QueryString(); len(query) > 0 {
@@ -78,7 +79,7 @@
 	return path
 }
 
-func forwarded(ctx *fasthttp.RequestCtx) (list []upstream.Header) {
+func forwardedHeaders(ctx *fasthttp.RequestCtx) (list []upstream.Header) {
 	for k, v := range ctx.Request.Header.All() {
 		if !hopByHop[string(k)] {
 			list = append(list, upstream.Header{Name: string(k), Value: string(v)})
@@ -87,9 +88,9 @@
 	return list
 }
 
-// plainFault tells a reused key apart from a call that is still running; both
-// would be a 409 otherwise.
-func plainFault(err error) error {
+// mapConflict changes the code for a reused idempotency key, to distinguish it from a call
+// that is still running. Both would otherwise be answered with 409.
+func mapConflict(err error) error {
 	f := fault.From(err)
 	if f.Code != fault.Conflict {
 		return err
@@ -116,7 +117,7 @@
 	}
 }
 
-func (g *Gateway) logPlain(org *intent.Organisation, s *intent.Service, t upstream.Target, a *plain.CallAnswer, err error) {
+func (g *Gateway) logServiceCall(org *intent.Organisation, s *intent.Service, t upstream.Target, a *plain.CallAnswer, err error) {
 	ev := g.cfg.Log.Info()
 	if err != nil {
 		ev = g.failures.event(g.cfg.Log, time.Now(), err)
--- a/instance/gateway/stream.go
+++ b/instance/gateway/stream.go
@@ -20,60 +20,61 @@
 	endMarker   = "[DONE]"
 )
 
-// serveStream waits for the first chunk, so that a request that was not run is
-// answered with a status of its own, and streams from then on.
+// serveStream waits for the first chunk before it starts the stream, so that a request that
+// was not run is answered with its own status code.
 func (x *exchange) serveStream(ctx *fasthttp.RequestCtx) (streaming bool, err error) {
 	ev, err := x.next()
 	if err != nil && !errors.Is(err, io.EOF) {
-		x.end(err, telemetry.CauseBroken)
+		x.finish(err, telemetry.CauseBroken)
 		return false, err
 	}
 	ctx.SetContentType("text/event-stream")
 	ctx.Response.Header.Set(fasthttp.HeaderCacheControl, "no-cache")
-	ctx.Response.SetBodyStream(&eventStream{x: x, event: ev, err: err, begun: true}, -1)
+	ctx.Response.SetBodyStream(&eventStream{x: x, event: ev, err: err, pending: true}, -1)
 	return true, nil
 }
 
-// eventStream is the body of a streamed answer. fasthttp lets it write in the
-// connection's own goroutine, so that the request counts as in flight until its
-// last byte was written, and no second goroutine and copy stand between.
+// eventStream is the body of a streamed answer. fasthttp calls WriteTo in the goroutine of
+// the connection. The request therefore counts as in flight until its last byte is
+// written, and no second goroutine and no extra copy are needed.
 //
-// A stream that fails ends in an error event and without the end marker, so that
-// nobody takes a part for the whole.
+// A stream that fails ends in an error event and without the end marker, so that no caller
+// takes a partial answer for a complete one.
 type eventStream struct {
 	x *exchange
-	// event and err are what x.next returned last.
+	// event and err are the last results of x.next.
 	event dispatch.Event
 	err   error
-	// begun says that the event is yet to be written.
-	begun bool
-	// over is set with the last frame; written when it reached the connection.
-	over    bool
+	// pending means that event has not been written yet.
+	pending bool
+	// ended is set when the last frame is added, written when it has been written to the
+	// connection.
+	ended   bool
 	written bool
 	closed  bool
 	frame   []byte
-	rest    []byte
+	unread  []byte
 }
 
 // SupportsBodyWriteTo implements fasthttp.BodyWriterTo.
 func (s *eventStream) SupportsBodyWriteTo() bool { return true }
 
-// maxBatch bounds the frames that are sent together, in bytes.
-const maxBatch = 16 << 10
+// maxBatchBytes bounds the size of frames that are written together.
+const maxBatchBytes = 16 << 10
 
-// WriteTo implements io.WriterTo. A frame is sent as soon as no other one is there
-// to go with it: each write costs a system call, and waiting for the next token
-// would hold back this one.
+// WriteTo implements io.WriterTo. It batches the frames that are already available, since
+// each write costs a system call, but does not wait for further ones, which would delay
+// the current token.
 func (s *eventStream) WriteTo(w io.Writer) (int64, error) {
 	var sum int64
 	for {
 		s.frame = s.frame[:0]
-		err := s.batch()
+		err := s.collectFrames()
 		if len(s.frame) > 0 {
 			n, failed := w.Write(s.frame)
 			sum += int64(n)
 			if failed != nil {
-				return sum, fault.Wrap(failed, fault.Canceled, "write to the caller")
+				return sum, fault.Wrap(failed, fault.Canceled, "writing to the caller")
 			}
 		}
 		if errors.Is(err, io.EOF) {
@@ -86,38 +87,38 @@
 	}
 }
 
-// batch collects the next frame and those that are there already; io.EOF says
-// that none follows.
-func (s *eventStream) batch() error {
+// collectFrames collects the next frame and those already available. It returns io.EOF if no
+// frame follows.
+func (s *eventStream) collectFrames() error {
 	for {
 		if err := s.next(); err != nil {
 			return err
 		}
-		if s.over {
+		if s.ended {
 			return io.EOF
 		}
-		if len(s.frame) >= maxBatch || !s.x.run.Ready() {
+		if len(s.frame) >= maxBatchBytes || !s.x.run.Ready() {
 			return nil
 		}
 	}
 }
 
-// Read implements io.Reader, for callers without chunks.
+// Read implements io.Reader, for callers that do not support chunked answers.
 func (s *eventStream) Read(p []byte) (int, error) {
-	if len(s.rest) == 0 {
+	if len(s.unread) == 0 {
 		s.frame = s.frame[:0]
 		if err := s.next(); err != nil {
 			s.written = errors.Is(err, io.EOF)
 			return 0, err
 		}
-		s.rest = s.frame
+		s.unread = s.frame
 	}
-	n := copy(p, s.rest)
-	s.rest = s.rest[n:]
+	n := copy(p, s.unread)
+	s.unread = s.unread[n:]
 	return n, nil
 }
 
-// Close implements io.Closer; fasthttp calls it in any case.
+// Close implements io.Closer. fasthttp always calls it.
 func (s *eventStream) Close() error {
 	if s.closed {
 		return nil
@@ -126,11 +127,11 @@
 	err := s.err
 	switch {
 	case !s.written && (err == nil || errors.Is(err, io.EOF)):
-		err = fault.New(fault.Canceled, "the caller hung up")
+		err = fault.New(fault.Canceled, "the caller disconnected")
 	case errors.Is(err, io.EOF):
 		err = nil
 	}
-	s.x.end(err, telemetry.CauseHangUp)
+	s.x.finish(err, telemetry.CauseHangUp)
 	s.x.g.inFlight.Add(-1)
 	return nil
 }
@@ -138,21 +139,21 @@
 // next appends the next frame, or returns io.EOF after the last one.
 func (s *eventStream) next() error {
 	for {
-		if s.over {
+		if s.ended {
 			return io.EOF
 		}
-		if !s.begun {
+		if !s.pending {
 			s.event, s.err = s.x.next()
 		}
-		s.begun = false
+		s.pending = false
 		switch {
 		case errors.Is(s.err, io.EOF):
-			s.over = true
-			s.add([]byte(endMarker))
+			s.ended = true
+			s.addFrame([]byte(endMarker))
 			return nil
 		case s.err != nil:
-			s.over = true
-			return s.addFailure()
+			s.ended = true
+			return s.addError()
 		case s.event.Head.UsageOnly && !s.x.req.IncludeUsage:
 			continue
 		}
@@ -161,16 +162,16 @@
 	}
 }
 
-func (s *eventStream) addFailure() error {
+func (s *eventStream) addError() error {
 	body, err := json.Marshal(httpapi.Body(s.err, s.x.id))
 	if err != nil {
-		return fault.Wrap(err, fault.Internal, "encode a failure")
+		return fault.Wrap(err, fault.Internal, "encoding an error event")
 	}
-	s.add(body)
+	s.addFrame(body)
 	return nil
 }
 
-// addChunk adds the event under the ID that the caller knows.
+// addChunk appends the event, replacing the attempt ID by the request ID known to the caller.
 func (s *eventStream) addChunk() {
 	data := s.event.Data
 	s.frame = append(s.frame, framePrefix...)
@@ -183,7 +184,7 @@
 	s.frame = append(s.frame, frameEnd...)
 }
 
-func (s *eventStream) add(data []byte) {
+func (s *eventStream) addFrame(data []byte) {
 	s.frame = append(s.frame, framePrefix...)
 	s.frame = append(s.frame, data...)
 	s.frame = append(s.frame, frameEnd...)
--- a/instance/gateway/suite_test.go
+++ b/instance/gateway/suite_test.go
@@ -43,7 +43,7 @@
 	oldKey  = "a-key-of-the-ward-0"
 )
 
-// engine answers each request with its own prompt, in as many events as asked.
+// engine answers each request with the request's prompt, in the given number of events.
 type engine struct {
 	ln     net.Listener
 	events int
@@ -58,7 +58,7 @@
 			go func() {
 				defer c.Close()
 				br := bufio.NewReader(c)
-				for e.one(c, br) {
+				for e.serveOne(c, br) {
 				}
 			}()
 		}
@@ -66,7 +66,7 @@
 	return e
 }
 
-func (e *engine) one(c net.Conn, br *bufio.Reader) bool {
+func (e *engine) serveOne(c net.Conn, br *bufio.Reader) bool {
 	req := &fasthttp.Request{}
 	if req.Read(br) != nil {
 		return false
@@ -90,7 +90,7 @@
 	return err == nil
 }
 
-// queue grants the one engine to everybody.
+// queue grants the single engine to every ticket.
 type queue struct {
 	mu   sync.Mutex
 	e    *engine
@@ -139,8 +139,8 @@
 	}
 }
 
-// place is a gateway behind its listener, in this process.
-type place struct {
+// testGateway is a gateway behind a listener in this process.
+type testGateway struct {
 	*httpserver.Server
 	gateway *gateway.Gateway
 	queue   *queue
@@ -165,13 +165,13 @@
 	return strings.Count(l.b.String(), "\n")
 }
 
-func newPlace(e *engine, limits settings.Limits, secure *tls.Config) *place {
+func newTestGateway(e *engine, limits settings.Limits, secure *tls.Config) *testGateway {
 	before := goleak.IgnoreCurrent()
 	conf := config.New()
 	conf.Apply(1, document())
 	client := upstream.New(upstream.Config{})
 	tel, log := telemetry.New(), trace.New()
-	p := &place{queue: &queue{e: e}, log: &lockedBuffer{}}
+	p := &testGateway{queue: &queue{e: e}, log: &lockedBuffer{}}
 	p.gateway = gateway.New(gateway.Config{
 		Instance: "i-1", Config: conf, Registry: noRegistry{}, Telemetry: tel, Trace: log, Log: zerolog.New(p.log),
 		Dispatcher: dispatch.New(dispatch.Config{Queue: p.queue, Client: client, Telemetry: tel, Trace: log, Attempts: 1}),
@@ -188,7 +188,7 @@
 		_ = e.ln.Close()
 		Expect(p.gateway.InFlight()).To(BeZero())
 		Expect(p.Busy()).To(BeZero())
-		// fasthttp keeps workers and clocks of the process for itself.
+		// fasthttp and ants keep process-wide worker and clock goroutines.
 		Eventually(func() error {
 			return goleak.Find(before, goleak.IgnoreAnyFunction("github.com/panjf2000/ants/v2.(*poolCommon).purgeStaleWorkers"),
 				goleak.IgnoreAnyFunction("github.com/panjf2000/ants/v2.(*poolCommon).ticktock"), goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"))
@@ -197,11 +197,11 @@
 	return p
 }
 
-func generous() settings.Limits {
+func defaultLimits() settings.Limits {
 	return settings.Limits{MaxHeader: 4096, MaxBody: 64 << 10, MaxConnections: 500, IdleTimeout: limit, ReadTimeout: limit, WriteTimeout: limit}
 }
 
-func (p *place) dial() net.Conn {
+func (p *testGateway) dial() net.Conn {
 	c, err := net.Dial("tcp", p.address)
 	Expect(err).NotTo(HaveOccurred())
 	Expect(c.SetDeadline(time.Now().Add(limit))).To(Succeed())
@@ -217,15 +217,15 @@
 	return fmt.Sprintf(`{"model":"m","stream":%t,"messages":[{"role":"user","content":"%s"}]}`, stream, prompt)
 }
 
-// answer reads one whole answer.
+// answer reads one complete answer.
 func answer(br *bufio.Reader) *fasthttp.Response {
 	r := &fasthttp.Response{}
 	Expect(r.Read(br)).To(Succeed())
 	return r
 }
 
-// ask sends one request on a connection of its own.
-func (p *place) ask(raw string) *fasthttp.Response {
+// send sends one request on its own connection.
+func (p *testGateway) send(raw string) *fasthttp.Response {
 	c := p.dial()
 	defer c.Close()
 	_, err := c.Write([]byte(raw))
--- a/instance/gateway/tls_test.go
+++ b/instance/gateway/tls_test.go
@@ -27,13 +27,13 @@
 }
 
 var _ = Describe("The listener with TLS", func() {
-	// Over TLS the hang-up of a caller is seen on the raw connection; a caller
-	// that speaks no TLS, or says nothing, is cut off by the read limit.
-	It("serves streams, sees hang-ups and cuts off who doesn't speak it", func() {
-		limits := generous()
+	// Over TLS, a disconnect of the caller is detected on the raw connection. The read
+	// timeout closes the connections of callers that do not speak TLS or send nothing.
+	It("serves streams, detects disconnects and closes connections without TLS", func() {
+		limits := defaultLimits()
 		limits.ReadTimeout = 500 * time.Millisecond
 		e := newEngine(40_000)
-		p := newPlace(e, limits, &tls.Config{Certificates: []tls.Certificate{selfSigned()}})
+		p := newTestGateway(e, limits, &tls.Config{Certificates: []tls.Certificate{selfSigned()}})
 		mute, plain := p.dial(), p.dial()
 		_, err := io.WriteString(plain, request(goodKey, chatBody("x", false)))
 		Expect(err).NotTo(HaveOccurred())
