--- a/instance/dispatch/attempt.go
+++ b/instance/dispatch/attempt.go
@@ -149,7 +149,7 @@
 	}
 	a.recordWaste(cause)
 	if a.stream != nil {
-		a.stream.Forget()
+		a.stream.CancelUnread()
 	}
 	blamed := a.events > 0 || !reused
 	a.end(sched.Outcome{Tokens: a.tokens, Failed: blamed, Unused: evidence == upstream.NotSent})
--- a/instance/upstream/stream.go
+++ b/instance/upstream/stream.go
@@ -219,14 +219,14 @@
 	s.state, s.err = streamFailed, failed
 	s.a.abandonFailed(failed)
 	if f.Code == fault.Canceled || s.a.ctx.Err() != nil {
-		s.Forget()
+		s.CancelUnread()
 	}
 	return failed
 }
 
-// Forget tells the engine that the stream will not be resumed. Otherwise the engine continues
+// CancelUnread tells the engine that the stream will not be resumed. Otherwise the engine continues
 // until its own limit on unread streams.
-func (s *Stream) Forget() { s.a.client.cancelLater(s.a.target, s.a.id) }
+func (s *Stream) CancelUnread() { s.a.client.cancelLater(s.a.target, s.a.id) }
 
 // Last returns the number of the last event returned by Next, from which Resume continues.
 func (s *Stream) Last() uint64 { return s.last }
@@ -243,7 +243,7 @@
 	case streamOpen:
 		s.a.abandon()
 		s.err = unknown(s.a.target, fault.New(fault.Canceled, "the stream was closed"))
-		s.Forget()
+		s.CancelUnread()
 	}
 	return nil
 }
