--- a/instance/daemon/base.go
+++ b/instance/daemon/base.go
@@ -85,7 +85,7 @@
 		return &clientService{Client: upstream.New(upstream.Config{
 			DialTimeout:  u.ConnectTimeout,
 			FirstByte:    u.FirstByteTimeout,
-			MaxSilence:   u.Silence,
+			ReadTimeout:  u.Silence,
 			MaxIdle:      u.IdleAge,
 			InstanceName: d.cfg.Instance.Name,
 		})}, nil
--- a/instance/dispatch/suite_test.go
+++ b/instance/dispatch/suite_test.go
@@ -190,7 +190,7 @@
 	before := goleak.IgnoreCurrent()
 	q := &queue{engines: engines}
 	tel := telemetry.New()
-	client := upstream.New(upstream.Config{MaxSilence: limit, FirstByte: limit})
+	client := upstream.New(upstream.Config{ReadTimeout: limit, FirstByte: limit})
 	cfg.Queue, cfg.Client, cfg.Telemetry, cfg.Trace = q, client, tel, trace.New()
 	if cfg.Attempts == 0 {
 		cfg.Attempts = 3
--- a/instance/upstream/attempt.go
+++ b/instance/upstream/attempt.go
@@ -97,7 +97,7 @@
 	if err := a.readHeader(); err != nil {
 		return unknown(a.target, ioFault(a.ctx, err, fault.OutcomeUnknown, "waiting for the answer"))
 	}
-	a.conn.readDeadline, a.conn.readTimeout = time.Time{}, a.client.cfg.MaxSilence
+	a.conn.readDeadline, a.conn.readTimeout = time.Time{}, a.client.cfg.ReadTimeout
 	return a.checkID()
 }
 
--- a/instance/upstream/call.go
+++ b/instance/upstream/call.go
@@ -60,7 +60,7 @@
 // firstByte returns the timeout for the answer's header.
 func (o options) firstByte(c Config, reused bool) time.Duration {
 	if o.promptHeader || o.resumable && reused {
-		return min(c.FirstByte, c.MaxSilence)
+		return min(c.FirstByte, c.ReadTimeout)
 	}
 	return c.FirstByte
 }
--- a/instance/upstream/client.go
+++ b/instance/upstream/client.go
@@ -39,8 +39,8 @@
 	// FirstByte bounds the time from the first byte sent to the end of the answer's
 	// header.
 	FirstByte time.Duration
-	// MaxSilence bounds the time between two reads that return data.
-	MaxSilence time.Duration
+	// ReadTimeout bounds the time between two reads that return data.
+	ReadTimeout time.Duration
 	// MaxIdle is the maximum idle time of a pooled connection. A device on the network path
 	// may drop the state of a connection that is idle for long.
 	MaxIdle time.Duration
@@ -57,7 +57,7 @@
 func (c Config) withDefaults() Config {
 	setDefault(&c.DialTimeout, DefaultDialTimeout)
 	setDefault(&c.FirstByte, DefaultFirstByte)
-	setDefault(&c.MaxSilence, DefaultMaxSilence)
+	setDefault(&c.ReadTimeout, DefaultMaxSilence)
 	setDefault(&c.MaxIdle, DefaultMaxIdle)
 	setDefault(&c.MaxConns, DefaultMaxConns)
 	setDefault(&c.MaxAnswer, DefaultMaxAnswer)
@@ -117,7 +117,7 @@
 	}
 	go func() {
 		defer func() { <-c.cancels }()
-		ctx, done := context.WithTimeout(c.base, c.cfg.DialTimeout+c.cfg.MaxSilence)
+		ctx, done := context.WithTimeout(c.base, c.cfg.DialTimeout+c.cfg.ReadTimeout)
 		defer done()
 		// If the cancellation fails, the engine ends the stream by its own limit on unread
 		// streams. There is no caller left to report the error to.
--- a/instance/upstream/stream_test.go
+++ b/instance/upstream/stream_test.go
@@ -98,7 +98,7 @@
 					c.Close()
 				}
 			})
-			s, err := open(client(upstream.Config{MaxSilence: 200 * time.Millisecond, MaxAnswer: 100_000}), "a")
+			s, err := open(client(upstream.Config{ReadTimeout: 200 * time.Millisecond, MaxAnswer: 100_000}), "a")
 			Expect(err).NotTo(HaveOccurred())
 			began := time.Now()
 			seqs, err := drainStream(s)
