--- a/instance/upstream/client.go
+++ b/instance/upstream/client.go
@@ -26,7 +26,7 @@
 const (
 	DefaultDialTimeout = time.Second
 	DefaultFirstByte   = 30 * time.Second
-	DefaultMaxSilence  = 10 * time.Second
+	DefaultReadTimeout = 10 * time.Second
 	DefaultMaxIdle     = 15 * time.Second
 	DefaultMaxConns    = 512
 	DefaultMaxAnswer   = 8 << 20
@@ -57,7 +57,7 @@
 func (c Config) withDefaults() Config {
 	setDefault(&c.DialTimeout, DefaultDialTimeout)
 	setDefault(&c.FirstByte, DefaultFirstByte)
-	setDefault(&c.ReadTimeout, DefaultMaxSilence)
+	setDefault(&c.ReadTimeout, DefaultReadTimeout)
 	setDefault(&c.MaxIdle, DefaultMaxIdle)
 	setDefault(&c.MaxConns, DefaultMaxConns)
 	setDefault(&c.MaxAnswer, DefaultMaxAnswer)
--- a/instance/upstream/stream.go
+++ b/instance/upstream/stream.go
@@ -62,7 +62,7 @@
 
 // Generate starts a generation. The body must request a stream ("stream": true). Errors are
 // of type *AttemptError. After Unknown the engine may be running the request, and a Cancel
-// is sent. On a pooled connection the answer's header must arrive within MaxSilence;
+// is sent. On a pooled connection the answer's header must arrive within ReadTimeout;
 // otherwise the stream is requested from the engine over a new connection.
 func (c *Client) Generate(ctx context.Context, t Target, requestID string, body []byte, opts ...Option) (*Stream, error) {
 	req := &fasthttp.Request{}
@@ -90,7 +90,7 @@
 
 // Resume continues a broken stream after the event with number after, on a new connection.
 // It fails with NotFound if the engine no longer keeps the stream. An engine that keeps the
-// stream answers immediately, so MaxSilence also bounds the wait for the header.
+// stream answers immediately, so ReadTimeout also bounds the wait for the header.
 func (c *Client) Resume(ctx context.Context, t Target, requestID string, after uint64) (*Stream, error) {
 	req := &fasthttp.Request{}
 	req.Header.SetMethod(fasthttp.MethodGet)
@@ -224,8 +224,8 @@
 	return failed
 }
 
-// CancelUnread tells the engine that the stream will not be resumed. Otherwise the engine continues
-// until its own limit on unread streams.
+// CancelUnread tells the engine that the stream will not be resumed. Otherwise the engine
+// continues until its own limit on unread streams.
 func (s *Stream) CancelUnread() { s.a.client.cancelLater(s.a.target, s.a.id) }
 
 // Last returns the number of the last event returned by Next, from which Resume continues.
@@ -233,7 +233,7 @@
 
 // Close ends the use of the stream. Before the end of the stream it closes the connection and
 // sends a Cancel. After a failure it sends none, so that the caller may call Resume; the
-// caller must call Forget if it does not.
+// caller must call CancelUnread if it does not.
 func (s *Stream) Close() error {
 	was := s.state
 	s.state = streamClosed
