--- a/instance/relay/admit_test.go
+++ b/instance/relay/admit_test.go
@@ -11,20 +11,20 @@
 	"github.com/comfreyladder/comfreyladder/instance/serving"
 )
 
-// prompt is a request with a prompt of 1,000 tokens, on a route of the engines.
+// prompt is a request with a prompt of 1,000 tokens on a route to engines.
 func prompt(path, id string) string {
 	return fmt.Sprintf("POST /%s/ HTTP/1.1\r\nHost: h\r\nX-Id: %s\r\nX-Key: k\r\nX-Left: 1500\r\nX-Tokens: 1000,90\r\nContent-Length: 1\r\n\r\nx", path, id)
 }
 
-// In a burst the most urgent requests are turned away while less urgent ones run: what
-// waits at the engines, some of it less urgent, counts against all alike. Engines take
-// urgent requests first, so what waits there is mostly not before them; the least urgent
-// ones are told at once when to come back.
-func TestUrgentRequestsAreNotTurnedAwayByWhatWaits(t *testing.T) {
+// Guards against shedding the most urgent requests while less urgent ones run, because the whole
+// queue of the engines counts against all requests alike. Engines serve urgent requests first, so
+// most of the queue is not ahead of them. The least urgent requests are refused immediately and
+// told when to retry.
+func TestUrgentRequestsAreNotShedByQueue(t *testing.T) {
 	up := startUpstream(t, "u", echo)
 	b := start(t, up)
 	b.engines()
-	const reading = 60_000 // tokens: 1.2 s at the pace that is taken at first
+	const reading = 60_000 // tokens: 1.2 s at the initial prefill rate
 	b.service.TakeReport(&serving.Report{Work: serving.Work{Loads: []serving.Load{{Begun: up.begun(), Active: 4, Reading: reading, Held: reading}}}})
 	c := b.caller()
 	c.send(prompt("last", "1"))
@@ -37,10 +37,10 @@
 	Expect(up.requests()).To(HaveLen(1))
 }
 
-// A prompt's shared parts are read again at each engine that it spills to, though another
-// one has read them: the second engine must be told from where to take them over. What a
-// caller says of it does not count.
-func TestSpilledPromptIsTakenOverFromWhereItWasRead(t *testing.T) {
+// Guards against prefilling shared prompt segments again at each engine that a prompt spills to:
+// the second engine must be told where to fetch them. A caller's own value of that field is
+// ignored.
+func TestSpilledPromptIsFetched(t *testing.T) {
 	ups := []*fakeUpstream{startUpstream(t, "a", echo), startUpstream(t, "b", echo), startUpstream(t, "c", echo)}
 	b := start(t, ups...)
 	b.engines()
--- a/instance/relay/answer.go
+++ b/instance/relay/answer.go
@@ -6,8 +6,8 @@
 	"github.com/comfreyladder/comfreyladder/instance/http1"
 )
 
-// appendAnswerHead writes an upstream's status and header fields, without those that
-// concern the connection to it and without the empty line.
+// appendAnswerHead appends the status and header fields of an upstream's response, without the
+// hop-by-hop fields and without the terminating empty line.
 func appendAnswerHead(b []byte, a *attempt, closing bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(a.head.Status), 10)
@@ -18,7 +18,7 @@
 	}
 	for i := range a.head.Fields {
 		f := &a.head.Fields[i]
-		if isHopByHop(f) || len(listed) > 0 && isListed(listed, f.Name) && !isAnswersOwn(a, f) {
+		if isHopByHop(f) || len(listed) > 0 && isListed(listed, f.Name) && !isRequiredField(a, f) {
 			continue
 		}
 		b = appendField(b, f.Name, f.Value)
@@ -29,8 +29,8 @@
 	return b
 }
 
-// isAnswersOwn reports whether a field is needed by callers whatever is listed.
-func isAnswersOwn(a *attempt, f *http1.Field) bool {
+// isRequiredField reports whether callers need a field even if it is listed in Connection.
+func isRequiredField(a *attempt, f *http1.Field) bool {
 	h := &a.s.cfg.Headers
 	return f.Is(h.Seal) || f.Is(h.RequestID)
 }
--- a/instance/relay/attempt.go
+++ b/instance/relay/attempt.go
@@ -12,17 +12,18 @@
 	"github.com/comfreyladder/comfreyladder/instance/http1"
 )
 
-// outcome says what is proved about an attempt that has no answer to pass on.
+// outcome is what is known of an attempt once the head of the response was received or the attempt
+// failed.
 type outcome uint8
 
 const (
-	// answered means that the head of the upstream's own answer has come.
+	// answered means that the head of the upstream's own response was received.
 	answered outcome = iota
-	// notSent means that no byte left for the upstream.
+	// notSent means that no byte was sent to the upstream.
 	notSent
-	// rejected means that the upstream said that it did not run the request.
+	// rejected means that the upstream declared that it did not run the request.
 	rejected
-	// unknown means that the request left and may have run.
+	// unknown means that the request was sent and may have run.
 	unknown
 	// callerGone means that the caller hung up.
 	callerGone
@@ -33,7 +34,7 @@
 	return [...]string{"answered", "not_sent", "rejected", "unknown", "caller_gone"}[o]
 }
 
-// attempt is one sending of a request to an upstream.
+// attempt is one transmission of a request to an upstream.
 type attempt struct {
 	s    *Service
 	r    *request
@@ -41,47 +42,49 @@
 	conn *upstreamConn
 	head http1.Head
 	body http1.Body
-	// unread is how many tokens were believed to be read for it, ahead how many waited
-	// before them, nominal the predicted time to the first event in milliseconds. unread
-	// is booked at the upstream until the first event.
-	unread, ahead int
-	nominal       float64
-	begunEvents   bool
-	// right says that a right of a limited upstream was used for it.
-	right bool
-	// writing is closed when all of the request was written, nil if it was at once.
+	// uncachedTokens is the estimated number of prompt tokens to prefill, queuedTokens the number
+	// queued before them, and nominalMS the predicted time to the first event. uncachedTokens is
+	// reserved at the upstream until the first event.
+	uncachedTokens, queuedTokens int
+	nominalMS                    float64
+	firstEventSeen               bool
+	// usedToken is set if a rate token of a limited upstream was used.
+	usedToken bool
+	// writing receives the result of a write in the background; nil if the request was written
+	// synchronously.
 	writing chan error
-	// dirty says that the connection can't be used again, ended that it was given back.
-	dirty bool
-	ended bool
-	err   error
-	// begun is when the attempt began, sent when its request left, by clock.Now.
-	begun, sent time.Time
+	// notReusable is set if the connection cannot carry another request, released once it was
+	// returned or closed.
+	notReusable bool
+	released    bool
+	err         error
+	// startedAt is when the attempt started; sentAt is when its request was sent, by clock.Now.
+	startedAt, sentAt time.Time
 }
 
-// start sends the request and reads the head of the answer. patience bounds the
-// wait for it; zero means until the deadline.
+// start sends the request and reads the head of the response. patience bounds the wait for it; zero
+// means until the deadline.
 func (s *Service) start(r *request, up *upstream, patience time.Duration, lastEvent []byte) (*attempt, outcome) {
-	a := &attempt{s: s, r: r, up: up, unread: r.unread, ahead: r.ahead, nominal: r.nominal, right: r.right, begun: time.Now()}
+	a := &attempt{s: s, r: r, up: up, uncachedTokens: r.uncachedTokens, queuedTokens: r.queuedTokens, nominalMS: r.nominalMS, usedToken: r.usedToken, startedAt: time.Now()}
 	if o := a.connect(); o != answered {
 		return a, o
 	}
 	if !r.attach(func() { _ = a.conn.nc.Close() }) {
 		return a, callerGone
 	}
-	// The lease and the time that is left are looked at right before the bytes leave:
-	// a process that was frozen since it took the request must not send it late.
+	// The lease and the remaining time are checked directly before the write: a process that was
+	// suspended after it accepted the request must not send it late.
 	now := clock.Now()
 	left := r.left(now)
 	if left <= deadlineMargin {
-		a.err = fault.New(fault.DeadlineExceeded, "no time is left")
+		a.err = fault.New(fault.DeadlineExceeded, "the deadline has passed")
 		return a, notSent
 	}
-	if r.organisation != nil && !s.mayAct() {
+	if r.organisation != nil && !s.hasLease() {
 		a.err, r.leaseLost = errLease, true
 		return a, notSent
 	}
-	if s.standing(r).quarantined && !r.trial {
+	if s.conditionOf(r).quarantined && !r.trial {
 		a.err = errQuarantinedNow
 		return a, notSent
 	}
@@ -90,7 +93,7 @@
 		until = time.Now().Add(patience)
 	}
 	_ = a.conn.nc.SetDeadline(until)
-	a.sent = now
+	a.sentAt = now
 	a.write(left, lastEvent)
 	if a.err == nil {
 		a.err = a.readHead()
@@ -101,15 +104,15 @@
 		}
 		return a, unknown
 	}
-	return a, a.judge()
+	return a, a.classify()
 }
 
-// errQuarantinedNow says that a request was quarantined after it had been admitted.
+// errQuarantinedNow means that a request was quarantined after it had been admitted.
 var errQuarantinedNow = fault.New(fault.Forbidden, "the request is quarantined")
 
 var errLease = fault.New(fault.Unavailable, "this instance has lost the control group and can't tell which keys are valid").After(time.Second)
 
-// connect takes an idle connection or makes one.
+// connect takes an idle connection from the pool or dials a new one.
 func (a *attempt) connect() outcome {
 	if a.conn = a.up.pool.take(time.Now()); a.conn != nil {
 		return answered
@@ -131,9 +134,10 @@
 	return answered
 }
 
-// atOnce is up to which size a request is written before the answer is awaited. A
-// larger one is written beside that: an upstream may answer before it has read all.
-const atOnce = 8 << 10
+// maxInlineWrite is the size up to which a request is written before the response is read, in
+// bytes. A larger one is written concurrently: an upstream may respond before it has read
+// everything.
+const maxInlineWrite = 8 << 10
 
 func (a *attempt) write(left time.Duration, lastEvent []byte) {
 	if lastEvent == nil {
@@ -143,7 +147,7 @@
 	b := a.r.encode((*buf)[:0], &a.s.cfg.Headers, a.up.id, left-deadlineMargin, lastEvent)
 	b = append(b, a.r.body...)
 	*buf = b
-	if len(b) <= atOnce {
+	if len(b) <= maxInlineWrite {
 		_, a.err = a.conn.nc.Write(b)
 		buffers.Put(buf)
 		return
@@ -157,11 +161,11 @@
 	}()
 }
 
-// readHead reads heads until the one that bears the request's ID. An answer to an
-// earlier request may stand before it; it belongs to nobody any more.
+// readHead reads response heads until one bears the ID of the request. A late response to an
+// earlier request may precede it and is discarded.
 func (a *attempt) readHead() error {
 	for {
-		if err := a.head.ReadAnswer(a.conn.in, maxAnswerHead, string(a.r.head.Method)); err != nil {
+		if err := a.head.ReadAnswer(a.conn.in, maxAnswerHeadBytes, string(a.r.head.Method)); err != nil {
 			return err
 		}
 		if a.head.Status/100 == 1 {
@@ -170,14 +174,14 @@
 		a.body.Reset(a.conn.in, &a.head)
 		id := a.head.Get(a.s.cfg.Headers.RequestID)
 		if string(id) == string(a.r.id) {
-			a.noteLimit()
+			a.recordLimit()
 			return nil
 		}
-		a.dirty = true
+		a.notReusable = true
 		if len(id) == 0 || a.head.Close {
-			return fault.New(fault.Corrupt, "an answer with status %d bears another ID or none", a.head.Status)
+			return fault.New(fault.Corrupt, "response with status %d has a different request ID or none", a.head.Status)
 		}
-		if _, err := a.body.ReadAll(nil, maxBuffered); err != nil {
+		if _, err := a.body.ReadAll(nil, maxBufferedBody); err != nil {
 			return err
 		}
 	}
@@ -185,42 +189,42 @@
 
 const statusMisdirected = 421
 
-// judge tells a proof that the request did not run from an answer.
-func (a *attempt) judge() outcome {
+// classify distinguishes a response from a proof that the request did not run.
+func (a *attempt) classify() outcome {
 	h := &a.s.cfg.Headers
 	if a.head.Status/100 != 2 && (a.head.Has(h.NotRun) || a.head.Status == statusMisdirected) {
-		a.err = fault.New(fault.Overloaded, "the upstream answered %d and did not run it", a.head.Status)
-		a.drop()
+		a.err = fault.New(fault.Overloaded, "the upstream answered %d and did not run the request", a.head.Status)
+		a.discardBody()
 		return rejected
 	}
 	if a.head.Status/100 == 2 && !a.head.Has(h.Seal) {
-		a.err = fault.New(fault.Corrupt, "an answer with status %d has no seal", a.head.Status)
+		a.err = fault.New(fault.Corrupt, "response with status %d has no seal", a.head.Status)
 		return unknown
 	}
 	return answered
 }
 
-// drop reads what is left of an answer that is not passed on, so that the connection
-// can be used again.
-func (a *attempt) drop() {
-	if _, err := a.body.ReadAll(nil, maxBuffered); err != nil {
-		a.dirty = true
+// discardBody reads the rest of a response that is not forwarded, so that the connection can be
+// reused.
+func (a *attempt) discardBody() {
+	if _, err := a.body.ReadAll(nil, maxBufferedBody); err != nil {
+		a.notReusable = true
 	}
 }
 
-// end gives the connection back, or closes it: only one on which both messages went
-// through whole can carry another request.
-func (a *attempt) end() {
-	if a.ended {
+// release returns the connection to the pool or closes it. It can be reused only if request and
+// response were both transferred completely.
+func (a *attempt) release() {
+	if a.released {
 		return
 	}
-	a.ended = true
+	a.released = true
 	a.r.detach()
-	a.s.fleet.done(a)
+	a.s.fleet.release(a)
 	if a.conn == nil {
 		return
 	}
-	if a.dirty || !a.written() || !a.body.Whole() || a.r.isGone() {
+	if a.notReusable || !a.written() || !a.body.Whole() || a.r.isGone() {
 		_ = a.conn.nc.Close()
 		return
 	}
@@ -228,7 +232,7 @@
 	a.up.pool.put(a.conn, &a.head, time.Now())
 }
 
-// written reports whether all of the request was written.
+// written reports whether the whole request was written.
 func (a *attempt) written() bool {
 	if a.writing == nil {
 		return true
@@ -241,25 +245,25 @@
 	}
 }
 
-// began counts the request as one that began to run: a stream with its first event, any
-// other request once it is answered or may have run. One that goes on at another upstream,
-// or is repeated there, is still the same request.
-func (a *attempt) began() { a.beganAgo(0) }
+// countBegun counts the request in the usage of its organisation: a stream at its first event, any
+// other request once it is answered or may have run. A request that is resumed or repeated at
+// another upstream is counted once.
+func (a *attempt) countBegun() { a.countBegunBefore(0) }
 
-func (a *attempt) beganAgo(ago time.Duration) {
-	if a.r.organisation == nil || a.s.cfg.Began == nil || a.r.counted.Swap(true) {
+func (a *attempt) countBegunBefore(ago time.Duration) {
+	if a.r.organisation == nil || a.s.cfg.Began == nil || a.r.usageCounted.Swap(true) {
 		return
 	}
 	a.s.cfg.Began(a.r.organisation.Name, ago)
 }
 
-// firstEvent says that the prompt was read.
-func (a *attempt) firstEvent() {
-	a.began()
-	if !a.begunEvents {
-		a.r.first = time.Since(a.begun)
-		a.s.fleet.firstEvent(a, a.r.first)
-		a.begunEvents = true
+// recordFirstEvent records that the prompt was prefilled.
+func (a *attempt) recordFirstEvent() {
+	a.countBegun()
+	if !a.firstEventSeen {
+		a.r.firstEventAfter = time.Since(a.startedAt)
+		a.s.fleet.firstEvent(a, a.r.firstEventAfter)
+		a.firstEventSeen = true
 	}
 }
 
--- a/instance/relay/bodies.go
+++ b/instance/relay/bodies.go
@@ -11,75 +11,75 @@
 	"github.com/comfreyladder/comfreyladder/instance/http1"
 )
 
-// bodyStep is how many bytes of a body of unknown length are booked at a time.
-const bodyStep = 64 << 10
+// bodyReservation is the size by which a body of unknown length is reserved at a time, in bytes.
+const bodyReservation = 64 << 10
 
-// bodies bounds the request bodies that are held at the same time. Each is bounded by
-// the configuration, but many large ones at once would take more memory than the process
-// may have; it would be killed, and with it all that it has under way.
-type bodies struct {
-	most int64
-	held atomic.Int64
+// bodyBudget bounds the total size of the request bodies held at the same time. Each body is
+// bounded by the configuration, but many large ones at once could exceed the memory limit of the
+// process, which would be killed with all its requests in flight.
+type bodyBudget struct {
+	limit int64
+	used  atomic.Int64
 }
 
-func newBodies(most int64) *bodies {
+func newBodyBudget(most int64) *bodyBudget {
 	if most <= 0 {
 		most = math.MaxInt64
 	}
-	return &bodies{most: most}
+	return &bodyBudget{limit: most}
 }
 
-// take books bytes, and reports whether there is room for them.
-func (b *bodies) take(n int64) bool {
-	if b.held.Add(n) <= b.most {
+// reserve reserves n bytes and reports whether the budget allowed it.
+func (b *bodyBudget) reserve(n int64) bool {
+	if b.used.Add(n) <= b.limit {
 		return true
 	}
-	b.held.Add(-n)
+	b.used.Add(-n)
 	return false
 }
 
-func (b *bodies) give(n int64) { b.held.Add(-n) }
+func (b *bodyBudget) free(n int64) { b.used.Add(-n) }
 
-// retryBodies is when a request that found no room for its body may come again: large
-// bodies are mostly passed on within it.
-const retryBodies = 300 * time.Millisecond
+// bodyRetryAfter is when a request whose body exceeded the budget may be retried: most large bodies
+// are forwarded within it.
+const bodyRetryAfter = 300 * time.Millisecond
 
-var errNoRoom = fault.New(fault.Overloaded, "not run: too many large bodies are under way").After(retryBodies)
+var errBodyBudget = fault.New(fault.Overloaded, "not run: too many large bodies are under way").After(bodyRetryAfter)
 
-// readBody reads the body of a request, as far as there is room: one of a known length is
-// booked before it is read, another one step by step.
-func (b *bodies) readBody(r *request, body *http1.Body, limit int64) error {
+// readBody reads the body of a request within the budget: a body of known length is reserved before
+// it is read, any other one step by step.
+func (b *bodyBudget) readBody(r *request, body *http1.Body, limit int64) error {
 	if r.head.Framing == http1.ByLength {
-		if !b.book(r, r.head.Length) {
-			return errNoRoom
+		if !b.reserveFor(r, r.head.Length) {
+			return errBodyBudget
 		}
 		var err error
 		r.body, err = body.ReadAll(r.body, limit)
 		return err
 	}
 	for {
-		// A step may have read more than it was to, as far as the buffer had room.
-		if !b.book(r, int64(len(r.body))+bodyStep-r.booked) {
-			return errNoRoom
+		// The previous step may have read more than was reserved, up to the capacity of the buffer.
+		if !b.reserveFor(r, int64(len(r.body))+bodyReservation-r.reservedBytes) {
+			return errBodyBudget
 		}
 		var err error
-		r.body, err = body.ReadAll(r.body, min(limit, int64(len(r.body))+bodyStep))
+		r.body, err = body.ReadAll(r.body, min(limit, int64(len(r.body))+bodyReservation))
 		if !errors.Is(err, http1.ErrBodyTooLarge) || int64(len(r.body)) > limit {
 			return err
 		}
 	}
 }
 
-func (b *bodies) book(r *request, n int64) bool {
-	if !b.take(n) {
+func (b *bodyBudget) reserveFor(r *request, n int64) bool {
+	if !b.reserve(n) {
 		return false
 	}
-	r.booked += n
+	r.reservedBytes += n
 	return true
 }
 
-// release ends the booking of a request's body.
-func (b *bodies) release(r *request) {
-	b.give(r.booked)
-	r.booked = 0
+// release returns the reservation for the body of a request.
+func (b *bodyBudget) release(r *request) {
+	b.free(r.reservedBytes)
+	r.reservedBytes = 0
 }
--- a/instance/relay/bodies_test.go
+++ b/instance/relay/bodies_test.go
@@ -21,18 +21,20 @@
 	return m.String() + "0\r\n\r\n"
 }
 
-// post sends beside what the test goes on with. It fails where the answer comes first.
-func (c *caller) post(text string) {
+// sendAsync sends in the background. The write fails if the response comes first.
+func (c *caller) sendAsync(text string) {
 	go func() { _, _ = io.WriteString(c, text) }()
 }
 
-// unhurried gives a request a minute.
-func unhurried(text string) string { return strings.Replace(text, "X-Left: 1500", "X-Left: 60000", 1) }
+// withLongTimeout gives a request a minute.
+func withLongTimeout(text string) string {
+	return strings.Replace(text, "X-Left: 1500", "X-Left: 60000", 1)
+}
 
-// A process is killed for its memory, and cuts off all that it has under way: many
-// callers send large bodies at once, each within the limit. One that finds no room is
-// told that it did not run and when to come back; small requests pass meanwhile, and
-// there is room again afterwards.
+// Guards against a process that is killed for its memory use, with all its requests in flight,
+// because many callers send large bodies at once, each within the limit. A request over the budget
+// is told that it did not run and when to retry; small requests pass meanwhile, and the budget is
+// available again afterwards.
 func TestManyLargeBodiesAtOnceAreRefusedInTime(t *testing.T) {
 	held := make(chan struct{})
 	up := startUpstream(t, "u", func(n int, r *received, c net.Conn) bool {
@@ -42,15 +44,15 @@
 		return whole(c, r, 200, fmt.Sprint(len(r.body)))
 	})
 	b := start(t, up)
-	// On a busy machine 14 MB take longer than the 300 ms that callers have otherwise, and
-	// all of them longer than the first one would be waited for.
-	b.patient(time.Minute)
+	// On a busy machine 14 MB take longer than the header timeout of 300 ms, and all of them longer
+	// than the timeout of the first request.
+	b.setTimeouts(time.Minute)
 	first := b.caller()
-	first.post(unhurried(message("POST", "/once/", "first", strings.Repeat("b", 14<<20))))
+	first.sendAsync(withLongTimeout(message("POST", "/once/", "first", strings.Repeat("b", 14<<20))))
 	Eventually(up.requests).Should(HaveLen(1))
 	for _, large := range []string{message("POST", "/once/", "second", strings.Repeat("b", 14<<20)), chunkedBody("third", 14)} {
 		c := b.caller()
-		c.post(unhurried(large))
+		c.sendAsync(withLongTimeout(large))
 		r := c.receive()
 		Expect(r.status).To(Equal(503))
 		Expect(r.header.Get("Retry-After")).NotTo(BeEmpty())
@@ -60,7 +62,7 @@
 	close(held)
 	Expect(first.receive().body).To(Equal(fmt.Sprint(14 << 20)))
 	again := b.caller()
-	again.post(unhurried(chunkedBody("again", 14)))
+	again.sendAsync(withLongTimeout(chunkedBody("again", 14)))
 	Expect(again.receive().body).To(Equal(fmt.Sprint(14 << 20)))
 	Expect(up.requests()).To(HaveLen(3))
 }
--- a/instance/relay/config.go
+++ b/instance/relay/config.go
@@ -1,10 +1,10 @@
-// Package relay forwards callers' requests to upstreams as the serving state says:
-// it reads a request, finds its route and organisation, chooses an upstream, sends
-// the request, and carries the answer back, byte for byte.
+// Package relay forwards callers' requests to upstreams according to the serving state: it reads a
+// request, finds its route and organisation, chooses an upstream, sends the request, and returns
+// the response byte for byte.
 //
-// What it promises: an answer is the caller's own and whole, or it does not look
-// whole; a request that must not be repeated reaches one upstream once; and "not
-// run" is said only with proof.
+// Guarantees: a caller receives the complete response to its own request, or a response that is
+// recognisably incomplete; a request that must not be repeated reaches at most one upstream; "not
+// run" is reported only with proof.
 package relay
 
 import (
@@ -17,30 +17,31 @@
 
 // Headers are the names of the header fields that this instance reads or sets.
 type Headers struct {
-	// RequestID identifies one attempt of a caller; answers repeat it.
+	// RequestID identifies one attempt of a caller; responses repeat it.
 	RequestID string
-	// Deadline is how many milliseconds the caller, or this instance, will wait.
+	// Deadline is how long the caller, or this instance, will wait, in milliseconds.
 	Deadline string
-	// Key is the caller's key, Organisation the name that upstreams get in place of it.
+	// Key is the caller's API key, and Organisation the name that upstreams receive instead of it.
 	Key          string
 	Organisation string
 	// ExpectInstance names the incarnation that may run the request.
 	ExpectInstance string
-	// Urgency is the rank at the upstream, from 0 (first) to 9.
+	// Urgency is the priority at the upstream, from 0 (first) to 9.
 	Urgency string
-	// NotRun, in an answer, proves that the upstream did not run the request, and
-	// Seal that the answer is the upstream's.
+	// NotRun, in a response, proves that the upstream did not run the request. Seal proves that the
+	// response was made by the upstream.
 	NotRun, Seal string
-	// LastEvent is the ID of the last event that the caller of a stream has.
+	// LastEvent is the ID of the last event that the caller of a stream has received.
 	LastEvent string
-	// Parts lists the parts of a prompt, Tokens their number and the longest answer.
+	// Parts lists the segments of a prompt. Tokens holds the prompt's token count and the maximum
+	// length of the answer.
 	Parts, Tokens string
-	// Limit, in an answer, is how many requests a second the upstream takes from all
-	// instances together, as a decimal number.
+	// Limit, in a response, is how many requests per second the upstream accepts from all instances
+	// together, as a decimal number.
 	Limit string
-	// FetchFrom names the upstream from which another one takes over what it has read.
+	// FetchFrom names the upstream from which another one can fetch a cached prompt.
 	FetchFrom string
-	// Reserved fields are this system's to set: callers' ones are dropped.
+	// Reserved fields are set by this system only: those that callers send are dropped.
 	Reserved []string
 	// EndToEnd fields are forwarded even if a caller lists them in Connection.
 	EndToEnd []string
@@ -49,66 +50,64 @@
 // State is the serving state as this instance follows it.
 type State interface {
 	View() *follow.View
-	// Lease is for how long the view may still be acted on.
+	// Lease is how much longer the view may be acted on.
 	Lease() time.Duration
-	// Age is how long ago the view was confirmed.
+	// Age is the time since the view was last confirmed.
 	Age() time.Duration
 }
 
-// Budget bounds the repeats of all instances together.
+// Budget bounds the repeated requests of all instances together.
 type Budget struct {
 	Ratio  float64
 	Window time.Duration
 	Slack  float64
 }
 
-// Config of a Service.
+// Config configures a Service.
 type Config struct {
-	// Listen is the callers' "ip:port".
+	// Listen is the address for callers, as "ip:port".
 	Listen  string
 	Domain  string
 	Headers Headers
 	State   State
-	// FailClosed refuses requests with a key once the lease has run out.
+	// FailClosed refuses requests with a key once the lease has expired.
 	FailClosed bool
 	Budget     Budget
-	// Announce is for how long an instance that drains goes on as before, so that
-	// the balancer sees that it isn't ready; DrainTimeout bounds the whole drain.
+	// Announce is how long a draining instance keeps serving as before, so that the balancer
+	// notices that it is not ready. DrainTimeout bounds the whole drain.
 	Announce, DrainTimeout time.Duration
-	// BodyBytes bounds the request bodies that are held at the same time; zero means no
-	// bound.
+	// BodyBytes bounds the total size of request bodies held at the same time; zero means no bound.
 	BodyBytes int64
-	// Began, if set, is told of each request of an organisation that began to run, once, and
-	// how long ago.
+	// Began, if set, is called once for each request of an organisation that began to run, with the
+	// time since it began.
 	Began func(organisation string, ago time.Duration)
-	// Quarantine keeps requests from upstreams that crash them; nil for none.
+	// Quarantine keeps requests away from upstreams that they crash; nil disables it.
 	Quarantine Quarantine
-	// Limits keeps to the limits that upstreams name; nil where they name none.
+	// Limits enforces the rate limits that upstreams announce; nil if they announce none.
 	Limits Limits
 	Log    *eventlog.Sink
 }
 
 const (
-	// deadlineMargin is taken off the time that is left, so that the final answer is
-	// on its way when the time is over.
+	// deadlineMargin is subtracted from the remaining time, so that the final response is on its
+	// way before the deadline.
 	deadlineMargin = 25 * time.Millisecond
-	// dialTimeout bounds a connect to an upstream: one that is dark answers nothing.
+	// dialTimeout bounds a connect to an upstream: an unreachable host does not answer at all.
 	dialTimeout = 400 * time.Millisecond
-	// lingerTimeout is for how long what a caller still sends is read and dropped
-	// after a final answer; closing with unread bytes would reset the connection and
-	// the answer could be lost.
+	// lingerTimeout is how long further input from a caller is read and discarded after a final
+	// response. Closing with unread bytes would reset the connection and could lose the response.
 	lingerTimeout = 500 * time.Millisecond
 	// writeTimeout bounds a write to a caller that does not read.
 	writeTimeout = 5 * time.Second
-	// maxAnswerHead bounds the head of an upstream's answer.
-	maxAnswerHead = 64 << 10
-	// maxBuffered bounds a plain answer that is held until it is whole; a longer one
-	// is passed on as it comes.
-	maxBuffered = 512 << 10
-	// ioBuffer is the size of a connection's read buffer.
-	ioBuffer = 4 << 10
-	// userTimeout ends a connection whose bytes are not acknowledged: one that fell
-	// silent for good shows in no other way.
+	// maxAnswerHeadBytes bounds the head of an upstream's response.
+	maxAnswerHeadBytes = 64 << 10
+	// maxBufferedBody bounds a non-streaming response that is buffered until it is complete. A
+	// longer one is forwarded as it arrives.
+	maxBufferedBody = 512 << 10
+	// ioBufferSize is the size of a connection's read buffer.
+	ioBufferSize = 4 << 10
+	// userTimeout closes a connection whose sent bytes are not acknowledged. A peer that disappears
+	// for good is not detected in any other way.
 	userTimeout = 1500 * time.Millisecond
 )
 
--- a/instance/relay/conn.go
+++ b/instance/relay/conn.go
@@ -17,36 +17,36 @@
 	"github.com/comfreyladder/comfreyladder/instance/tcpconn"
 )
 
-// conn is one connection of a caller. One goroutine reads requests, another one
-// answers them: the reader stays in a read while a request is under way, and so
-// sees at once that the caller hangs up.
+// conn is one connection of a caller. One goroutine reads requests and another one answers them:
+// the reader keeps reading while a request is in flight and so detects immediately that the caller
+// hangs up.
 type conn struct {
 	s        *Service
 	nc       net.Conn
 	in       *bufio.Reader
 	requests chan *request
 	accepted time.Time
-	// finished is closed when nothing will be answered any more.
+	// finished is closed when no further request will be answered.
 	finished chan struct{}
 	out      []byte
 
 	mu sync.Mutex
-	// life decides when the connection ends. Read deadlines are set under the same lock,
-	// so that none of an idle connection is left when a request comes.
-	life drain.Conn
+	// lifecycle decides when the connection ends. Read deadlines are set under the same lock, so
+	// that the deadline of an idle connection cannot outlive the arrival of a request.
+	lifecycle drain.Conn
 	// current is the request that is being answered, or nil.
 	current *request
 }
 
 func newConn(s *Service, nc net.Conn) *conn {
 	return &conn{
-		s: s, nc: nc, in: bufio.NewReaderSize(nc, ioBuffer), requests: make(chan *request), finished: make(chan struct{}),
+		s: s, nc: nc, in: bufio.NewReaderSize(nc, ioBufferSize), requests: make(chan *request), finished: make(chan struct{}),
 		accepted: time.Now(),
 	}
 }
 
 func (c *conn) run() {
-	defer c.s.forget(c)
+	defer c.s.removeConn(c)
 	setUserTimeout(c.nc, writeTimeout)
 	go c.answerAll()
 	c.readAll()
@@ -60,19 +60,19 @@
 	c.awaitRequest()
 	for {
 		if _, err := c.in.Peek(1); err != nil {
-			c.noteEnd(err)
+			c.logDrainEnd(err)
 			c.hangUp()
 			return
 		}
 		r := newRequest()
 		c.beginRead()
 		last := c.readRequest(r)
-		c.take()
+		c.requestRead()
 		select {
 		case c.requests <- r:
 		case <-c.finished:
 			c.s.bodies.release(r)
-			c.drop()
+			c.dropRequest()
 			return
 		}
 		if last {
@@ -82,11 +82,11 @@
 	}
 }
 
-// readRequest reads one request; what is wrong with it is kept in it. It reports
-// whether nothing more can be read after it.
+// readRequest reads one request and stores a read error in it. It reports whether nothing more can
+// be read after it.
 func (c *conn) readRequest(r *request) bool {
 	lim := limits(c.s.cfg.State.View())
-	if r.fail = r.head.ReadRequest(c.in, lim.HeaderBytes); r.fail != nil {
+	if r.readErr = r.head.ReadRequest(c.in, lim.HeaderBytes); r.readErr != nil {
 		return true
 	}
 	r.arrived, r.headRead = clock.Now(), true
@@ -94,7 +94,7 @@
 		return r.head.Close
 	}
 	if r.head.Framing == http1.ByLength && r.head.Length > lim.BodyBytes {
-		r.fail = http1.ErrBodyTooLarge
+		r.readErr = http1.ErrBodyTooLarge
 		return true
 	}
 	if http1.EqualFold(r.head.Get("Expect"), "100-continue") {
@@ -103,45 +103,45 @@
 	var body http1.Body
 	body.Reset(c.in, &r.head)
 	r.body = r.body[:0]
-	r.fail = c.s.bodies.readBody(r, &body, lim.BodyBytes)
+	r.readErr = c.s.bodies.readBody(r, &body, lim.BodyBytes)
 	r.arrived = clock.Now()
-	return r.fail != nil || r.head.Close
+	return r.readErr != nil || r.head.Close
 }
 
-// awaitRequest gives the caller the time of an idle connection; it needs mu, but for
-// the first request.
+// awaitRequest sets the read deadline of an idle connection. The caller holds mu, except before the
+// first request.
 func (c *conn) awaitRequest() {
 	_ = c.nc.SetReadDeadline(time.Now().Add(limits(c.s.cfg.State.View()).IdleTimeout))
 }
 
-// beginRead gives the caller the time that a request may take to come.
+// beginRead sets the read deadline for a whole request.
 func (c *conn) beginRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.BeginRequest()
+	c.lifecycle.BeginRequest()
 	_ = c.nc.SetReadDeadline(time.Now().Add(limits(c.s.cfg.State.View()).HeaderTimeout))
 }
 
-// take books a request that was read. The reader waits on without a deadline, to see
-// whether the caller hangs up.
-func (c *conn) take() {
+// requestRead records that a request was read. The reader keeps waiting without a deadline, to
+// detect that the caller hangs up.
+func (c *conn) requestRead() {
 	c.s.inFlight.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.RequestRead()
+	c.lifecycle.RequestRead()
 	_ = c.nc.SetReadDeadline(time.Time{})
 }
 
-// drop ends a request that came after the last answer.
-func (c *conn) drop() {
+// dropRequest ends a request that was read after the last response.
+func (c *conn) dropRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.DropRequest()
+	c.lifecycle.DropRequest()
 	c.s.inFlight.Add(-1)
 }
 
-// linger reads and drops what still comes, until the answers are out and for a
-// while beyond.
+// linger reads and discards further input until the responses are sent and for lingerTimeout after
+// that.
 func (c *conn) linger() {
 	_, err := io.Copy(io.Discard, c.in)
 	var timeout net.Error
@@ -150,11 +150,11 @@
 	}
 }
 
-// hangUp tells the request under way that its caller is gone.
+// hangUp informs the current request that its caller is gone.
 func (c *conn) hangUp() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.life.HangUp()
+	c.lifecycle.HangUp()
 	if c.current != nil {
 		c.current.abandon()
 	}
@@ -164,18 +164,18 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.current = r
-	if c.life.Gone() {
+	if c.lifecycle.Gone() {
 		r.abandon()
 	}
 }
 
-// answered books an answer, and reports whether the connection goes on.
+// answered records a response and reports whether the connection stays open.
 func (c *conn) answered(keep bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.current = nil
 	c.s.inFlight.Add(-1)
-	switch c.life.Answered(c.s.phase(), keep) {
+	switch c.lifecycle.Answered(c.s.phase(), keep) {
 	case drain.Finish:
 		return false
 	case drain.Await:
@@ -184,49 +184,49 @@
 	return true
 }
 
-// open reports whether an answer may still go out.
+// open reports whether a response may still be sent.
 func (c *conn) open() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.life.Open()
+	return c.lifecycle.Open()
 }
 
-// sweep ends a connection in the last phase of a drain if nothing is under way on it, and
-// at its last call the reading of a request that is not whole. What has arrived is still
-// read: see tcpconn.Conn.
+// sweep closes a connection without requests in flight in the last phase of a drain. With lastCall
+// it also stops reading an incomplete request. Data that has already arrived is still read: see
+// tcpconn.Conn.
 func (c *conn) sweep(ran time.Duration, lastCall bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.life.Sweep(ran) == drain.CloseNow || lastCall && c.life.Reading() {
+	if c.lifecycle.Sweep(ran) == drain.CloseNow || lastCall && c.lifecycle.Reading() {
 		_ = c.nc.SetReadDeadline(time.Now())
 	}
 }
 
-// noteEnd writes a line for a connection that a drain ends without an answer.
-func (c *conn) noteEnd(err error) {
+// logDrainEnd logs a connection that a drain closes without a response.
+func (c *conn) logDrainEnd(err error) {
 	if c.s.phase() == drain.Serving || !isTimeout(err) {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.life.Open() {
+	if c.lifecycle.Open() {
 		c.logEnd("drain")
 	}
 }
 
-// cut closes the connection, whatever is under way on it.
-func (c *conn) cut() {
+// abort closes the connection regardless of requests in flight.
+func (c *conn) abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.life.Open() {
+	if c.lifecycle.Open() {
 		c.logEnd("stop")
 	}
 	_ = c.nc.Close()
 }
 
-// logEnd needs mu.
+// logEnd logs the end of the connection. The caller holds mu.
 func (c *conn) logEnd(why string) {
-	c.s.cfg.Log.Event("connection_ended").Str("why", why).Str("state", c.life.State()).Int("pending", int64(c.life.Pending())).
+	c.s.cfg.Log.Event("connection_ended").Str("why", why).Str("state", c.lifecycle.State()).Int("pending", int64(c.lifecycle.Pending())).
 		MS("age", time.Since(c.accepted)).Str("from", c.nc.RemoteAddr().String()).End()
 }
 
@@ -245,11 +245,11 @@
 	}
 }
 
-// finish ends the connection after the last answer. The write side goes first: what
-// the caller has not read yet must reach it.
+// finish ends the connection after the last response. The write side is closed first, so that data
+// which the caller has not read yet still reaches it.
 func (c *conn) finish(r *request) {
 	if r.broken {
-		// A part of an answer is out: a reset tells the caller that it isn't whole.
+		// A part of a response was sent: a reset tells the caller that it is incomplete.
 		if tcp, ok := c.nc.(*tcpconn.Conn); ok {
 			_ = tcp.SetLinger(0)
 		}
@@ -265,17 +265,17 @@
 func (c *conn) write(b []byte) error {
 	_ = c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := c.nc.Write(b); err != nil {
-		return fault.Wrap(err, fault.Canceled, "the caller does not take the answer")
+		return fault.Wrap(err, fault.Canceled, "write the response to the caller")
 	}
 	return nil
 }
 
-// closing reports whether the connection ends with the answer to r.
+// closing reports whether the connection ends with the response to r.
 func (c *conn) closing(r *request) bool {
-	return r.head.Close || r.fail != nil || c.s.phase() != drain.Serving
+	return r.head.Close || r.readErr != nil || c.s.phase() != drain.Serving
 }
 
-// reply sends an answer of this instance's own.
+// reply sends a response that this instance generates itself.
 func (c *conn) reply(r *request, status int, reason string, retry time.Duration) bool {
 	body := `{"error":` + strconv.Quote(reason) + `}`
 	b := c.out[:0]
--- a/instance/relay/crash.go
+++ b/instance/relay/crash.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	// crashPause is the time between the loss of a connection and the look whether the
-	// upstream still listens: the sockets of a process that ends are closed one by one.
-	crashPause = 30 * time.Millisecond
-	// lossMemory is for how long a lost attempt is kept while it is not known whether the
-	// upstream has crashed.
-	lossMemory = 10 * time.Second
-	// maxLosses bounds the lost attempts that are kept of one upstream; more are dropped.
+	// probeDelay is the time between the loss of a connection and the check whether the upstream
+	// still listens: the sockets of a terminating process are closed one by one.
+	probeDelay = 30 * time.Millisecond
+	// lossRetention is how long a lost attempt is kept while it is unknown whether the upstream
+	// crashed.
+	lossRetention = 10 * time.Second
+	// maxLosses bounds the lost attempts kept per upstream; further ones are dropped.
 	maxLosses = 128
-	// maxNamed bounds the fingerprints in one line of the log.
-	maxNamed = 16
+	// maxLoggedFingerprints bounds the fingerprints in one log line.
+	maxLoggedFingerprints = 16
 )
 
-// loss is an attempt that lost its upstream at a time.
+// loss is an attempt whose connection to the upstream failed, and when.
 type loss struct {
 	quarantine.Attempt
 	at time.Time
 }
 
-// losses are the attempts that lost one incarnation of an upstream.
+// losses holds the lost attempts of one incarnation of an upstream.
 type losses struct {
 	mu      sync.Mutex
 	list    []loss
 	probing bool
-	// crashed is when it was found that the incarnation has ended without a leave, zero while
-	// it was not.
-	crashed time.Time
+	// crashedAt is when the incarnation was found to have terminated without leaving, zero if it
+	// was not.
+	crashedAt time.Time
 }
 
-// add notes a loss, and reports whether a look at the upstream is to be begun.
+// add records a loss and reports whether the caller should probe the upstream.
 func (l *losses) add(x loss, probe bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -58,25 +58,25 @@
 	return true
 }
 
-// expire needs mu.
+// expire drops losses older than lossRetention. The caller holds mu.
 func (l *losses) expire(now time.Time) {
 	kept := l.list[:0]
 	for _, x := range l.list {
-		if now.Sub(x.at) < lossMemory {
+		if now.Sub(x.at) < lossRetention {
 			kept = append(kept, x)
 		}
 	}
 	l.list = kept
 }
 
-// probed notes what a look at the upstream has shown.
+// probed records the result of a probe.
 func (l *losses) probed(p probeResult) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.probing = false
 	switch p {
 	case probeRefused:
-		l.crashed = time.Now()
+		l.crashedAt = time.Now()
 	case probeListens:
 		l.list = nil
 	}
@@ -86,7 +86,7 @@
 func (l *losses) takeCrashed(now time.Time) []loss {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.crashed.IsZero() {
+	if l.crashedAt.IsZero() {
 		return nil
 	}
 	l.expire(now)
@@ -95,38 +95,38 @@
 	return list
 }
 
-// superseded notes that another incarnation has announced itself at the address.
+// superseded records that another incarnation has announced itself at the address.
 func (l *losses) superseded() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.crashed = time.Now()
+	l.crashedAt = time.Now()
 }
 
-// alive notes that the incarnation has answered an attempt that begun at a time, and reports
-// whether it was believed to have crashed before that.
+// alive records that the incarnation answered an attempt that started at the given time, and
+// reports whether it had been considered crashed before that.
 func (l *losses) alive(begun time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.crashed.IsZero() || begun.Before(l.crashed) {
+	if l.crashedAt.IsZero() || begun.Before(l.crashedAt) {
 		return false
 	}
-	l.crashed = time.Time{}
+	l.crashedAt = time.Time{}
 	return true
 }
 
-// lostConnection reports whether an attempt failed since its connection ended.
+// lostConnection reports whether an attempt failed because its connection was closed or reset.
 func lostConnection(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// wentSilent reports whether an attempt failed since nothing came any more.
-func wentSilent(err error) bool { return isTimeout(err) || errors.Is(err, syscall.ETIMEDOUT) }
+// timedOut reports whether an attempt failed because nothing was received any more.
+func timedOut(err error) bool { return isTimeout(err) || errors.Is(err, syscall.ETIMEDOUT) }
 
-// noteLoss keeps an attempt that lost its upstream until it is known whether that has
+// recordLoss keeps an attempt that lost its upstream until it is known whether that upstream
 // crashed.
-func (s *Service) noteLoss(a *attempt) {
+func (s *Service) recordLoss(a *attempt) {
 	lost := lostConnection(a.err)
-	if !lost && !wentSilent(a.err) {
+	if !lost && !timedOut(a.err) {
 		return
 	}
 	if s.cfg.Quarantine != nil {
@@ -137,13 +137,13 @@
 	if a.r.organisation != nil {
 		organisation = a.r.organisation.Name
 	}
-	x := loss{quarantine.NewAttempt(a.r.fingerprint(), now.Sub(a.begun), organisation, string(a.r.head.Target)), now}
+	x := loss{quarantine.NewAttempt(a.r.fingerprint(), now.Sub(a.startedAt), organisation, string(a.r.head.Target)), now}
 	if !up.losses.add(x, lost) {
 		s.reportCrash(up)
 		return
 	}
 	s.running.Go(func() {
-		if !s.pause(crashPause) {
+		if !s.sleep(probeDelay) {
 			return
 		}
 		up.losses.probed(probe(up))
@@ -151,19 +151,19 @@
 	})
 }
 
-// probeResult is what a connect to an upstream has shown.
+// probeResult is the result of a connect to an upstream.
 type probeResult uint8
 
 const (
-	// probeUnclear means that nothing answered.
+	// probeUnclear means that the host did not answer.
 	probeUnclear probeResult = iota
-	// probeRefused means that the host answered and nothing listens there.
+	// probeRefused means that the host answered and nothing listens at the address.
 	probeRefused
 	// probeListens means that a process accepts connections.
 	probeListens
 )
 
-// probe looks whether anything listens at an upstream's address.
+// probe checks whether anything listens at the address of an upstream.
 func probe(up *upstream) probeResult {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
@@ -178,7 +178,7 @@
 	return probeUnclear
 }
 
-// reportCrash tells which requests were under way at an upstream that has crashed.
+// reportCrash reports which requests were in flight at an upstream that has crashed.
 func (s *Service) reportCrash(up *upstream) {
 	list := up.losses.takeCrashed(time.Now())
 	if len(list) == 0 {
@@ -197,15 +197,15 @@
 	}
 	s.set.GetOrCreateCounter("relay_lost_to_crashes_total").Add(len(list))
 	s.cfg.Log.Event("upstream_crashed").Str("upstream", up.id).Str("address", up.address).Int("under_way", int64(len(list))).
-		Str("fingerprints", nameFingerprints(underWay)).End()
+		Str("fingerprints", joinFingerprints(underWay)).End()
 	if s.cfg.Quarantine != nil {
-		s.cfg.Quarantine.Crashed(up.begun, clock.Now().Add(-time.Since(at)), underWay)
+		s.cfg.Quarantine.Crashed(up.incarnation, clock.Now().Add(-time.Since(at)), underWay)
 	}
 }
 
-func nameFingerprints(list []quarantine.Attempt) string {
-	names := make([]string, 0, maxNamed)
-	for _, a := range list[:min(len(list), maxNamed)] {
+func joinFingerprints(list []quarantine.Attempt) string {
+	names := make([]string, 0, maxLoggedFingerprints)
+	for _, a := range list[:min(len(list), maxLoggedFingerprints)] {
 		names = append(names, a.Fingerprint.String())
 	}
 	return strings.Join(names, ",")
--- a/instance/relay/crash_test.go
+++ b/instance/relay/crash_test.go
@@ -11,8 +11,7 @@
 	"github.com/comfreyladder/comfreyladder/core/quarantine"
 )
 
-// startCrashing starts an upstream that crashes with its first request: nothing listens there
-// any more.
+// startCrashing starts an upstream that crashes at its first request: it closes its listener.
 func startCrashing(t *testing.T, id string) *fakeUpstream {
 	started := make(chan *fakeUpstream, 1)
 	u := startUpstream(t, id, func(n int, r *received, c net.Conn) bool {
@@ -28,19 +27,19 @@
 
 const crashLine = "event=upstream_crashed"
 
-// Guards against crashes that nobody can trace to the requests under way at them.
-func TestCrashOfAnUpstreamNamesWhatWasUnderWay(t *testing.T) {
+// Guards against crashes that cannot be traced to the requests in flight.
+func TestCrashLogNamesRequestsInFlight(t *testing.T) {
 	b := start(t, startCrashing(t, "a"), startCrashing(t, "b"))
 	Expect(b.caller().call("POST", "/idem/x", "r1", "poison").status).To(Equal(502))
 	f := quarantine.FingerprintOf("h", "/idem/x", "org", []byte("poison")).String()
 	for _, id := range []string{"a", "b"} {
-		Eventually(b.log.String, limit).Should(ContainSubstring(crashLine + " upstream=" + id))
+		Eventually(b.log.String, requestTimeout).Should(ContainSubstring(crashLine + " upstream=" + id))
 	}
 	Expect(b.log.String()).To(ContainSubstring("under_way=1 fingerprints=" + f))
 	Expect(b.log.String()).To(MatchRegexp("event=request_failed .* fingerprint=" + f))
 }
 
-// Guards against connections that are reset, or answers that are cut short, taken for crashes.
+// Guards against treating reset connections or truncated responses as crashes.
 func TestLostConnectionToALivingUpstreamIsNoCrash(t *testing.T) {
 	a := startUpstream(t, "a", func(int, *received, net.Conn) bool { return false })
 	b := start(t, a)
@@ -49,19 +48,19 @@
 	Expect(b.log.String()).To(ContainSubstring("event=attempt"))
 }
 
-// Guards against a crash that nobody sees since the upstream's host falls silent with it:
-// the successor at its address shows it.
-func TestCrashThatIsSilentShowsWithItsSuccessor(t *testing.T) {
-	silent := startUpstream(t, "a", func(int, *received, net.Conn) bool { time.Sleep(3 * limit); return false })
+// Guards against a crash that goes unnoticed because the upstream's host stops answering as well:
+// the successor at its address proves it.
+func TestSilentCrashIsDetectedBySuccessor(t *testing.T) {
+	silent := startUpstream(t, "a", func(int, *received, net.Conn) bool { time.Sleep(3 * requestTimeout); return false })
 	b := start(t, silent)
 	Expect(b.caller().call("POST", "/once/x", "r1", "x").status).To(BeElementOf(502, 504))
 	b.replace("a", serving.Superseded)
-	Eventually(b.log.String, limit).Should(ContainSubstring(crashLine + " upstream=a"))
+	Eventually(b.log.String, requestTimeout).Should(ContainSubstring(crashLine + " upstream=a"))
 }
 
-// Guards against an upstream that leaves in order taken for one that has crashed.
+// Guards against treating the orderly exit of an upstream as a crash.
 func TestEndOfADrainingUpstreamIsNoCrash(t *testing.T) {
-	silent := startUpstream(t, "a", func(int, *received, net.Conn) bool { time.Sleep(3 * limit); return false })
+	silent := startUpstream(t, "a", func(int, *received, net.Conn) bool { time.Sleep(3 * requestTimeout); return false })
 	b := start(t, silent)
 	Expect(b.caller().call("POST", "/once/x", "r1", "x").status).To(BeElementOf(502, 504))
 	b.replace("a", serving.Draining)
@@ -70,7 +69,7 @@
 }
 
 // replace gives an upstream another state in the view.
-func (b *bed) replace(id string, s serving.State) {
+func (b *relayTest) replace(id string, s serving.State) {
 	b.state.mu.Lock()
 	v := *b.state.view
 	u := *v.Upstreams[id]
--- a/instance/relay/domain.go
+++ b/instance/relay/domain.go
@@ -7,39 +7,39 @@
 	"github.com/pkg/errors"
 )
 
-// When a failure domain is cut off, each of its upstreams would have to fail once at
-// each instance before it is left alone, and each failure takes a connect's timeout
-// or a request whose outcome is unknown. So what several upstreams of one domain show
-// is taken to hold for all of it.
+// When a failure domain is partitioned, each of its upstreams would have to fail once at each
+// instance before it is avoided, and each failure costs a connect timeout or a request with unknown
+// outcome. So failures of several upstreams of one domain are attributed to the whole domain.
 
 const (
-	// domainFailures is how many different upstreams of another domain must have
-	// failed, with none reached in between, for the domain to be suspect.
+	// domainFailures is how many different upstreams of another domain must have failed, without a
+	// success in between, for the domain to become suspect.
 	domainFailures = 2
-	// domainSuspect is for how long it is then left alone before it is tried again.
-	domainSuspect = 1500 * time.Millisecond
-	// domainMemory is for how long a failure counts.
-	domainMemory = 3 * time.Second
+	// suspectDuration is how long a suspect domain is avoided before it is tried again.
+	suspectDuration = 1500 * time.Millisecond
+	// failureRetention is how long a failure counts.
+	failureRetention = 3 * time.Second
 )
 
-// domainState is what this instance knows of the way to one failure domain.
+// domainState is the reachability of one failure domain as seen by this instance.
 type domainState struct {
-	// failed holds when upstreams could not be reached since one was.
-	failed map[string]time.Time
-	until  time.Time
+	// failed holds, by upstream, the time of the last failed connect since the domain was last
+	// reached.
+	failed       map[string]time.Time
+	suspectUntil time.Time
 }
 
-// domains holds the states by name. It needs the fleet's mutex.
+// domains holds the states by name. The fleet's mutex guards it.
 type domains map[string]*domainState
 
-// showsCut reports whether a failed connect may come from a cut of the upstream's failure
-// domain. A refused one does not: the host answered, only the process is gone. When a
-// quarter of 78 engines crashed at once, each instance met two of them in every domain and
-// then left all engines of the other domains alone, 1,427 times in 40 s.
-func showsCut(err error) bool { return !errors.Is(err, syscall.ECONNREFUSED) }
+// indicatesPartition reports whether a failed connect may be caused by a partition of the
+// upstream's failure domain. A refused connect is not: the host answered, only the process is gone.
+// When a quarter of 78 engines crashed at once, each instance saw two refused connects in every
+// domain and then avoided all engines of the other domains, 1,427 times in 40 s.
+func indicatesPartition(err error) bool { return !errors.Is(err, syscall.ECONNREFUSED) }
 
-// unreachable notes that an upstream could not be reached, and reports whether its
-// domain has become suspect by it.
+// unreachable records that an upstream could not be reached, and reports whether its domain became
+// suspect because of it.
 func (d domains) unreachable(now time.Time, domain, upstream string) bool {
 	s := d[domain]
 	if s == nil {
@@ -47,7 +47,7 @@
 		d[domain] = s
 	}
 	for id, at := range s.failed {
-		if now.Sub(at) > domainMemory {
+		if now.Sub(at) > failureRetention {
 			delete(s.failed, id)
 		}
 	}
@@ -55,20 +55,20 @@
 	if len(s.failed) < domainFailures {
 		return false
 	}
-	fresh := now.After(s.until)
-	s.until = now.Add(domainSuspect)
+	fresh := now.After(s.suspectUntil)
+	s.suspectUntil = now.Add(suspectDuration)
 	return fresh
 }
 
-// reached notes that an upstream answered.
+// reached records that an upstream answered.
 func (d domains) reached(domain string) {
 	if s := d[domain]; s != nil {
 		delete(d, domain)
 	}
 }
 
-// suspect reports whether a domain is left alone for now.
+// suspect reports whether a domain is currently avoided.
 func (d domains) suspect(now time.Time, domain string) bool {
 	s := d[domain]
-	return s != nil && now.Before(s.until)
+	return s != nil && now.Before(s.suspectUntil)
 }
--- a/instance/relay/domain_test.go
+++ b/instance/relay/domain_test.go
@@ -9,8 +9,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// A failure domain is cut off. After two of its upstreams could not be reached the
-// others there are left alone as well, until one was reached or some time passed.
+// Guards against trying every upstream of a partitioned failure domain: after two of them could not
+// be reached the others are avoided too, until one was reached or some time has passed.
 func TestDomainIsSuspectAfterSeveralFailures(t *testing.T) {
 	g := NewWithT(t)
 	d := domains{}
@@ -21,15 +21,15 @@
 	g.Expect(d.unreachable(now, "north", "b")).To(BeTrue())
 	g.Expect(d.suspect(now, "north")).To(BeTrue())
 	g.Expect(d.suspect(now, "south")).To(BeFalse())
-	g.Expect(d.suspect(now.Add(2*domainSuspect), "north")).To(BeFalse())
+	g.Expect(d.suspect(now.Add(2*suspectDuration), "north")).To(BeFalse())
 	d.reached("north")
 	g.Expect(d.suspect(now, "north")).To(BeFalse())
 	g.Expect(d.unreachable(now, "north", "a")).To(BeFalse())
 }
 
-// A quarter of the engines crash. Callers elsewhere are refused for want of engines while
-// three quarters of them idle: each instance was refused a connect by two engines of a
-// domain and took the whole domain for cut off. A host that refuses can be reached.
+// Guards against refusing callers for lack of engines while three quarters of them idle, after a
+// quarter crashed: each instance was refused a connect by two engines of a domain and treated the
+// whole domain as partitioned. A host that refuses a connect is reachable.
 func TestRefusedConnectShowsNoCut(t *testing.T) {
 	g := NewWithT(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,6 +38,6 @@
 	p := pool{address: l.Addr().String()}
 	_, err = p.dial(t.Context())
 	g.Expect(err).To(HaveOccurred())
-	g.Expect(showsCut(err)).To(BeFalse())
-	g.Expect(showsCut(syscall.ETIMEDOUT)).To(BeTrue())
+	g.Expect(indicatesPartition(err)).To(BeFalse())
+	g.Expect(indicatesPartition(syscall.ETIMEDOUT)).To(BeTrue())
 }
--- a/instance/relay/drain.go
+++ b/instance/relay/drain.go
@@ -10,25 +10,25 @@
 	"github.com/comfreyladder/comfreyladder/instance/shutdown"
 )
 
-// Drain implements kernel.Drainer. The balancer goes on sending for a while, and
-// that is served as before, but each answer ends its connection; idle connections
-// are closed only afterwards, so that no request crosses the close meanwhile. The
-// listener stays open while answers are under way, as callers may have nowhere else to go.
+// Drain implements kernel.Drainer. The balancer keeps sending requests for a while; they are served
+// as before, but each response closes its connection. Idle connections are closed only afterwards,
+// so that no request crosses the close. The listener stays open while requests are in flight, as
+// callers may have no other instance to go to.
 func (s *Service) Drain(ctx context.Context) error {
-	course := drain.NewSchedule(clock.Now(), s.cfg.Announce, s.cfg.DrainTimeout)
-	s.drain.Store(&course)
+	schedule := drain.NewSchedule(clock.Now(), s.cfg.Announce, s.cfg.DrainTimeout)
+	s.drain.Store(&schedule)
 	s.cfg.Log.Event("drain").Int("in_flight", s.inFlight.Load()).MS("announce", s.cfg.Announce).MS("timeout", s.cfg.DrainTimeout).End()
-	return shutdown.Run(ctx, &course, (*connections)(s))
+	return shutdown.Run(ctx, &schedule, (*drainServer)(s))
 }
 
-// connections is the service as its drain sees it.
-type connections Service
+// drainServer implements shutdown.Server for the service.
+type drainServer Service
 
 // CloseListener implements shutdown.Server.
-func (s *connections) CloseListener() { s.listener.CloseWhenEmpty() }
+func (s *drainServer) CloseListener() { s.listener.CloseWhenEmpty() }
 
 // Sweep implements shutdown.Server.
-func (s *connections) Sweep(ran time.Duration, lastCall bool) {
+func (s *drainServer) Sweep(ran time.Duration, lastCall bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -37,7 +37,7 @@
 }
 
 // Work implements shutdown.Server.
-func (s *connections) Work() drain.Work {
+func (s *drainServer) Work() drain.Work {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w := drain.Work{Listening: s.listening.Load(), InFlight: int(s.inFlight.Load()), All: len(s.conns)}
@@ -49,22 +49,23 @@
 	return w
 }
 
-// phase returns how far a drain is.
+// phase returns the current phase of the drain.
 func (s *Service) phase() drain.Phase {
-	if course := s.drain.Load(); course != nil {
-		return course.Phase(clock.Now())
+	if schedule := s.drain.Load(); schedule != nil {
+		return schedule.Phase(clock.Now())
 	}
 	return drain.Serving
 }
 
-// takes reports whether a request may begin, as far as a drain is concerned.
-func (s *Service) takes(r *request) bool {
-	course := s.drain.Load()
-	return course == nil || course.Accepts(clock.Now(), r.route.Kind == route.Streaming, r.deadline)
+// acceptsDuringDrain reports whether the drain schedule allows a request to start.
+func (s *Service) acceptsDuringDrain(r *request) bool {
+	schedule := s.drain.Load()
+	return schedule == nil || schedule.Accepts(clock.Now(), r.route.Kind == route.Streaming, r.deadline)
 }
 
-// lastCall reports whether a drain takes nothing new any more.
-func (s *Service) lastCall() bool {
-	course := s.drain.Load()
-	return course != nil && course.RefusesIncomplete(clock.Now())
+// refusesIncomplete reports whether the drain has reached the point at which incomplete requests
+// are refused.
+func (s *Service) refusesIncomplete() bool {
+	schedule := s.drain.Load()
+	return schedule != nil && schedule.RefusesIncomplete(clock.Now())
 }
--- a/instance/relay/drain_test.go
+++ b/instance/relay/drain_test.go
@@ -12,8 +12,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// An instance drains while callers go on: each gets its answer, the connection ends
-// with it, and the balancer sees at once that the instance isn't ready.
+// Guards against a drain that drops requests while callers keep sending: each gets its response,
+// the connection ends with it, and the instance reports immediately that it is not ready.
 func TestDrainServesWhatStillComes(t *testing.T) {
 	up := startUpstream(t, "u", func(_ int, r *received, c net.Conn) bool {
 		time.Sleep(100 * time.Millisecond)
@@ -34,9 +34,9 @@
 	Expect(err).To(MatchError(io.EOF), "an idle connection ends in order")
 }
 
-// Idle connections are closed at the end of a drain while their callers go on to
-// send. A request that was read must be answered; one that crosses the close may be
-// sent again elsewhere, and nothing of it may have run.
+// Guards against requests lost at the end of a drain, when idle connections are closed while their
+// callers start to send. A request that was read must be answered; one that crosses the close may
+// be sent again elsewhere, so no part of it may have run.
 func TestRequestThatCrossesTheEndOfADrainIsAnsweredOrNotRun(t *testing.T) {
 	up := startUpstream(t, "u", func(_ int, r *received, c net.Conn) bool {
 		time.Sleep(5 * time.Millisecond)
@@ -64,9 +64,9 @@
 	Expect(got).To(Equal(len(up.requests())))
 }
 
-// A caller connects while the balancer still sends callers here, and its request comes a
-// moment after the end of that time, as on a machine that is busy. It had no answer and
-// could not know whether to send again: its connection was closed as an idle one.
+// Guards against closing a new connection as idle: a caller connects while the balancer still sends
+// callers here, and its first request arrives just after that period, as on a busy machine. Without
+// a response the caller cannot know whether to retry.
 func TestFirstRequestOfANewConnectionIsServedAtTheEndOfADrain(t *testing.T) {
 	up := startUpstream(t, "u", echo)
 	b := start(t, up)
@@ -82,9 +82,9 @@
 	Expect(<-drained).To(Succeed())
 }
 
-// A stream arrives at the end of a drain, as happens when too few other instances
-// are ready. It would be cut off when the process ends: the caller is told at once
-// that it did not run. Short requests are still served.
+// Guards against a stream that arrives at the end of a drain, as happens when too few other
+// instances are ready, and is cut off when the process exits. It is refused immediately as not run;
+// short requests are still served.
 func TestStreamAtTheEndOfADrainIsRefused(t *testing.T) {
 	up := startUpstream(t, "u", func(_ int, r *received, c net.Conn) bool {
 		if r.header.Get("X-Id") == "long" {
@@ -106,9 +106,8 @@
 	Expect(up.requests()).To(HaveLen(2))
 }
 
-// One long answer keeps a draining process alive to the end of its time, and a short
-// request comes in the last moment. It must be told to go elsewhere: taken, it would
-// be cut off when the process ends.
+// Guards against accepting a short request in the last moment of a drain that one long response
+// prolongs to its timeout. It would be cut off when the process exits and must be refused.
 func TestRequestInTheLastMomentOfADrainIsRefused(t *testing.T) {
 	up := startUpstream(t, "u", func(_ int, r *received, c net.Conn) bool {
 		time.Sleep(1700 * time.Millisecond)
@@ -130,7 +129,7 @@
 func TestRequestThatIsNotWholeAtTheEndOfADrainIsServedOrNotRun(t *testing.T) {
 	up := startUpstream(t, "u", echo)
 	b := start(t, up)
-	b.patient(5 * time.Second)
+	b.setTimeouts(5 * time.Second)
 	whole, half := b.caller(), b.caller()
 	text := strings.Replace(message("POST", "/idem/", "1", "body"), "X-Left: 1500", "X-Left: 400", 1)
 	whole.send(text[:len(text)-2])
--- a/instance/relay/exchange.go
+++ b/instance/relay/exchange.go
@@ -7,22 +7,22 @@
 	servingsvc "github.com/comfreyladder/comfreyladder/instance/serving"
 )
 
-// maxPlaced bounds the prompts that wait for the next report.
-const maxPlaced = 1024
+// maxPendingPlacements bounds the prompt placements queued for the next report.
+const maxPendingPlacements = 1024
 
-// leastAnswers is how many hundredths of an answer are told: what is left of older ones
-// tells nothing.
-const leastAnswers = 20
+// minReportedAnswers is the decayed answer count below which an observation is not reported, in
+// hundredths of an answer: such a remainder carries no information.
+const minReportedAnswers = 20
 
-// othersAge is for how long the loads of other instances count.
-const othersAge = 2 * time.Second
+// remoteLoadTTL is how long the loads of other instances are used.
+const remoteLoadTTL = 2 * time.Second
 
-func (f *fleet) takeReport(r *servingsvc.Report) {
+func (f *fleet) mergeReport(r *servingsvc.Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	clear(f.others)
+	clear(f.remoteLoads)
 	for _, l := range r.Work.Loads {
-		f.others[l.Begun] = l
+		f.remoteLoads[l.Begun] = l
 	}
 	routes := map[string]map[string]balance.RouteLoad{}
 	for i := range r.Work.Routes {
@@ -32,17 +32,17 @@
 		}
 		routes[l.Service][l.Route] = l.Load()
 	}
-	f.othersAt = time.Now()
+	f.remoteLoadsAt = time.Now()
 	if f.limits != nil {
 		f.limits.Take(r.Limits)
 	}
 	if r.Observes {
-		f.takeObserved(r.Observed)
+		f.mergeObserved(r.Observed)
 	}
 	for _, p := range r.Placed {
-		// What was placed at an incarnation that has ended since is kept nowhere.
-		if u := f.byBegun[p.Begun]; u != nil {
-			u.kept.RecordAnnounced(f.othersAt, p.Prompt)
+		// A placement at an incarnation that has ended since is cached nowhere.
+		if u := f.byIncarnation[p.Begun]; u != nil {
+			u.promptCache.RecordAnnounced(f.remoteLoadsAt, p.Prompt)
 		}
 	}
 	for service, loads := range routes {
@@ -55,96 +55,96 @@
 	}
 }
 
-// answerUnit is the unit in which answers travel: hundredths.
-const answerUnit = 100
+// answerScale is the factor for answer counts in reports, which are sent in hundredths.
+const answerScale = 100
 
 func observedOf(o *servingsvc.Observation) balance.Observed {
 	return balance.Observed{
-		Answers: float64(o.Answers) / answerUnit, Failures: float64(o.Failures) / answerUnit, Predicted: float64(o.Predicted), Took: float64(o.Took),
+		Answers: float64(o.Answers) / answerScale, Failures: float64(o.Failures) / answerScale, Predicted: float64(o.Predicted), Took: float64(o.Took),
 	}
 }
 
-// observation returns what was observed here of an upstream.
+// observation returns what this instance observed of an upstream.
 func (u *upstream) observation(now time.Time) servingsvc.Observation {
 	u.mu.Lock()
 	o := u.observer.Sums(now)
 	u.mu.Unlock()
 	return servingsvc.Observation{
-		Begun: u.begun, Answers: int(o.Answers * answerUnit), Failures: int(o.Failures * answerUnit), Predicted: int(o.Predicted), Took: int(o.Took),
+		Begun: u.incarnation, Answers: int(o.Answers * answerScale), Failures: int(o.Failures * answerScale), Predicted: int(o.Predicted), Took: int(o.Took),
 	}
 }
 
-// observations returns what was observed here, by upstream; it needs mu. What it tells
-// comes back in the sum of all.
+// observations returns what this instance observed of each upstream and stores it, as it is
+// included in the sum of all instances that comes back. The caller holds mu.
 func (f *fleet) observations(now time.Time) (list []servingsvc.Observation) {
-	clear(f.told)
+	clear(f.reportedObserved)
 	for _, u := range f.upstreams {
 		o := u.observation(now)
-		if o.Answers >= leastAnswers || o.Predicted > 0 {
+		if o.Answers >= minReportedAnswers || o.Predicted > 0 {
 			list = append(list, o)
-			f.told[u.begun] = observedOf(&o)
+			f.reportedObserved[u.incarnation] = observedOf(&o)
 		}
 	}
 	return list
 }
 
-// takeObserved takes what all instances observed, and takes off what this one told; it
-// needs mu.
-func (f *fleet) takeObserved(list []servingsvc.Observation) {
-	clear(f.observedByOthers)
+// mergeObserved stores the observations of all instances less those that this one reported. The
+// caller holds mu.
+func (f *fleet) mergeObserved(list []servingsvc.Observation) {
+	clear(f.remoteObserved)
 	for i := range list {
 		o := observedOf(&list[i])
-		o.Subtract(f.told[list[i].Begun])
-		f.observedByOthers[list[i].Begun] = o
+		o.Subtract(f.reportedObserved[list[i].Begun])
+		f.remoteObserved[list[i].Begun] = o
 	}
 }
 
 func (f *fleet) report() servingsvc.Report {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := servingsvc.Report{Placed: f.placed}
-	f.placed = nil
+	r := servingsvc.Report{Placed: f.newPlacements}
+	f.newPlacements = nil
 	now := time.Now()
 	for _, u := range f.upstreams {
 		if u.active > 0 {
-			r.Work.Loads = append(r.Work.Loads, servingsvc.Load{Begun: u.begun, Active: u.active, Reading: u.reading, Held: u.held})
+			r.Work.Loads = append(r.Work.Loads, servingsvc.Load{Begun: u.incarnation, Active: u.active, Reading: u.queuedTokens, Held: u.usedTokens})
 		}
 	}
-	if now.Sub(f.toldAt) >= servingsvc.ObserveEvery {
-		r.Observes, r.Observed, f.toldAt = true, f.observations(now), now
+	if now.Sub(f.observedReportedAt) >= servingsvc.ObserveEvery {
+		r.Observes, r.Observed, f.observedReportedAt = true, f.observations(now), now
 	}
 	for service, p := range f.pools {
-		perMS := f.pace(service).rate.PerMS()
+		perMS := f.engineRateOf(service).rate.PerMS()
 		for name, l := range p.LocalLoads(now) {
 			r.Work.Routes = append(r.Work.Routes, servingsvc.RouteLoadOf(service, name, l, perMS))
 		}
 	}
 	r.Busy = f.busy(now)
 	if f.limiting() {
-		// What upstreams in need are sent is to be known soon.
+		// Other instances need the requests sent to limited upstreams soon.
 		r.Limits, r.Busy = f.limits.Statements(), true
 	}
 	return r
 }
 
-// busyReading is how many prompt tokens must wait at the mean engine for news of loads
-// to matter.
-const busyReading = 1500
+// busyQueuedTokens is the mean number of queued prompt tokens per engine above which load updates
+// are urgent.
+const busyQueuedTokens = 1500
 
-// busy reports whether engines have much to read; it needs mu.
+// busy reports whether the engines have long prefill queues. The caller holds mu.
 func (f *fleet) busy(now time.Time) bool {
-	reading, engines := 0, 0
+	queued, engines := 0, 0
 	for service, p := range f.pools {
 		if p == nil {
 			continue
 		}
 		for _, u := range f.services[service] {
 			engines++
-			reading += u.reading
-			if now.Sub(f.othersAt) < othersAge {
-				reading += f.others[u.begun].Reading
+			queued += u.queuedTokens
+			if now.Sub(f.remoteLoadsAt) < remoteLoadTTL {
+				queued += f.remoteLoads[u.incarnation].Reading
 			}
 		}
 	}
-	return reading > busyReading*engines
+	return queued > busyQueuedTokens*engines
 }
--- a/instance/relay/limit.go
+++ b/instance/relay/limit.go
@@ -10,33 +10,33 @@
 	"github.com/comfreyladder/comfreyladder/instance/clock"
 )
 
-// Limits are the limits that upstreams name, and the rights of this instance to send requests
-// to them.
+// Limits holds the rate limits that upstreams announce and the tokens of this instance to send
+// requests to them.
 type Limits interface {
-	// Heard notes what an answer of an upstream said of its limit, zero for none, to a request
-	// that was sent and answered at two times of clock.Now. name is the upstream's in logs.
+	// Heard records the limit in an upstream's response, zero for none, to a request that was sent
+	// and answered at the given times of clock.Now. name identifies the upstream in logs.
 	Heard(upstream uint64, name string, perSecond float64, sent, heard time.Time)
-	// Known reports whether any upstream names a limit, Limit returns that of one.
+	// Known reports whether any upstream announces a limit. Limit returns the limit of one
+	// upstream.
 	Known() bool
 	Limit(upstream uint64) (perSecond float64, limited bool)
-	// Has reports whether a request may be sent to a limited upstream, Spend uses that right
-	// and Return gives it back. Want asks for one.
+	// Has reports whether a token for a limited upstream is available. Spend uses a token, Return
+	// gives it back, and Want requests one.
 	Has(upstream uint64) bool
 	Spend(upstream uint64, urgency int) bool
 	Return(upstream uint64)
 	Want(upstream uint64, urgency int)
-	// Statements are for other instances, Take takes in theirs.
+	// Statements returns the limits for other instances. Take merges theirs.
 	Statements() []ratelimit.Statement
 	Take([]ratelimit.Statement)
 }
 
-// leastLimit and maxLimit bound the limits that are believed, in requests a second. An upstream
-// that takes nothing at all could not say when that is over.
-const leastLimit, maxLimit = 0.05, 1e6
+// minLimit and maxLimit bound accepted limits, in requests per second. An upstream that receives no
+// requests at all could not announce the end of its limit.
+const minLimit, maxLimit = 0.05, 1e6
 
-// noteLimit notes what the head of an answer says of the upstream's limit. One that can't be
-// read says nothing.
-func (a *attempt) noteLimit() {
+// recordLimit records the limit in the head of a response. An unparsable value is ignored.
+func (a *attempt) recordLimit() {
 	if a.s.cfg.Limits == nil {
 		return
 	}
@@ -46,89 +46,91 @@
 		if err != nil || !(n >= 0) || n > maxLimit {
 			return
 		}
-		perSecond = max(leastLimit, n)
+		perSecond = max(minLimit, n)
 	}
-	a.s.cfg.Limits.Heard(a.up.begun, a.up.id, perSecond, a.sent, clock.Now())
+	a.s.cfg.Limits.Heard(a.up.incarnation, a.up.id, perSecond, a.sentAt, clock.Now())
 }
 
 const (
-	// wantEvery is the least time between two wants of one request for the same upstream.
-	wantEvery = 200 * time.Millisecond
-	// shortestLimitHint and longestLimitHint bound when a request may come again that found all
-	// upstreams at their limits.
-	shortestLimitHint, longestLimitHint = 200 * time.Millisecond, 3 * time.Second
+	// tokenRequestInterval is the minimum time between two token requests of one request for the
+	// same upstream.
+	tokenRequestInterval = 200 * time.Millisecond
+	// minLimitRetry and maxLimitRetry bound the retry delay of a request that found all upstreams
+	// at their limits.
+	minLimitRetry, maxLimitRetry = 200 * time.Millisecond, 3 * time.Second
 )
 
-// limiting reports whether any upstream names a limit.
+// limiting reports whether any upstream announces a limit.
 func (f *fleet) limiting() bool { return f.limits != nil && f.limits.Known() }
 
-// pick chooses among the described upstreams. One that names a limit is passed over as long as
-// there is no right to send a request there; it is asked for if it would have been chosen. It
-// needs mu.
-func (f *fleet) pick(r *request, q *balance.Request, list []*upstream) balance.Choice {
+// chooseWithinLimits chooses among the described upstreams. A limited upstream is skipped while no
+// token for it is available; one is requested if the upstream would have been chosen. The caller
+// holds mu.
+func (f *fleet) chooseWithinLimits(r *request, q *balance.Request, list []*upstream) balance.Choice {
 	c := balance.Choose(f.scratch, q)
-	r.limited = false
-	if !f.limiting() || c.Index == balance.None || !f.closed(r, list[c.Index]) {
+	r.allLimited = false
+	if !f.limiting() || c.Index == balance.None || !f.lacksToken(r, list[c.Index]) {
 		return c
 	}
-	f.want(r, list[c.Index])
+	f.requestToken(r, list[c.Index])
 	for i, u := range list {
-		if f.closed(r, u) {
+		if f.lacksToken(r, u) {
 			f.scratch[i].Excluded = true
 		}
 	}
 	c = balance.Choose(f.scratch, q)
-	r.limited = c.Index == balance.None
+	r.allLimited = c.Index == balance.None
 	return c
 }
 
-// closed reports whether a request may not be sent to an upstream for its limit. Rights are for
-// the most urgent ones that wait.
-func (f *fleet) closed(r *request, u *upstream) bool {
-	_, limited := f.limits.Limit(u.begun)
-	return limited && (!f.limits.Has(u.begun) || f.moreUrgentWaits(r))
+// lacksToken reports whether the limit of an upstream prevents sending a request. Tokens go to the
+// most urgent waiting requests.
+func (f *fleet) lacksToken(r *request, u *upstream) bool {
+	_, limited := f.limits.Limit(u.incarnation)
+	return limited && (!f.limits.Has(u.incarnation) || f.moreUrgentWaits(r))
 }
 
-func (f *fleet) want(r *request, u *upstream) {
-	if now := time.Now(); r.wanted != u.begun || now.Sub(r.wantedAt) >= wantEvery {
-		r.wanted, r.wantedAt = u.begun, now
-		f.limits.Want(u.begun, r.urgency)
+func (f *fleet) requestToken(r *request, u *upstream) {
+	if now := time.Now(); r.tokenRequestedFrom != u.incarnation || now.Sub(r.tokenRequestedAt) >= tokenRequestInterval {
+		r.tokenRequestedFrom, r.tokenRequestedAt = u.incarnation, now
+		f.limits.Want(u.incarnation, r.urgency)
 	}
 }
 
-// spend uses the right to send a request to the chosen upstream, where one is needed, and
-// reports whether it may go there.
-func (f *fleet) spend(r *request, u *upstream) bool {
-	r.right = false
+// useToken uses a token for the chosen upstream if one is needed, and reports whether the request
+// may be sent.
+func (f *fleet) useToken(r *request, u *upstream) bool {
+	r.usedToken = false
 	if !f.limiting() {
 		return true
 	}
-	if _, limited := f.limits.Limit(u.begun); !limited {
+	if _, limited := f.limits.Limit(u.incarnation); !limited {
 		return true
 	}
-	r.right = f.limits.Spend(u.begun, r.urgency)
-	r.limited = !r.right
-	return r.right
+	r.usedToken = f.limits.Spend(u.incarnation, r.urgency)
+	r.allLimited = !r.usedToken
+	return r.usedToken
 }
 
-// takes returns the part of what its peers take that a limited upstream takes, zero for one
-// without a limit; it needs mu.
-func (f *fleet) takes(r *request, u *upstream) float64 {
+// limitShare returns the capacity of a limited upstream as a share of that of its peers, zero for
+// one without a limit. The caller holds mu.
+func (f *fleet) limitShare(r *request, u *upstream) float64 {
 	if !f.limiting() {
 		return 0
 	}
 	p := f.pools[r.service]
-	perSecond, limited := f.limits.Limit(u.begun)
+	perSecond, limited := f.limits.Limit(u.incarnation)
 	if !limited || p == nil {
 		return 0
 	}
 	return balance.LimitShare(perSecond, p.EachPerSecond())
 }
 
-// queue counts the requests that wait for a right, by service and urgency.
+// queue counts the requests that wait for a token, by service and urgency.
 type queue map[string]*[urgencyLevels]int
 
-// moreUrgentWaits reports whether a more urgent request to the same service waits; it needs mu.
+// moreUrgentWaits reports whether a more urgent request to the same service waits. The caller holds
+// mu.
 func (f *fleet) moreUrgentWaits(r *request) bool {
 	q := f.queue[r.service]
 	if q == nil {
@@ -142,7 +144,8 @@
 	return false
 }
 
-// enqueue counts a request that begins to wait for a right, or one that ceases to with -1.
+// enqueue adds by to the number of waiting requests: 1 when a request starts to wait for a token,
+// -1 when it stops.
 func (f *fleet) enqueue(r *request, by int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -152,14 +155,15 @@
 	f.queue[r.service][min(r.urgency, urgencyLevels-1)] += by
 }
 
-// limitHint is when a request that found all upstreams at their limits may come again: when
-// what waits has been sent, at what they take, spread so that not all come back at once.
-func (f *fleet) limitHint(r *request, forwarders int) time.Duration {
+// limitRetryAfter is when a request that found all upstreams at their limits may be retried: when
+// the waiting requests have been sent at the permitted rate, with jitter so that they do not all
+// return at once.
+func (f *fleet) limitRetryAfter(r *request, forwarders int) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	perSecond, waiting := 0.0, 1
 	for _, u := range f.services[r.service] {
-		if limit, limited := f.limits.Limit(u.begun); limited {
+		if limit, limited := f.limits.Limit(u.incarnation); limited {
 			perSecond += limit
 		}
 	}
@@ -169,8 +173,8 @@
 		}
 	}
 	if perSecond == 0 {
-		return shortestLimitHint
+		return minLimitRetry
 	}
 	after := float64(waiting*forwarders) / perSecond * (0.5 + rand.Float64())
-	return min(longestLimitHint, max(shortestLimitHint, time.Duration(after*float64(time.Second))))
+	return min(maxLimitRetry, max(minLimitRetry, time.Duration(after*float64(time.Second))))
 }
--- a/instance/relay/limit_test.go
+++ b/instance/relay/limit_test.go
@@ -14,14 +14,14 @@
 	"github.com/comfreyladder/comfreyladder/instance/serving"
 )
 
-// fakeLimits holds limits and rights that a test sets.
+// fakeLimits holds limits and tokens that a test sets.
 type fakeLimits struct {
 	mu     sync.Mutex
 	heard  []float64
 	limits map[uint64]float64
-	rights map[uint64]int
+	tokens map[uint64]int
 	wants  map[uint64]int
-	// returned counts rights that were given back.
+	// returned counts tokens that were given back.
 	returned int
 	told     []ratelimit.Statement
 }
@@ -50,20 +50,20 @@
 func (l *fakeLimits) Has(upstream uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.rights[upstream] > 0
+	return l.tokens[upstream] > 0
 }
 
 func (l *fakeLimits) Spend(upstream uint64, _ int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rights[upstream]--
-	return l.rights[upstream] >= 0
+	l.tokens[upstream]--
+	return l.tokens[upstream] >= 0
 }
 
 func (l *fakeLimits) Return(upstream uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rights[upstream]++
+	l.tokens[upstream]++
 	l.returned++
 }
 
@@ -92,14 +92,14 @@
 	return append([]float64(nil), l.heard...)
 }
 
-// limit gives an upstream a limit and rights.
-func (l *fakeLimits) limit(u *fakeUpstream, rights int) {
+// limit gives an upstream a limit and tokens.
+func (l *fakeLimits) limit(u *fakeUpstream, tokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.limits == nil {
-		l.limits, l.rights = map[uint64]float64{}, map[uint64]int{}
+		l.limits, l.tokens = map[uint64]float64{}, map[uint64]int{}
 	}
-	l.limits[u.begun()], l.rights[u.begun()] = 2, rights
+	l.limits[u.begun()], l.tokens[u.begun()] = 2, tokens
 }
 
 func (l *fakeLimits) wanted(u *fakeUpstream) int {
@@ -108,13 +108,13 @@
 	return l.wants[u.begun()]
 }
 
-// limited answers with a limit as text.
+// limited answers with the given text as limit.
 func limited(c net.Conn, r *received, status int, limit string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d X\r\nX-Id: %s\r\nX-Seal: s\r\nX-Limit: %s\r\nContent-Length: 2\r\n\r\nok", status, r.header.Get("X-Id"), limit)
 	return err == nil
 }
 
-// Guards against a limit that is not heard, and against one that was never named.
+// Guards against missing an announced limit, and against accepting one that was not announced.
 func TestLimitIsReadFromEachAnswer(t *testing.T) {
 	said := []string{"2.5", "-1", "many", "NaN", "1e300", "0", ""}
 	a := startUpstream(t, "a", func(n int, r *received, c net.Conn) bool {
@@ -132,7 +132,7 @@
 	Expect(b.limits.list()).To(Equal([]float64{2.5, 0.05, 0, 0}), "what can't be read says nothing, and none is the least")
 }
 
-// Guards against an upstream at its limit that gets requests while another one has room.
+// Guards against sending requests to an upstream at its limit while another one has free capacity.
 func TestUpstreamAtItsLimitIsPassedOver(t *testing.T) {
 	a, z := startUpstream(t, "a", echo), startUpstream(t, "z", echo)
 	b := start(t, a, z)
@@ -146,9 +146,9 @@
 	Expect(b.limits.wanted(z)).To(BeZero())
 }
 
-// Guards against requests that are refused at once though a right is on its way, and against
-// refusals that don't say when to come again.
-func TestRequestWaitsForARightAndIsToldWhenToComeAgain(t *testing.T) {
+// Guards against refusing requests immediately although a token is on its way, and against refusals
+// without a retry time.
+func TestRequestWaitsForTokenAndGetsRetryTime(t *testing.T) {
 	a := startUpstream(t, "a", echo)
 	b := start(t, a)
 	table := routes()
@@ -170,8 +170,8 @@
 	Expect(a.requests()).To(HaveLen(1))
 }
 
-// Guards against a right that is lost with a connection that could not be made.
-func TestRightOfARequestThatDidNotLeaveIsGivenBack(t *testing.T) {
+// Guards against losing a token when the connection could not be made.
+func TestTokenOfUnsentRequestIsReturned(t *testing.T) {
 	a := startUpstream(t, "a", echo)
 	_ = a.listener.Close()
 	b := start(t, a)
@@ -182,7 +182,7 @@
 	Expect(b.limits.returned).To(Equal(1))
 }
 
-// Guards against an instance that does not tell others of a limit, or does not hear of theirs.
+// Guards against an instance that does not report limits to others, or ignores theirs.
 func TestLimitsAreExchangedWithLoads(t *testing.T) {
 	a := startUpstream(t, "a", echo)
 	b := start(t, a)
@@ -197,9 +197,9 @@
 	Expect(b.limits.told).To(Equal(r.Limits))
 }
 
-// Guards against a caller who is told that its request has not run though a first upstream may
-// have run it: no other one had room for the second try.
-func TestRefusalAfterATryThatMayHaveRunSaysSo(t *testing.T) {
+// Guards against reporting a request as not run although a first upstream may have run it and no
+// other one had capacity for the second attempt.
+func TestRefusalAfterUnknownOutcomeIsNotReportedAsNotRun(t *testing.T) {
 	a := startUpstream(t, "a", func(int, *received, net.Conn) bool { return false })
 	z := startUpstream(t, "z", echo)
 	b := start(t, a, z)
--- a/instance/relay/load_test.go
+++ b/instance/relay/load_test.go
@@ -19,10 +19,10 @@
 	servingsvc "github.com/comfreyladder/comfreyladder/instance/serving"
 )
 
-// These tests play loads against the decisions of several instances, in virtual time and
-// without a network: each instance decides on what it sent itself and on what the others
-// told a moment ago. Engines run a few requests at once, the most urgent first, and read
-// one prompt after the other. What counts is what callers get.
+// These tests simulate loads on the decisions of several instances, in virtual time and without a
+// network: each instance decides by the requests that it sent itself and by the latest reports of
+// the others. Engines run a few requests at once, the most urgent first, and prefill one prompt
+// after the other. The tests check the results of the callers.
 
 // kind is one kind of requests of a load.
 type kind struct {
@@ -33,16 +33,16 @@
 	generates           time.Duration
 }
 
-// got is what the callers of one kind got.
-type got struct{ asked, inTime, late, refused int }
+// results counts the results of the requests of one kind.
+type results struct{ asked, inTime, late, refused int }
 
-// inTimePart is the part of those that have an answer or a refusal that was in time.
-func (g *got) inTimePart() float64 {
+// inTimeShare is the share of finished requests that were answered in time.
+func (g *results) inTimeShare() float64 {
 	return float64(g.inTime) / float64(max(1, g.inTime+g.late+g.refused))
 }
 
-// count counts a request whose first event came at a time, or will come.
-func (g *got) count(j *job, first time.Time) {
+// count counts a request by the time of its first event, which may lie in the future.
+func (g *results) count(j *job, first time.Time) {
 	if first.Sub(j.asked) <= j.kind.route.Target {
 		g.inTime++
 	} else {
@@ -50,8 +50,8 @@
 	}
 }
 
-// latePart is the part of the answered ones that was late.
-func (g *got) latePart() float64 { return float64(g.late) / float64(max(1, g.inTime+g.late)) }
+// lateShare is the share of the answered requests that were late.
+func (g *results) lateShare() float64 { return float64(g.late) / float64(max(1, g.inTime+g.late)) }
 
 // job is a request at an engine.
 type job struct {
@@ -65,10 +65,10 @@
 	placed bool
 }
 
-// simEngine runs jobs on its slots.
+// simEngine simulates an engine that runs jobs on its slots.
 type simEngine struct {
 	id string
-	// slowness stretches all that it does; 0 means 1.
+	// slowness is the factor by which all work takes longer; 0 means 1.
 	slowness float64
 	slots    int
 	perMS    float64
@@ -101,8 +101,8 @@
 	e.running = slices.DeleteFunc(e.running, func(j *job) bool {
 		if !j.placed && !now.Before(j.first) {
 			j.placed = true
-			j.a.r.first = j.first.Sub(j.sent)
-			j.a.up.fleetFirst(j.a)
+			j.a.r.firstEventAfter = j.first.Sub(j.sent)
+			j.a.up.recordFirst(j.a)
 		}
 		if now.Before(j.end) {
 			return false
@@ -113,23 +113,23 @@
 	e.most = max(e.most, len(e.running)+len(e.waiting))
 }
 
-// fleetFirst tells the instance that sent the attempt of its first event.
-func (u *upstream) fleetFirst(a *attempt) {
-	a.begunEvents = true
-	a.s.fleet.firstEvent(a, a.r.first)
+// recordFirst reports the first event of an attempt to the instance that sent it.
+func (u *upstream) recordFirst(a *attempt) {
+	a.firstEventSeen = true
+	a.s.fleet.firstEvent(a, a.r.firstEventAfter)
 }
 
-// play plays kinds of requests for some seconds on engines behind several instances, and
-// returns what callers got and how many requests the busiest engine had at most.
-func play(engines, slots, instances int, kinds []kind, seconds float64) (result map[string]*got, busiest int) {
-	return playWithSlow(engines, 0, slots, instances, kinds, seconds)
+// simulate runs a load for some seconds on engines behind several instances. It returns the results
+// by kind and the maximum number of requests at any engine.
+func simulate(engines, slots, instances int, kinds []kind, seconds float64) (result map[string]*results, busiest int) {
+	return simulateWithSlow(engines, 0, slots, instances, kinds, seconds)
 }
 
-// slowTimes is how many times as long a slow engine takes.
+// slowTimes is the slowness of a slow engine.
 const slowTimes = 8
 
-// playWithSlow is play with some engines that are slow.
-func playWithSlow(engines, slow, slots, instances int, kinds []kind, seconds float64) (result map[string]*got, busiest int) {
+// simulateWithSlow is simulate with some slow engines.
+func simulateWithSlow(engines, slow, slots, instances int, kinds []kind, seconds float64) (result map[string]*results, busiest int) {
 	const step = 5 * time.Millisecond
 	log := eventlog.New(io.Discard, nil)
 	defer log.Close(0)
@@ -148,13 +148,13 @@
 		services[i] = &Service{fleet: newFleet(log, nil)}
 		services[i].fleet.update(view)
 	}
-	result = map[string]*got{}
+	result = map[string]*results{}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for at := time.Duration(0); at < time.Duration(seconds*float64(time.Second)); at += step {
 		time.Sleep(step)
 		now := time.Now()
 		for i := range services {
-			// News of loads are 0.4 s old on the way from one instance to another.
+			// Load reports between instances have an age of 0.4 s.
 			if (int(at/step)+i*80/instances)%80 == 0 {
 				exchangeLoads(services, i)
 			}
@@ -162,12 +162,12 @@
 		for i := range kinds {
 			k := &kinds[i]
 			for range poisson(rng, k.perSecond*step.Seconds()) {
-				ask(services[rng.IntN(instances)], sim, k, uint64(1+rng.IntN(k.topics)), result, now)
+				sendRequest(services[rng.IntN(instances)], sim, k, uint64(1+rng.IntN(k.topics)), result, now)
 			}
 		}
 		for _, e := range sim {
 			e.step(now, func(j *job) {
-				j.a.s.fleet.done(j.a)
+				j.a.s.fleet.release(j.a)
 				result[j.kind.route.Name].count(j, j.first)
 			})
 		}
@@ -184,27 +184,27 @@
 	return result, busiest
 }
 
-// ask sends one request through an instance.
-func ask(s *Service, sim map[string]*simEngine, k *kind, topic uint64, result map[string]*got, now time.Time) {
+// sendRequest sends one request through an instance.
+func sendRequest(s *Service, sim map[string]*simEngine, k *kind, topic uint64, result map[string]*results, now time.Time) {
 	g := result[k.route.Name]
 	if g == nil {
-		g = &got{}
+		g = &results{}
 		result[k.route.Name] = g
 	}
 	g.asked++
 	r := newRequest()
-	r.service, r.route, r.tokens, r.shared, r.capacity = "s", &k.route, k.shared+k.own, k.shared, 1<<20
-	r.affinity, r.rank, r.maxAhead, r.fetchRate = topic<<8|uint64(len(k.route.Name)), k.rank, maxAhead(&k.route, k.rank), 100
+	r.service, r.route, r.tokens, r.sharedTokens, r.capacity = "s", &k.route, k.shared+k.own, k.shared, 1<<20
+	r.affinity, r.rank, r.maxQueueMS, r.fetchRate = topic<<8|uint64(len(k.route.Name)), k.rank, queueLimitMS(&k.route, k.rank), 100
 	up, busy := s.fleet.choose(r, "d", nil)
 	if busy || up == nil {
 		g.refused++
 		return
 	}
-	a := &attempt{s: s, r: r, up: up, unread: r.unread, ahead: r.ahead, nominal: r.nominal, begun: now}
+	a := &attempt{s: s, r: r, up: up, uncachedTokens: r.uncachedTokens, queuedTokens: r.queuedTokens, nominalMS: r.nominalMS, startedAt: now}
 	sim[up.id].waiting = append(sim[up.id].waiting, &job{a: a, kind: k, asked: now, sent: now, topic: r.affinity})
 }
 
-// exchangeLoads tells one instance what all others have under way.
+// exchangeLoads gives one instance the combined reports of all others.
 func exchangeLoads(services []*Service, to int) {
 	loads := map[uint64]*servingsvc.Load{}
 	routes := map[string]*servingsvc.RouteLoad{}
@@ -222,9 +222,9 @@
 		if i == to {
 			continue
 		}
-		placed := s.fleet.placed
+		placed := s.fleet.newPlacements
 		r := s.fleet.report()
-		s.fleet.placed = placed
+		s.fleet.newPlacements = placed
 		for _, l := range r.Work.Loads {
 			if loads[l.Begun] == nil {
 				loads[l.Begun] = &servingsvc.Load{Begun: l.Begun}
@@ -242,13 +242,13 @@
 			sum.RecentCached += l.RecentCached
 		}
 	}
-	out := servingsvc.Report{Placed: services[to].fleet.placed, Observes: true}
+	out := servingsvc.Report{Placed: services[to].fleet.newPlacements, Observes: true}
 	for _, o := range observed {
 		out.Observed = append(out.Observed, *o)
 	}
 	for i, s := range services {
 		if i != to {
-			out.Placed = append(out.Placed, s.fleet.placed...)
+			out.Placed = append(out.Placed, s.fleet.newPlacements...)
 		}
 	}
 	for _, l := range loads {
@@ -257,8 +257,8 @@
 	for _, l := range routes {
 		out.Work.Routes = append(out.Work.Routes, *l)
 	}
-	services[to].fleet.takeReport(&out)
-	services[to].fleet.placed = services[to].fleet.placed[:0]
+	services[to].fleet.mergeReport(&out)
+	services[to].fleet.newPlacements = services[to].fleet.newPlacements[:0]
 }
 
 func poisson(rng *rand.Rand, mean float64) int {
@@ -269,8 +269,8 @@
 	return n
 }
 
-// threeKinds are long reports, short questions and checks, as many as so many engines with
-// 12 slots serve with half of these.
+// threeKinds are long reports, short questions and checks, at a rate that the given number of
+// engines with 12 slots serves at half load.
 func threeKinds(engines float64) []kind {
 	return []kind{
 		{route: route.Route{Name: "report", Target: 1200 * time.Millisecond, MaxPause: 600 * time.Millisecond}, rank: 1,
@@ -282,67 +282,66 @@
 	}
 }
 
-// On a busy but calm day reports are late in waves, though a third of the slots are free: all
-// instances see the same engine idle and send it what comes until they hear of each other,
-// and nothing in the prediction says that slots run out before an engine reads all the time.
-// Reports that are taken are on time here (0 to 5 of some 860 late). Some 115 of 1,272 are
-// refused, mostly in seconds 2 to 5, while the line between the pools still moves.
+// Guards against reports that are late in waves although a third of the slots are free: all
+// instances see the same engine idle and send it their requests until they exchange loads, and a
+// prediction without slots does not show that slots run out before the prefill rate does. Admitted
+// reports are in time here (0 to 5 of about 860 late). About 115 of 1,272 are refused, mostly in
+// seconds 2 to 5, while the pools are still being resized.
 func TestCalmLoadIsSpreadOverTheSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		kinds := threeKinds(40)
 		kinds[0].perSecond *= 1.7
-		result, busiest := play(40, 12, 24, kinds, 8)
-		tell(t, result, busiest)
+		result, busiest := simulate(40, 12, 24, kinds, 8)
+		logResults(t, result, busiest)
 		g.Expect(busiest).To(BeNumerically("<=", 2*12))
 		for name, r := range result {
-			g.Expect(r.latePart()).To(BeNumerically("<", 0.02), name)
+			g.Expect(r.lateShare()).To(BeNumerically("<", 0.02), name)
 		}
 	})
 }
 
-// Three times as many reports come as usual, and half as many again as there are slots for.
-// Questions and checks are more urgent and must not pay for it. Reports are refused at once
-// or are on time: decisions that knew no slots answered 1,141 to 1,147 in time and 188 to
-// 194 late; with slots in the prediction, the pools and the admission 1,230 to 1,263 and 25
-// to 47 (12 runs).
-func TestBurstOfReportsIsTheReportsToBear(t *testing.T) {
+// Guards against questions and checks that suffer from a burst of less urgent reports: three times
+// as many as usual, and 1.5 times as many as there are slots for. Reports are refused immediately
+// or are in time: decisions without slots answered 1,141 to 1,147 in time and 188 to 194 late; with
+// slots in the prediction, the pools and the admission 1,230 to 1,263 and 25 to 47 (12 runs).
+func TestBurstOfReportsAffectsOnlyReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		kinds := threeKinds(40)
 		kinds[0].perSecond *= 3
-		result, busiest := play(40, 12, 24, kinds, 9)
-		tell(t, result, busiest)
+		result, busiest := simulate(40, 12, 24, kinds, 9)
+		logResults(t, result, busiest)
 		g.Expect(busiest).To(BeNumerically("<=", 3*12))
 		for _, name := range []string{"question", "check"} {
 			g.Expect(result[name].refused).To(BeZero(), name)
-			g.Expect(result[name].latePart()).To(BeNumerically("<", 0.02), name)
+			g.Expect(result[name].lateShare()).To(BeNumerically("<", 0.02), name)
 		}
 		report := result["report"]
-		g.Expect(report.latePart()).To(BeNumerically("<", 0.06))
-		g.Expect(report.inTimePart()).To(BeNumerically(">", 0.5))
+		g.Expect(report.lateShare()).To(BeNumerically("<", 0.06))
+		g.Expect(report.inTimeShare()).To(BeNumerically(">", 0.5))
 	})
 }
 
-// A fifth of the engines takes eight times as long as the others while their probes stay
-// good. An instance among 200 gets an answer of a slow one every few seconds, and by its own
-// answers goes on sending there. It must go by what all observe: of 541 reports 14 are
-// late at 200 instances and 11 at 12; by each instance's own answers 34 and 47 are.
+// Guards against slow engines that many instances do not detect: a fifth of the engines takes eight
+// times as long as the others while their probes succeed. One of 200 instances gets a response of a
+// slow engine only every few seconds, so it must use the observations of all: of 541 reports 14 are
+// late at 200 instances and 11 at 12; with each instance's own observations alone 34 and 47 are.
 func TestSlowEnginesAreFoundByManyInstancesAsByFew(t *testing.T) {
 	for _, instances := range []int{200, 12} {
 		synctest.Test(t, func(t *testing.T) {
 			g := NewWithT(t)
 			kinds := threeKinds(30)
-			result, busiest := playWithSlow(40, 8, 64, instances, kinds, 8)
-			tell(t, result, busiest)
+			result, busiest := simulateWithSlow(40, 8, 64, instances, kinds, 8)
+			logResults(t, result, busiest)
 			for name, r := range result {
-				g.Expect(r.latePart()).To(BeNumerically("<", 0.05), "%s at %d instances", name, instances)
+				g.Expect(r.lateShare()).To(BeNumerically("<", 0.05), "%s at %d instances", name, instances)
 			}
 		})
 	}
 }
 
-func tell(t *testing.T, result map[string]*got, busiest int) {
+func logResults(t *testing.T, result map[string]*results, busiest int) {
 	for name, r := range result {
 		t.Logf("%s: %d asked, %d in time, %d late, %d refused", name, r.asked, r.inTime, r.late, r.refused)
 	}
--- a/instance/relay/plain.go
+++ b/instance/relay/plain.go
@@ -11,46 +11,46 @@
 	"github.com/comfreyladder/comfreyladder/instance/http1"
 )
 
-// carry passes an answer on. again means that nothing of it went out and that the
+// forwardAnswer forwards a response. again means that nothing was sent to the caller and that the
 // request may be tried elsewhere.
-func (s *Service) carry(c *conn, a *attempt) (again, keep bool) {
+func (s *Service) forwardAnswer(c *conn, a *attempt) (again, keep bool) {
 	if a.r.route.Kind == route.Streaming && a.head.Status/100 == 2 {
-		return s.carryStream(c, a)
+		return s.forwardStream(c, a)
 	}
-	return s.carryPlain(c, a)
+	return s.forwardPlain(c, a)
 }
 
 const statusServerError = 500
 
-// carryPlain passes on an answer that is no stream.
-func (s *Service) carryPlain(c *conn, a *attempt) (again, keep bool) {
+// forwardPlain forwards a response that is no stream.
+func (s *Service) forwardPlain(c *conn, a *attempt) (again, keep bool) {
 	r := a.r
 	if r.route.Kind != route.Streaming {
-		a.began()
+		a.countBegun()
 	}
 	_ = a.conn.nc.SetReadDeadline(time.Now().Add(r.left(clock.Now())))
 	buf := buffers.Get().(*[]byte)
 	defer buffers.Put(buf)
-	body, err := a.body.ReadAll((*buf)[:0], maxBuffered)
+	body, err := a.body.ReadAll((*buf)[:0], maxBufferedBody)
 	*buf = body[:0]
 	if errors.Is(err, http1.ErrBodyTooLarge) {
-		return false, s.pass(c, a, body)
+		return false, s.forwardChunked(c, a, body)
 	}
 	if err != nil {
 		a.err = err
 		return true, false
 	}
-	s.completed(a)
+	s.recordCompletion(a)
 	if a.head.Status >= statusServerError {
 		a.up.answeredFailure()
-		if s.worthRepeating(r) {
+		if s.willRepeat(r) {
 			a.err = fault.New(fault.Internal, "the upstream answered %d", a.head.Status)
 			return true, false
 		}
 		if a.head.Status == 503 && r.route.Kind != route.Idempotent {
-			// The upstream does not say that it did not run the request, but this
-			// status would.
-			r.ran = true
+			// The upstream did not declare that the request was not run, which a forwarded 503
+			// would suggest.
+			r.mayHaveRun = true
 			return false, s.refuse(c, r, &verdict{502, "the upstream failed", 0})
 		}
 	} else {
@@ -59,10 +59,10 @@
 	return false, s.sendWhole(c, a, body)
 }
 
-// worthRepeating reports whether an idempotent request that failed at an upstream
-// will be tried at another one.
-func (s *Service) worthRepeating(r *request) bool {
-	return r.route.Kind == route.Idempotent && r.sent+1 < r.route.MaxAttempts && s.fleet.known(r.service) > 1
+// willRepeat reports whether an idempotent request that failed at an upstream will be tried at
+// another one.
+func (s *Service) willRepeat(r *request) bool {
+	return r.route.Kind == route.Idempotent && r.sent+1 < r.route.MaxAttempts && s.fleet.countUpstreams(r.service) > 1
 }
 
 func (s *Service) sendWhole(c *conn, a *attempt, body []byte) bool {
@@ -78,13 +78,13 @@
 	return err == nil && !closing
 }
 
-// pass forwards a long answer as it comes, with chunks. What breaks off is cut, so
-// that it does not look whole.
-func (s *Service) pass(c *conn, a *attempt, begun []byte) bool {
+// forwardChunked forwards a long response as it arrives, in chunks. If it breaks off, the
+// connection is reset so that the response does not look complete.
+func (s *Service) forwardChunked(c *conn, a *attempt, begun []byte) bool {
 	closing := c.closing(a.r)
 	b := append(appendAnswerHead(c.out[:0], a, closing), "Transfer-Encoding: chunked\r\n\r\n"...)
 	b = appendChunk(b, begun)
-	var piece [ioBuffer]byte
+	var piece [ioBufferSize]byte
 	for {
 		if err := c.write(b); err != nil {
 			a.r.broken = true
@@ -93,12 +93,12 @@
 		n, err := a.body.Read(piece[:])
 		b = appendChunk(b[:0], piece[:n])
 		if a.body.Whole() {
-			s.completed(a)
+			s.recordCompletion(a)
 			break
 		}
 		if err != nil {
 			a.err, a.r.broken = err, true
-			s.noteLoss(a)
+			s.recordLoss(a)
 			s.logDone(a.r, a.head.Status, "the answer broke off")
 			return false
 		}
--- a/instance/relay/pool.go
+++ b/instance/relay/pool.go
@@ -20,12 +20,12 @@
 type upstreamConn struct {
 	nc net.Conn
 	in *bufio.Reader
-	// until is when the upstream may close it for idleness.
-	until time.Time
-	used  bool
+	// expiresAt is when the upstream may close the connection as idle.
+	expiresAt time.Time
+	used      bool
 }
 
-// pool holds the idle connections to one upstream, the latest used ones last.
+// pool holds the idle connections to one upstream, the most recently used ones last.
 type pool struct {
 	address string
 	mu      sync.Mutex
@@ -34,22 +34,22 @@
 }
 
 const (
-	// defaultIdle is for how long an idle connection is kept if the upstream does not
-	// say, and idleMargin how much earlier than it says a connection is given up: a
-	// request must not cross the upstream's close.
-	defaultIdle = 4 * time.Second
-	idleMargin  = 800 * time.Millisecond
-	minIdle     = 200 * time.Millisecond
+	// defaultKeepAlive is how long an idle connection is kept if the upstream announces no timeout.
+	// idleMargin is how much earlier than announced a connection is closed, so that no request
+	// crosses the upstream's close.
+	defaultKeepAlive = 4 * time.Second
+	idleMargin       = 800 * time.Millisecond
+	minKeepAlive     = 200 * time.Millisecond
 )
 
-// take returns an idle connection that is still sound, or nil.
+// take returns a usable idle connection, or nil.
 func (p *pool) take(now time.Time) *upstreamConn {
 	for {
 		c := p.pop(now)
 		if c == nil {
 			return nil
 		}
-		if c.sound() {
+		if c.isUsable() {
 			c.used = true
 			return c
 		}
@@ -63,7 +63,7 @@
 	for len(p.idle) > 0 {
 		c := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if now.Before(c.until) {
+		if now.Before(c.expiresAt) {
 			return c
 		}
 		_ = c.nc.Close()
@@ -71,25 +71,25 @@
 	return nil
 }
 
-// put keeps a connection whose answer came whole. head is the answer's head.
+// put returns a connection to the pool after a complete response, whose head is given.
 func (p *pool) put(c *upstreamConn, head *http1.Head, now time.Time) {
 	keep := keepAlive(head)
-	if head.Close || c.in.Buffered() > 0 || keep < minIdle {
-		// Bytes after an answer belong to no request.
+	if head.Close || c.in.Buffered() > 0 || keep < minKeepAlive {
+		// Bytes after a response belong to no request.
 		_ = c.nc.Close()
 		return
 	}
-	c.until = now.Add(keep)
-	p.keep(c)
+	c.expiresAt = now.Add(keep)
+	p.addIdle(c)
 }
 
-// putUnused keeps a connection that has carried nothing yet.
+// putUnused adds a connection that has not carried a request yet.
 func (p *pool) putUnused(c *upstreamConn, now time.Time) {
-	c.until = now.Add(defaultIdle)
-	p.keep(c)
+	c.expiresAt = now.Add(defaultKeepAlive)
+	p.addIdle(c)
 }
 
-func (p *pool) keep(c *upstreamConn) {
+func (p *pool) addIdle(c *upstreamConn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
@@ -111,16 +111,16 @@
 			}
 		}
 	}
-	return defaultIdle
+	return defaultKeepAlive
 }
 
-// closeIdle closes the connections that are idle for too long.
+// closeIdle closes expired idle connections, or all of them if now is zero.
 func (p *pool) closeIdle(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if now.IsZero() || !now.Before(c.until) {
+		if now.IsZero() || !now.Before(c.expiresAt) {
 			_ = c.nc.Close()
 			continue
 		}
@@ -136,10 +136,10 @@
 	p.closeIdle(time.Time{})
 }
 
-// sound looks, without waiting, whether an idle connection was closed or holds bytes
-// that nobody asked for. A request that may not be repeated must not be sent on a
-// connection that the upstream has closed: whether it ran could not be told.
-func (c *upstreamConn) sound() bool {
+// isUsable checks without blocking whether an idle connection was closed or holds unexpected bytes.
+// A request that must not be repeated must not be sent on a connection that the upstream has
+// closed: its outcome would be unknown.
+func (c *upstreamConn) isUsable() bool {
 	raw, ok := c.nc.(syscall.Conn)
 	if !ok {
 		return true
@@ -160,7 +160,7 @@
 
 var dialer = net.Dialer{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 2}}
 
-// dial makes a new connection.
+// dial opens a new connection.
 func (p *pool) dial(ctx context.Context) (*upstreamConn, error) {
 	nc, err := dialer.DialContext(ctx, "tcp4", p.address)
 	if err != nil {
@@ -168,10 +168,10 @@
 	}
 	setUserTimeout(nc, userTimeout)
 	nc = tcpconn.Wrap(nc)
-	return &upstreamConn{nc: nc, in: bufio.NewReaderSize(nc, ioBuffer)}, nil
+	return &upstreamConn{nc: nc, in: bufio.NewReaderSize(nc, ioBufferSize)}, nil
 }
 
-// setUserTimeout lets a connection fail whose bytes are not acknowledged in time.
+// setUserTimeout makes a connection fail if sent bytes are not acknowledged in time.
 func setUserTimeout(nc net.Conn, d time.Duration) {
 	raw, ok := nc.(syscall.Conn)
 	if !ok {
@@ -181,7 +181,7 @@
 	if err != nil {
 		return
 	}
-	// Without the option the connection is only found out later.
+	// Without the option a dead connection is only detected later.
 	_ = rc.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds()))
 	})
--- a/instance/relay/split.go
+++ b/instance/relay/pools.go
@@ -7,24 +7,24 @@
 	"github.com/comfreyladder/comfreyladder/core/balance"
 )
 
-// pace is what this instance has learned of a service's engines: how fast they read, and
-// for how long requests hold their slots, by what the engines are for and by route.
-type pace struct {
+// engineRate is what this instance has measured of a service's engines: their prefill rate, and the
+// slot time of requests by pool and by route.
+type engineRate struct {
 	rate        balance.Rate
 	quick, long balance.SlotTime
 	routes      map[string]*balance.SlotTime
 }
 
-// residence returns the mean of the engines for quick requests, or of the others.
-func (p *pace) residence(quick bool) *balance.SlotTime {
+// slotTime returns the mean slot time in the quick pool or in the other one.
+func (p *engineRate) slotTime(quick bool) *balance.SlotTime {
 	if quick {
 		return &p.quick
 	}
 	return &p.long
 }
 
-// route returns the mean of a route's requests.
-func (p *pace) route(name string) *balance.SlotTime {
+// routeSlotTime returns the mean slot time of a route's requests.
+func (p *engineRate) routeSlotTime(name string) *balance.SlotTime {
 	r := p.routes[name]
 	if r == nil {
 		r = &balance.SlotTime{}
@@ -33,18 +33,18 @@
 	return r
 }
 
-// pace needs mu.
-func (f *fleet) pace(service string) *pace {
-	p := f.paces[service]
+// engineRateOf returns the measurements of a service. The caller holds mu.
+func (f *fleet) engineRateOf(service string) *engineRate {
+	p := f.engineRates[service]
 	if p == nil {
-		p = &pace{routes: map[string]*balance.SlotTime{}}
-		f.paces[service] = p
+		p = &engineRate{routes: map[string]*balance.SlotTime{}}
+		f.engineRates[service] = p
 	}
 	return p
 }
 
-// split says which upstreams are for quick requests, and notes whether this is one.
-func (f *fleet) split(r *request, list []*upstream, now time.Time) (quick map[string]bool) {
+// assignPool returns the upstreams of the quick pool and sets whether the request belongs to it.
+func (f *fleet) assignPool(r *request, list []*upstream, now time.Time) (quick map[string]bool) {
 	if r.tokens == 0 {
 		return nil
 	}
@@ -55,15 +55,15 @@
 		f.ids = append(f.ids, u.id)
 		slots += u.slots
 	}
-	p.SetEngine(balance.Engine{PerMS: f.pace(r.service).rate.PerMS(), Slots: float64(slots) / float64(max(1, len(list))), Count: float64(len(list))})
+	p.SetEngine(balance.Engine{PerMS: f.engineRateOf(r.service).rate.PerMS(), Slots: float64(slots) / float64(max(1, len(list))), Count: float64(len(list))})
 	quick = p.Split(now, f.ids)
 	if len(quick) != f.quickCount[r.service] {
 		f.quickCount[r.service] = len(quick)
 		f.log.Event("pools").Str("service", r.service).Int("quick", int64(len(quick))).Int("upstreams", int64(len(list))).
-			Int("tokens_per_s", int64(1000*f.pace(r.service).rate.PerMS())).End()
+			Int("tokens_per_s", int64(1000*f.engineRateOf(r.service).rate.PerMS())).End()
 	}
 	o := r.offer()
-	r.quick = p.Quick(&o, f.pace(r.service).rate.PerMS())
+	r.quick = p.Quick(&o, f.engineRateOf(r.service).rate.PerMS())
 	return quick
 }
 
@@ -72,7 +72,7 @@
 	return balance.Offer{Route: r.route.Name, Tokens: r.tokens, MaxPause: r.route.MaxPause, Rank: r.rank}
 }
 
-// poolsOf returns the pools of a service; it needs mu.
+// poolsOf returns the pools of a service. The caller holds mu.
 func (f *fleet) poolsOf(service string) *balance.Pools {
 	p := f.pools[service]
 	if p == nil {
@@ -82,19 +82,18 @@
 	return p
 }
 
-// offer counts a request, once, and decides whether it is among those that can't be
-// borne.
-func (f *fleet) offer(r *request, q *balance.Request, c balance.Choice, now time.Time) {
-	if r.offered {
+// recordAndShed records a request in the load statistics, once, and decides whether it is shed.
+func (f *fleet) recordAndShed(r *request, q *balance.Request, c balance.Choice, now time.Time) {
+	if r.recorded {
 		return
 	}
-	r.offered = true
+	r.recorded = true
 	p := f.pools[r.service]
 	o := r.offer()
 	chosen := &f.scratch[c.Index]
 	o.UncachedTokens = int(balance.UncachedTokens(chosen, q))
-	o.Cached = chosen.Fetchable || chosen.CachedShare > 0 || r.shared == 0
-	o.SlotTime = f.pace(r.service).route(r.route.Name).Duration()
+	o.Cached = chosen.Fetchable || chosen.CachedShare > 0 || r.sharedTokens == 0
+	o.SlotTime = f.engineRateOf(r.service).routeSlotTime(r.route.Name).Duration()
 	p.Record(now, &o)
 	if r.quick {
 		return
@@ -112,6 +111,6 @@
 	part := p.AdmittedShare(now, &o, able)
 	r.shed = part < 1 && rand.Float64() > part
 	if r.shed {
-		r.admission = admission{part: part, able: able, asked: p.RequiredEngines(now), cached: o.Cached}
+		r.admission = admission{share: part, availableEngines: able, requiredEngines: p.RequiredEngines(now), cached: o.Cached}
 	}
 }
--- a/instance/relay/quarantine.go
+++ b/instance/relay/quarantine.go
@@ -8,49 +8,48 @@
 	"github.com/comfreyladder/comfreyladder/instance/clock"
 )
 
-// Quarantine is what this instance tells, and knows by itself, of requests that crash
-// upstreams; what all know of them is in the view.
+// Quarantine reports requests that crash upstreams, and holds what this instance knows of them by
+// itself. What all instances know is in the view.
 type Quarantine interface {
-	// Crashed tells that an upstream has crashed at a time of clock.Now, and what was under
-	// way there.
+	// Crashed reports that an upstream crashed at a time of clock.Now, with the requests in flight
+	// there.
 	Crashed(upstream uint64, at time.Time, underWay []quarantine.Attempt)
-	// Succeeded notes that an upstream ran a request to its end, Alive that one has answered that
-	// was told to have crashed. Successes of large requests are noted after Watch, as long as
-	// Watching says.
+	// Succeeded records that an upstream completed a request, and Alive that one answered which had
+	// been reported as crashed. Watch enables recording successes of large requests for a time;
+	// Watching reports whether it is enabled.
 	Watch()
 	Watching() bool
 	Succeeded(f quarantine.Fingerprint)
 	Alive(upstream uint64)
-	// Idle reports whether this instance suspects nothing by itself.
+	// Idle reports whether this instance itself suspects no request.
 	Idle() bool
 	Suspects(f quarantine.Fingerprint) bool
 	Holds(f quarantine.Fingerprint) bool
-	// Trial asks for the trial of a quarantined request, ReturnTrial gives it back unused.
+	// Trial requests the trial of a quarantined request. ReturnTrial gives it back unused.
 	Trial(ctx context.Context, f quarantine.Fingerprint) bool
 	ReturnTrial(ctx context.Context, f quarantine.Fingerprint)
 }
 
 const (
-	// trialEvery is the least time between two questions for a trial.
-	trialEvery = 300 * time.Millisecond
-	// smallBody is up to which size a request is hashed to remember that it succeeded, in bytes.
+	// trialInterval is the minimum time between two trial requests.
+	trialInterval = 300 * time.Millisecond
+	// smallBody is the body size up to which the success of a request is always recorded, in bytes.
 	smallBody = 16 << 10
-	// trialTimeout bounds such a question.
+	// trialTimeout bounds a trial request.
 	trialTimeout = 300 * time.Millisecond
 )
 
-// retryTrial is when a request may come again that waits for its trial.
-const retryTrial = time.Second
+// trialRetryAfter is when a request that waits for its trial may be retried.
+const trialRetryAfter = time.Second
 
-// errQuarantined refuses a request for good: the caller is not to send the same again.
+// errQuarantined refuses a request permanently: the caller must not send the same one again.
 // errSuspended refuses one that may be innocent until its trial.
 var (
 	errQuarantined = &verdict{400, "quarantined: not run, since upstreams crash under this request; do not send it again unchanged", 0}
-	errSuspended   = &verdict{503, "suspended: not run, since upstreams crashed while requests like this one were under way", retryTrial}
+	errSuspended   = &verdict{503, "suspended: not run, since upstreams crashed while requests like this one were under way", trialRetryAfter}
 )
 
-// screens reports whether any request is suspected or quarantined. Without one no request is
-// hashed.
+// screens reports whether any request is suspected or quarantined. If not, no request is hashed.
 func (s *Service) screens() bool {
 	if s.cfg.Quarantine == nil {
 		return false
@@ -58,31 +57,31 @@
 	return !s.cfg.State.View().Quarantine.Empty() || !s.cfg.Quarantine.Idle()
 }
 
-// standing is what is known of a request.
-type standing struct {
+// condition is the quarantine status of a request.
+type condition struct {
 	suspected, quarantined bool
-	// trial says that a quarantined one may have a trial, final that it has failed it.
+	// trial is set if a quarantined request may have a trial, final if it has failed it.
 	trial, final bool
 }
 
-// standing returns what is known of a request.
-func (s *Service) standing(r *request) standing {
+// conditionOf returns the quarantine status of a request.
+func (s *Service) conditionOf(r *request) condition {
 	if !s.screens() {
-		return standing{}
+		return condition{}
 	}
 	f := r.fingerprint()
 	q := s.cfg.State.View().Quarantine
 	held, quarantined := q.Held(f)
-	return standing{q.Suspects(f) || s.cfg.Quarantine.Suspects(f), quarantined || s.cfg.Quarantine.Holds(f), held.Trial, held.Final}
+	return condition{q.Suspects(f) || s.cfg.Quarantine.Suspects(f), quarantined || s.cfg.Quarantine.Holds(f), held.Trial, held.Final}
 }
 
-// screen decides whether a request may be sent to an upstream; nil means yes. It notes whether
-// the request has its trial.
+// screen decides whether a request may be sent to an upstream; nil means yes. It sets r.trial if
+// the request was granted its trial.
 func (s *Service) screen(r *request) *verdict {
 	if r.trial {
 		return nil
 	}
-	is := s.standing(r)
+	is := s.conditionOf(r)
 	switch {
 	case !is.quarantined:
 		return nil
@@ -97,11 +96,11 @@
 	return errSuspended
 }
 
-// takeTrial asks for the trial of a request, not too often.
+// takeTrial requests the trial of a request, at most once per trialInterval.
 func (s *Service) takeTrial(f quarantine.Fingerprint) bool {
 	now := clock.Now().UnixNano()
-	last := s.trialAsked.Load()
-	if now-last < int64(trialEvery) || !s.trialAsked.CompareAndSwap(last, now) {
+	last := s.lastTrialRequest.Load()
+	if now-last < int64(trialInterval) || !s.lastTrialRequest.CompareAndSwap(last, now) {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), trialTimeout)
@@ -109,7 +108,7 @@
 	return s.cfg.Quarantine.Trial(ctx, f)
 }
 
-// endTrial gives the trial of a request back that no upstream has got.
+// endTrial gives back the trial of a request that was sent to no upstream.
 func (s *Service) endTrial(r *request) {
 	if !r.trial || r.sent > 0 {
 		return
@@ -122,20 +121,20 @@
 	})
 }
 
-// mayRunElsewhere reports whether a request that may have run may be sent to another upstream,
-// as far as crashes are concerned: one that is suspected ends an upstream with each try.
-func (s *Service) mayRunElsewhere(r *request) bool {
-	is := s.standing(r)
+// mayRunAgain reports whether a request that may have run may be sent to another upstream as far as
+// crashes are concerned: a suspected request may crash an upstream with each try.
+func (s *Service) mayRunAgain(r *request) bool {
+	is := s.conditionOf(r)
 	return !is.suspected && !is.quarantined && !r.trial
 }
 
-// completed notes that an upstream has answered an attempt to its end.
-func (s *Service) completed(a *attempt) {
+// recordCompletion records that an upstream has answered an attempt completely.
+func (s *Service) recordCompletion(a *attempt) {
 	if s.cfg.Quarantine == nil {
 		return
 	}
-	if a.up.losses.alive(a.begun) {
-		s.cfg.Quarantine.Alive(a.up.begun)
+	if a.up.losses.alive(a.startedAt) {
+		s.cfg.Quarantine.Alive(a.up.incarnation)
 	}
 	if len(a.r.body) <= smallBody || s.cfg.Quarantine.Watching() {
 		s.cfg.Quarantine.Succeeded(a.r.fingerprint())
--- a/instance/relay/relay.go
+++ b/instance/relay/relay.go
@@ -18,26 +18,27 @@
 	"github.com/comfreyladder/comfreyladder/instance/tcpconn"
 )
 
-// Service forwards requests. It is safe for concurrent use.
+// Service forwards requests to upstreams. It is safe for concurrent use.
 type Service struct {
 	cfg      Config
 	set      *metrics.Set
 	fleet    *fleet
-	bodies   *bodies
+	bodies   *bodyBudget
 	listener *tcpconn.Listener
 	running  sync.WaitGroup
 	stop     chan struct{}
 	stopOnce sync.Once
 	started  time.Time
 	inFlight atomic.Int64
-	// listening says that connections may still be accepted.
+	// listening is set while the listener may still accept connections.
 	listening atomic.Bool
-	// lostTries counts the upstreams that are tried since an answer of theirs was lost.
-	lostTries atomic.Int64
-	// trialAsked is when the trial of a quarantined request was asked for last, in nanoseconds
-	// of clock.Now.
-	trialAsked atomic.Int64
-	// drain is the course of the drain, nil before one.
+	// livenessChecks counts the running checks whether an upstream is still alive after its answer
+	// was lost.
+	livenessChecks atomic.Int64
+	// lastTrialRequest is when the trial of a quarantined request was last requested, in
+	// nanoseconds of clock.Now.
+	lastTrialRequest atomic.Int64
+	// drain is the schedule of the drain, nil before a drain begins.
 	drain atomic.Pointer[drain.Schedule]
 
 	mu      sync.Mutex
@@ -48,19 +49,19 @@
 // New returns a service that does not listen yet.
 func New(cfg Config, set *metrics.Set) *Service {
 	s := &Service{
-		cfg: cfg, set: set, fleet: newFleet(cfg.Log, cfg.Limits), bodies: newBodies(cfg.BodyBytes), stop: make(chan struct{}), conns: map[*conn]struct{}{}, budgets: map[string]*budget.Window{},
+		cfg: cfg, set: set, fleet: newFleet(cfg.Log, cfg.Limits), bodies: newBodyBudget(cfg.BodyBytes), stop: make(chan struct{}), conns: map[*conn]struct{}{}, budgets: map[string]*budget.Window{},
 	}
 	s.gauges()
 	return s
 }
 
-// Report returns the work of this instance.
+// Report returns the load and observations of this instance for the other instances.
 func (s *Service) Report() serving.Report { return s.fleet.report() }
 
-// TakeReport takes the work of all other instances.
-func (s *Service) TakeReport(r *serving.Report) { s.fleet.takeReport(r) }
+// TakeReport applies the combined report of all other instances.
+func (s *Service) TakeReport(r *serving.Report) { s.fleet.mergeReport(r) }
 
-// Update takes a new view of the serving state.
+// Update applies a new view of the serving state.
 func (s *Service) Update(v *follow.View) {
 	for _, up := range s.fleet.update(v) {
 		up.losses.superseded()
@@ -89,8 +90,8 @@
 	return s.listener.Addr()
 }
 
-// acceptPause is the pause after a failed accept, as when descriptors run out.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay is the pause after a failed accept, for example when file descriptors run out.
+const acceptRetryDelay = 20 * time.Millisecond
 
 func (s *Service) accept() {
 	defer s.listening.Store(false)
@@ -100,7 +101,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		c := newConn(s, nc)
@@ -111,17 +112,17 @@
 	}
 }
 
-func (s *Service) forget(c *conn) {
+func (s *Service) removeConn(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 }
 
-// housekeepEvery is the time between two looks for idle connections.
-const housekeepEvery = 2 * time.Second
+// housekeepInterval is the time between two sweeps for idle connections.
+const housekeepInterval = 2 * time.Second
 
 func (s *Service) housekeep() {
-	t := time.NewTicker(housekeepEvery)
+	t := time.NewTicker(housekeepInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -133,8 +134,8 @@
 	}
 }
 
-// Ready reports whether callers should be sent here: there is a table, it may be
-// acted on, and the instance does not drain.
+// Ready reports whether the balancer should send callers here: a route table is present, the view
+// is still leased, and the instance is not draining.
 func (s *Service) Ready() bool {
 	return s.phase() == drain.Serving && s.cfg.State.View().Routes != nil && (!s.cfg.FailClosed || s.cfg.State.Lease() > 0)
 }
@@ -147,7 +148,7 @@
 	}
 	s.mu.Lock()
 	for c := range s.conns {
-		c.cut()
+		c.abort()
 	}
 	s.mu.Unlock()
 	s.fleet.closeAll()
@@ -155,32 +156,31 @@
 	return nil
 }
 
-// window returns the budget of a service; it needs mu.
-func (s *Service) window(service string) *budget.Window {
+// budgetWindow returns the retry budget of a service. The caller holds mu.
+func (s *Service) budgetWindow(service string) *budget.Window {
 	w := s.budgets[service]
 	if w == nil {
-		w = budget.NewWindow(s.cfg.Budget.Ratio*budgetMargin, s.cfg.Budget.Window)
+		w = budget.NewWindow(s.cfg.Budget.Ratio*budgetShare, s.cfg.Budget.Window)
 		s.budgets[service] = w
 	}
 	return w
 }
 
-// budgetMargin is the part of the budget that is used. The rest is for what is
-// counted differently at the upstreams: requests that arrive later, and instances
-// that come and go.
-const budgetMargin = 0.8
+// budgetShare is the share of the retry budget that is used. The rest covers what upstreams count
+// differently: requests that arrive later, and instances that join and leave.
+const budgetShare = 0.8
 
 func (s *Service) countRequest(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.window(service).Request(clock.Now())
+	s.budgetWindow(service).Request(clock.Now())
 }
 
-// mayRepeat takes one repeat out of the budget. The slack is shared by all
-// instances that forward, and one that may be about to join.
-func (s *Service) mayRepeat(service string) bool {
-	share := s.cfg.Budget.Slack * budgetMargin / float64(s.cfg.State.View().Forwarders+1)
+// spendRepeat takes one repeat from the retry budget and reports whether the budget allowed it. The
+// slack is divided among all forwarding instances plus one that may be about to join.
+func (s *Service) spendRepeat(service string) bool {
+	share := s.cfg.Budget.Slack * budgetShare / float64(s.cfg.State.View().Forwarders+1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.window(service).Spend(clock.Now(), share)
+	return s.budgetWindow(service).Spend(clock.Now(), share)
 }
--- a/instance/relay/relay_test.go
+++ b/instance/relay/relay_test.go
@@ -11,10 +11,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// A caller posts a body, and the next request that the same buffers serve has none.
-// The upstream of the second one must not get the first one's body: it would run
-// what nobody sent, and one caller's words would reach another's answer.
-func TestBuffersDoNotCarryABodyOver(t *testing.T) {
+// Guards against reused buffers that give a request without a body the body of an earlier one: the
+// upstream would run a request that nobody sent, and one caller's data would reach another caller.
+func TestReusedBuffersDoNotLeakBody(t *testing.T) {
 	up := startUpstream(t, "u", echo)
 	c := start(t, up).caller()
 	Expect(c.call("POST", "/idem/a", "1", "secret").body).To(Equal("POST secret"))
@@ -67,10 +66,10 @@
 	Expect(up.requests()).To(HaveLen(1))
 }
 
-// All processes were killed and are back. The balancer sends callers to instances that have
-// no configuration for most of a second; told to come back later, they are late. The
-// request must be served as soon as there is one. An instance that gets none must not hold
-// its callers: they are told at once, once the usual time is over.
+// Guards against refusing requests before the first configuration. After all processes were killed,
+// the balancer sends callers to instances without one for most of a second; if told to come back
+// later, they are late. The request must be served as soon as there is a configuration. An instance
+// that gets none must refuse immediately once the startup time is over.
 func TestRequestBeforeTheFirstConfigurationIsServedWhenItComes(t *testing.T) {
 	b := start(t, startUpstream(t, "u", echo))
 	table := routes()
@@ -91,10 +90,10 @@
 	Expect(time.Since(asked)).To(BeNumerically("<", 200*time.Millisecond))
 }
 
-// All processes were killed. An instance has heard the configuration again, but the control
-// group has no leader yet that could confirm it, for some tenths of a second. Told that keys
-// can't be told any more, callers came back after a second; the request must be served as soon
-// as the configuration is confirmed.
+// Guards against refusing requests before the first confirmation. After all processes were killed,
+// an instance has the configuration again, but for some tenths of a second the control group has no
+// leader that could confirm it. Callers that were told that keys cannot be verified came back after
+// a second; the request must be served as soon as the configuration is confirmed.
 func TestRequestBeforeTheFirstConfirmationIsServedWhenItComes(t *testing.T) {
 	b := start(t, startUpstream(t, "u", echo))
 	b.state.setLease(0)
@@ -107,9 +106,9 @@
 	Expect(time.Since(begun)).To(BeNumerically("~", 300*time.Millisecond, 250*time.Millisecond))
 }
 
-// An instance loses the control group, and a key is taken away meanwhile. Once the
-// lease is over, nothing with a key may run; what needs none goes on.
-func TestNoKeyIsBelievedWithoutALease(t *testing.T) {
+// Guards against accepting a key that was revoked while the instance has lost the control group.
+// Once the lease has expired, no request with a key may run; anonymous ones continue.
+func TestNoKeyIsAcceptedWithoutLease(t *testing.T) {
 	up := startUpstream(t, "u", echo)
 	b := start(t, up)
 	b.state.setLease(0)
@@ -124,10 +123,9 @@
 	Expect(up.requests()).To(HaveLen(1))
 }
 
-// A key is taken away while an instance is frozen between taking a request and sending
-// it. On waking the lease is over: the request must not leave for an upstream, though
-// it was admitted while the lease held.
-func TestLeaseIsLookedAtRightBeforeARequestLeaves(t *testing.T) {
+// Guards against sending a request after the lease has expired: a key is revoked while the instance
+// is suspended between admitting a request and sending it.
+func TestLeaseIsCheckedBeforeSending(t *testing.T) {
 	up := startUpstream(t, "u", echo)
 	b := start(t, up)
 	b.state.endLeaseAfter(1)
@@ -135,8 +133,8 @@
 	Expect(up.requests()).To(BeEmpty())
 }
 
-// An upstream takes a request that must not be repeated and its answer is lost. The
-// caller is told that the outcome is not known, and no other upstream gets it.
+// Guards against repeating a request that must not be repeated and whose response was lost: the
+// caller is told that the outcome is unknown, and no other upstream gets the request.
 func TestLostAnswerOfANonIdempotentRequestIsUnknown(t *testing.T) {
 	lose := func(int, *received, net.Conn) bool { return false }
 	a, b := startUpstream(t, "a", lose), startUpstream(t, "b", lose)
@@ -145,8 +143,8 @@
 	Expect(len(a.requests()) + len(b.requests())).To(Equal(1))
 }
 
-// An upstream says that it did not run the request. Only then may another one get
-// it, and when nobody does, the caller is told so and when to come back.
+// Guards against sending a request to a second upstream without proof that the first one did not
+// run it. If no upstream runs it, the caller is told so and when to retry.
 func TestProofOfNotRunAllowsAnotherUpstream(t *testing.T) {
 	refuse := func(_ int, r *received, c net.Conn) bool { return notRun(c, r) }
 	a, b := startUpstream(t, "a", refuse), startUpstream(t, "b", refuse)
@@ -156,7 +154,7 @@
 	Expect(len(a.requests()) + len(b.requests())).To(Equal(2))
 }
 
-// An upstream fails an idempotent request; the other one answers it.
+// Guards against failing an idempotent request that another upstream can answer.
 func TestIdempotentRequestIsRepeatedElsewhere(t *testing.T) {
 	for name, fail := range map[string]func(int, *received, net.Conn) bool{
 		"lost":      func(int, *received, net.Conn) bool { return false },
@@ -175,8 +173,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, b := startUpstream(t, "a", fail), startUpstream(t, "b", echo)
-			bed := start(t, a, b)
-			c := bed.caller()
+			relay := start(t, a, b)
+			c := relay.caller()
 			for i := 0; i < 6 || i < 100 && len(a.requests()) == 0; i++ {
 				r := c.call("GET", "/idem/", fmt.Sprint(i), "")
 				Expect(r.status).To(Equal(200))
@@ -192,9 +190,9 @@
 	return false
 }
 
-// A second answer to an earlier request comes late, where the next request's answer
-// is due. It belongs to nobody: the next caller gets its own.
-func TestLateExtraAnswerIsNobodys(t *testing.T) {
+// Guards against a late second response to an earlier request that arrives in place of the next
+// response: it must be discarded, and the next caller gets its own.
+func TestLateExtraResponseIsDiscarded(t *testing.T) {
 	up := startUpstream(t, "u", func(n int, r *received, c net.Conn) bool {
 		if n == 2 {
 			_, _ = fmt.Fprint(c, "HTTP/1.1 200 X\r\nX-Id: 1\r\nX-Seal: s\r\nContent-Length: 5\r\n\r\nextra")
@@ -206,10 +204,10 @@
 	Expect(c.call("POST", "/once/", "2", "x").body).To(Equal("own2"))
 }
 
-// A caller hangs up while an upstream works. The upstream must learn it at once.
+// Guards against an upstream that keeps working for a caller who has hung up.
 func TestHangUpReachesTheUpstream(t *testing.T) {
 	up := startUpstream(t, "u", func(_ int, _ *received, c net.Conn) bool {
-		_ = c.SetReadDeadline(time.Now().Add(limit))
+		_ = c.SetReadDeadline(time.Now().Add(requestTimeout))
 		_, _ = c.Read(make([]byte, 1))
 		return true
 	})
@@ -220,16 +218,16 @@
 	Eventually(up.hangUps).WithTimeout(300 * time.Millisecond).Should(Equal(1))
 }
 
-// An upstream hangs. At the route's timeout the caller has the final answer.
+// Guards against a hanging upstream: the caller gets the final response at the timeout.
 func TestFinalAnswerComesAtTheTimeout(t *testing.T) {
-	up := startUpstream(t, "u", func(int, *received, net.Conn) bool { time.Sleep(2 * limit); return false })
+	up := startUpstream(t, "u", func(int, *received, net.Conn) bool { time.Sleep(2 * requestTimeout); return false })
 	r := start(t, up).caller().call("POST", "/once/", "1", "x")
 	Expect(r.status).To(Equal(504))
 	Expect(r.took).To(BeNumerically("~", 1500*time.Millisecond, 150*time.Millisecond))
 }
 
-// An upstream leaves the answer without a length, and its connection is reset on the
-// way. What came must not pass for the whole answer.
+// Guards against a response without a length whose connection is reset on the way: a part must not
+// pass for the whole response.
 func TestUnframedAnswerThatIsResetIsNotWhole(t *testing.T) {
 	up := startUpstream(t, "u", func(n int, r *received, c net.Conn) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nX-Id: %s\r\nX-Seal: s\r\n\r\nabc", r.header.Get("X-Id"))
@@ -246,8 +244,8 @@
 	Expect(r.body).To(Equal("abc"))
 }
 
-// An upstream answers a long request before it has read it, and keeps the
-// connection. The rest of that body is due there: no other request may follow.
+// Guards against reusing the connection of an upstream that responded to a long request before it
+// had read it. The rest of that body is still due, so no other request may follow.
 func TestConnectionOfAnEarlyAnswerIsNotUsedAgain(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -275,8 +273,8 @@
 	Eventually(accepted).Should(HaveLen(2))
 }
 
-// An upstream can't be reached. Nothing has left for it, so another one gets the
-// request, whatever its kind.
+// Guards against failing requests because one upstream cannot be reached: nothing was sent, so
+// another one gets the request, whatever its kind.
 func TestUnreachableUpstreamIsPassedOver(t *testing.T) {
 	dead := startUpstream(t, "a", echo)
 	_ = dead.listener.Close()
--- a/instance/relay/report.go
+++ b/instance/relay/report.go
@@ -9,10 +9,10 @@
 	"github.com/comfreyladder/comfreyladder/instance/clock"
 )
 
-// percent turns a part into percent.
+// percent converts a share to percent.
 const percent = 100
 
-// logDone writes the line of a request's end and counts it.
+// logDone logs and counts the end of a request.
 func (s *Service) logDone(r *request, status int, reason string) {
 	kind, name := "none", ""
 	if r.route != nil {
@@ -27,12 +27,12 @@
 	l := s.cfg.Log.Event(event).Bytes("request", r.id).Str("route", name).Str("kind", kind).Int("status", int64(status)).
 		MS("took", took).Int("sent", int64(r.sent)).Int("urgency", int64(r.urgency)).Str("upstream", r.upstream).MS("view_age", s.cfg.State.Age())
 	if r.tokens > 0 {
-		l.Int("tokens", int64(r.tokens)).Int("unread", int64(r.unread)).Int("ahead", int64(r.ahead)).
-			Int("predicted", int64(r.predicted)).Int("max_ahead", int64(r.maxAhead)).MS("first_event", r.first).MS("pause", r.pause)
+		l.Int("tokens", int64(r.tokens)).Int("unread", int64(r.uncachedTokens)).Int("ahead", int64(r.queuedTokens)).
+			Int("predicted", int64(r.predictedMS)).Int("max_ahead", int64(r.maxQueueMS)).MS("first_event", r.firstEventAfter).MS("pause", r.longestPause)
 	}
 	if r.shed {
-		l.Int("admitted_percent", int64(percent*r.admission.part)).Int("engines_able", int64(r.admission.able)).
-			Int("engines_asked", int64(r.admission.asked)).Bool("cached", r.admission.cached)
+		l.Int("admitted_percent", int64(percent*r.admission.share)).Int("engines_able", int64(r.admission.availableEngines)).
+			Int("engines_asked", int64(r.admission.requiredEngines)).Bool("cached", r.admission.cached)
 	}
 	if r.fetchFrom != "" {
 		l.Str("fetch_from", r.fetchFrom)
@@ -40,17 +40,18 @@
 	if reason != "" {
 		l.Str("reason", reason)
 	}
-	if r.content != (quarantine.Fingerprint{}) {
-		l.Str("fingerprint", r.content.String())
+	if r.cachedFingerprint != (quarantine.Fingerprint{}) {
+		l.Str("fingerprint", r.cachedFingerprint.String())
 	}
 	if r.organisation != nil {
 		l.Str("organisation", r.organisation.Name)
 	}
-	l.Err(r.last).End()
+	l.Err(r.lastErr).End()
 }
 
-// count counts a request's end. The labels are bounded: kinds and statuses are few,
-// reasons are this package's own, organisations and services those of the table.
+// count updates the metrics for a finished request. The labels are bounded: there are few kinds and
+// statuses, reasons are defined by this package, and organisations and services come from the route
+// table.
 func (s *Service) count(r *request, kind string, status int, reason string, took time.Duration) {
 	s.set.GetOrCreateCounter(`relay_requests_total{kind="` + kind + `",status="` + strconv.Itoa(status) + `"}`).Inc()
 	if reason != "" {
@@ -59,16 +60,16 @@
 	if status/100 == 2 {
 		s.set.GetOrCreateHistogram(`relay_seconds{kind="` + kind + `"}`).Update(took.Seconds())
 	}
-	if r.first > 0 {
-		s.set.GetOrCreateHistogram(`relay_first_event_seconds{service="` + r.service + `"}`).Update(r.first.Seconds())
-		s.set.GetOrCreateHistogram(`relay_longest_pause_seconds{service="` + r.service + `"}`).Update(r.pause.Seconds())
+	if r.firstEventAfter > 0 {
+		s.set.GetOrCreateHistogram(`relay_first_event_seconds{service="` + r.service + `"}`).Update(r.firstEventAfter.Seconds())
+		s.set.GetOrCreateHistogram(`relay_longest_pause_seconds{service="` + r.service + `"}`).Update(r.longestPause.Seconds())
 	}
 	if r.organisation != nil {
 		s.set.GetOrCreateCounter(`relay_organisation_requests_total{organisation="` + r.organisation.Name + `",status="` + strconv.Itoa(status/100) + `xx"}`).Inc()
 	}
 }
 
-// metricReason is the part of a reason before the details of the case.
+// metricReason is the part of a reason that does not depend on the request.
 func metricReason(reason string) string {
 	head, _, _ := strings.Cut(reason, ":")
 	if head == "not run" {
@@ -77,7 +78,7 @@
 	return head
 }
 
-// gauges are what the instance believes.
+// gauges registers the gauges for the state of this instance.
 func (s *Service) gauges() {
 	s.set.NewGauge("relay_view_age_seconds", func() float64 { return s.cfg.State.Age().Seconds() })
 	s.set.NewGauge("relay_lease_left_seconds", func() float64 { return s.cfg.State.Lease().Seconds() })
--- a/instance/relay/request.go
+++ b/instance/relay/request.go
@@ -15,126 +15,132 @@
 	"github.com/comfreyladder/comfreyladder/instance/http1"
 )
 
-// request is one request of a caller, from its head on. Its buffers are used again
-// for other requests; all else is in progress.
+// request is one request of a caller. Its buffers are reused for later requests; progress holds
+// everything else.
 type request struct {
 	head http1.Head
 	body []byte
-	// fields are the header fields that are forwarded, encoded.
+	// fields are the forwarded header fields, encoded.
 	fields []byte
 
 	mu sync.Mutex
 	progress
 }
 
-// progress is what is known of a request and what became of it.
+// progress is the state of a request that is reset before its buffers are reused.
 type progress struct {
-	// fail is what is wrong with the message itself, headRead that its head came.
-	fail     error
+	// readErr is the error that occurred while the message was read. headRead is set once its head
+	// was received.
+	readErr  error
 	headRead bool
 	arrived  time.Time
-	// gone is closed when the caller has hung up. mu guards abandoned and abort,
-	// which ends the attempt under way.
+	// gone is closed when the caller has hung up. mu guards abandoned and abort; abort cancels the
+	// current attempt.
 	gone      chan struct{}
 	abandoned bool
 	abort     func()
 
-	// What the head says.
-	id, key, parts, lastEvent []byte
-	wait                      time.Duration
-	tokens                    int
-	// booked is how many bytes are booked for the body.
-	booked int64
+	// These fields are taken from the head.
+	id, key, promptParts, lastEvent []byte
+	timeout                         time.Duration
+	tokens                          int
+	// reservedBytes is how much of the body budget the request holds.
+	reservedBytes int64
 
 	route        *route.Route
 	organisation *route.Organisation
 	service      string
-	// urgency is the rank at the upstream, 0 being first.
+	// urgency is the priority at the upstream, 0 being first.
 	urgency int
-	// deadline is when the final answer is due.
+	// deadline is when the final response is due.
 	deadline time.Time
-	// affinity is the hash of the prompt's shared parts, zero if there are none.
+	// affinity is the hash of the shared segments of the prompt, zero if there are none.
 	affinity uint64
-	// shared is how many tokens the affinity names, capacity the memory of an engine
-	// in tokens; predicted, unread and ahead say what was expected of the last choice, and
-	// nominal what was at an upstream that is as fast as its peers.
-	shared, capacity   int
-	predicted, nominal float64
-	// fetchRate is how many tokens of a prompt engines take over in a millisecond, and
-	// fetchFrom the address of the one that has read it, if the chosen one has not.
-	fetchRate     float64
-	fetchFrom     string
-	unread, ahead int
-	// rank is how urgent the route is; quick says that it goes to the upstreams for
-	// quick requests, offered that it was counted, shed that it is among those that
-	// can't be borne.
-	rank                 float64
-	quick, offered, shed bool
-	// admission is what decided that it is shed.
+	// sharedTokens is the number of tokens that affinity covers, and capacity the memory of an
+	// engine in tokens. predictedMS is the predicted time to the first event at the latest choice,
+	// and nominalMS that time at an upstream as fast as its peers.
+	sharedTokens, capacity int
+	predictedMS, nominalMS float64
+	// fetchRate is how many prompt tokens per millisecond engines can fetch from each other.
+	// fetchFrom is the address of the engine that has the prompt cached, if the chosen one does
+	// not.
+	fetchRate float64
+	fetchFrom string
+	// uncachedTokens is the part of the prompt that the latest choice has to prefill, and
+	// queuedTokens what was queued there before it.
+	uncachedTokens, queuedTokens int
+	// rank is the relative urgency of the route. quick is set if the request goes to the pool for
+	// quick requests, recorded once it was recorded in the load statistics, and shed if it is
+	// refused for lack of capacity.
+	rank                  float64
+	quick, recorded, shed bool
+	// admission holds the figures behind the decision to shed it.
 	admission admission
-	// maxAhead is how much may wait before it at an engine, in milliseconds.
-	maxAhead float64
-	// first is the time from the last sending to the first event.
-	first time.Duration
-	// pause is the longest time between two events that went out, lastOut when the
-	// latest one did.
-	pause   time.Duration
-	lastOut time.Time
-	// sent counts the upstreams that the request was sent to; ran says that one of
-	// them may have run it.
-	sent int
-	ran  bool
-	// counted is set once it is in the usage of its organisation. It outlives the request.
-	counted *atomic.Bool
-	// leaseLost says that it was not sent since keys can't be told any more.
+	// maxQueueMS bounds the queue before the request at an engine, in milliseconds.
+	maxQueueMS float64
+	// firstEventAfter is the time from the latest send to the first event.
+	firstEventAfter time.Duration
+	// longestPause is the longest time between two forwarded events, and lastEventAt when the
+	// latest one was forwarded.
+	longestPause time.Duration
+	lastEventAt  time.Time
+	// sent counts the upstreams that the request was sent to; mayHaveRun is set if one of them may
+	// have run it.
+	sent       int
+	mayHaveRun bool
+	// usageCounted is set once the request is counted in the usage of its organisation. It outlives
+	// the request, as a liveness check may still use it.
+	usageCounted *atomic.Bool
+	// leaseLost is set if the request was not sent because keys can no longer be verified.
 	leaseLost bool
-	// broken says that a part of an answer is out and the rest will not come.
+	// broken is set if the caller received only a part of the response.
 	broken bool
-	// content is the fingerprint, zero as long as nobody asked for it.
-	content quarantine.Fingerprint
-	// limited says that upstreams were passed over for their limits and none was left, right
-	// that a right was used to send it, and wanted which upstream's was asked for at wantedAt.
-	limited, right bool
-	wanted         uint64
-	wantedAt       time.Time
-	// trial says that it is quarantined and may be tried once.
+	// cachedFingerprint is the fingerprint, zero until it is first needed.
+	cachedFingerprint quarantine.Fingerprint
+	// allLimited is set if no upstream was left because of rate limits, and usedToken if a rate
+	// token was used to send the request. tokenRequestedFrom is the upstream for which a token was
+	// last requested, at tokenRequestedAt.
+	allLimited, usedToken bool
+	tokenRequestedFrom    uint64
+	tokenRequestedAt      time.Time
+	// trial is set if the request is quarantined and may be tried once.
 	trial bool
-	// upstream is the last one used, last what became of it.
+	// upstream is the last upstream used, and lastErr the error of the last attempt.
 	upstream string
-	last     error
+	lastErr  error
 }
 
 var requests = sync.Pool{New: func() any { return &request{} }}
 
-// admission is what a request was refused by for want of reading: the part of its like that
-// was taken, how many upstreams could read and how many were asked for, and whether its shared
-// parts were kept.
+// admission holds the figures by which a request was shed: the admitted share of similar requests,
+// the available and the required number of upstreams, and whether the shared prompt segments were
+// cached.
 type admission struct {
-	part, able, asked float64
-	cached            bool
+	share, availableEngines, requiredEngines float64
+	cached                                   bool
 }
 
-// maxKeptBody bounds the buffers that are used again.
-const maxKeptBody = 128 << 10
+// maxPooledBody bounds the body buffers that are reused, in bytes.
+const maxPooledBody = 128 << 10
 
 func newRequest() *request {
 	r := requests.Get().(*request)
 	r.gone = make(chan struct{})
-	r.counted = &atomic.Bool{}
+	r.usageCounted = &atomic.Bool{}
 	return r
 }
 
-// release gives the request's buffers back. It must not be used by anybody then.
+// release returns the buffers of the request to the pool. The request must not be used afterwards.
 func (r *request) release() {
-	if cap(r.body) > maxKeptBody {
+	if cap(r.body) > maxPooledBody {
 		return
 	}
-	// What is left in the buffers must not become part of another caller's request.
+	// Leftover data must not become part of another caller's request.
 	r.body, r.fields, r.progress = r.body[:0], r.fields[:0], progress{}
 	requests.Put(r)
 }
 
-// abandon tells the request that its caller is gone, and ends its attempt.
+// abandon marks the caller as gone and cancels the current attempt.
 func (r *request) abandon() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,8 +154,8 @@
 	}
 }
 
-// attach sets what ends the attempt that begins; false means that the caller is
-// gone already. detach takes it back.
+// attach sets the function that cancels the current attempt and reports false if the caller is
+// already gone. detach removes the function.
 func (r *request) attach(abort func()) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -175,8 +181,8 @@
 	}
 }
 
-// read takes what the header fields say, and encodes those that are forwarded.
-func (r *request) read(h *Headers) error {
+// parseFields evaluates the header fields and encodes those that are forwarded.
+func (r *request) parseFields(h *Headers) error {
 	var listed []byte
 	r.fields = r.fields[:0]
 	for i := range r.head.Fields {
@@ -186,7 +192,7 @@
 	}
 	for i := range r.head.Fields {
 		f := &r.head.Fields[i]
-		forward, err := r.readField(h, f)
+		forward, err := r.parseField(h, f)
 		if err != nil {
 			return err
 		}
@@ -197,25 +203,25 @@
 	return nil
 }
 
-// readField reads one field and reports whether it is forwarded.
-func (r *request) readField(h *Headers, f *http1.Field) (bool, error) {
+// parseField evaluates one field and reports whether it is forwarded.
+func (r *request) parseField(h *Headers, f *http1.Field) (bool, error) {
 	switch {
 	case f.Is(h.RequestID):
-		return true, once(&r.id, f)
+		return true, setOnce(&r.id, f)
 	case f.Is(h.Key):
-		return false, once(&r.key, f)
+		return false, setOnce(&r.key, f)
 	case f.Is(h.Deadline):
 		ms, ok := http1.ParseUint(f.Value)
-		if !ok || r.wait != 0 {
+		if !ok || r.timeout != 0 {
 			return false, fault.New(fault.Invalid, "%s: one number of milliseconds is needed", h.Deadline)
 		}
-		r.wait = time.Duration(ms) * time.Millisecond
+		r.timeout = time.Duration(ms) * time.Millisecond
 		return false, nil
 	case f.Is(h.Parts):
-		return true, once(&r.parts, f)
+		return true, setOnce(&r.promptParts, f)
 	case f.Is(h.LastEvent):
-		// A resume by this instance sets it anew; see request.encode.
-		return false, once(&r.lastEvent, f)
+		// encode writes this field again, with a newer ID when this instance resumes the stream.
+		return false, setOnce(&r.lastEvent, f)
 	case f.Is(h.Tokens):
 		count, _, _ := bytes.Cut(f.Value, []byte{','})
 		n, _ := http1.ParseUint(bytes.TrimSpace(count))
@@ -230,9 +236,9 @@
 	return true, nil
 }
 
-// once takes the value of a field that may stand once. Of two, another reader might
-// believe the other one.
-func once(to *[]byte, f *http1.Field) error {
+// setOnce stores the value of a field that must not be repeated: another reader might use the other
+// of two values.
+func setOnce(to *[]byte, f *http1.Field) error {
 	if *to != nil {
 		return fault.New(fault.Invalid, "%s stands twice", f.Name)
 	}
@@ -287,8 +293,8 @@
 	return append(append(b, value...), "\r\n"...)
 }
 
-// encode writes the request for an upstream: left is the time that it has, and
-// lastEvent the event after which a stream goes on.
+// encode appends the request for an upstream. left is the remaining time, and lastEvent the ID of
+// the event after which a stream continues.
 func (r *request) encode(b []byte, h *Headers, id string, left time.Duration, lastEvent []byte) []byte {
 	b = append(append(b, r.head.Method...), ' ')
 	b = append(append(b, r.head.Target...), " HTTP/1.1\r\n"...)
@@ -319,25 +325,25 @@
 
 // fingerprint returns the fingerprint of a request whose route is known.
 func (r *request) fingerprint() quarantine.Fingerprint {
-	if r.content == (quarantine.Fingerprint{}) {
+	if r.cachedFingerprint == (quarantine.Fingerprint{}) {
 		organisation := ""
 		if r.organisation != nil {
 			organisation = r.organisation.Name
 		}
-		r.content = quarantine.FingerprintOf(r.route.Host, string(r.head.Target), organisation, r.body)
+		r.cachedFingerprint = quarantine.FingerprintOf(r.route.Host, string(r.head.Target), organisation, r.body)
 	}
-	return r.content
+	return r.cachedFingerprint
 }
 
-// urgencyLevels is how many ranks upstreams know.
+// urgencyLevels is the number of urgency levels that upstreams support.
 const urgencyLevels = 10
 
-// left returns the time until the final answer is due.
+// left returns the time until the final response is due.
 func (r *request) left(now time.Time) time.Duration { return r.deadline.Sub(now) }
 
-// sharedParts returns a hash of the parts that the request shares with others,
-// all but the last one, and how many tokens they have.
-func sharedParts(parts []byte) (hash uint64, count int) {
+// sharedPrefix returns a hash of the prompt segments that are shared with other requests, which are
+// all but the last one, and their number of tokens.
+func sharedPrefix(parts []byte) (hash uint64, count int) {
 	i := bytes.LastIndexByte(parts, ',')
 	if i < 0 {
 		return 0, 0
--- a/instance/relay/serve.go
+++ b/instance/relay/serve.go
@@ -14,19 +14,19 @@
 	"github.com/comfreyladder/comfreyladder/instance/follow"
 )
 
-// buffers are for encoded messages.
+// buffers holds buffers for encoded messages.
 var buffers = sync.Pool{New: func() any { b := make([]byte, 0, 4<<10); return &b }}
 
-// verdict is the answer of this instance's own to a request.
+// verdict is a response that this instance generates itself.
 type verdict struct {
 	status int
 	reason string
 	retry  time.Duration
 }
 
-// serve answers one request and reports whether the connection goes on.
+// serve answers one request and reports whether the connection stays open.
 func (s *Service) serve(c *conn, r *request) bool {
-	if r.fail != nil {
+	if r.readErr != nil {
 		return s.refuseMessage(c, r)
 	}
 	if v := s.admit(r); v != nil {
@@ -39,48 +39,48 @@
 // refuseMessage answers a message that could not be read.
 func (s *Service) refuseMessage(c *conn, r *request) bool {
 	switch {
-	case fault.CodeOf(r.fail) == fault.TooLarge && r.headRead:
-		return s.refuse(c, r, &verdict{413, r.fail.Error(), 0})
-	case fault.CodeOf(r.fail) == fault.TooLarge:
-		return s.refuse(c, r, &verdict{431, r.fail.Error(), 0})
-	case fault.CodeOf(r.fail) == fault.Invalid:
-		return s.refuse(c, r, &verdict{400, r.fail.Error(), 0})
-	case fault.CodeOf(r.fail) == fault.Overloaded:
-		return s.refuse(c, r, &verdict{503, errNoRoom.Error(), errNoRoom.RetryAfter})
-	case isTimeout(r.fail) && s.lastCall():
-		return s.refuse(c, r, errEnding)
-	case isTimeout(r.fail):
+	case fault.CodeOf(r.readErr) == fault.TooLarge && r.headRead:
+		return s.refuse(c, r, &verdict{413, r.readErr.Error(), 0})
+	case fault.CodeOf(r.readErr) == fault.TooLarge:
+		return s.refuse(c, r, &verdict{431, r.readErr.Error(), 0})
+	case fault.CodeOf(r.readErr) == fault.Invalid:
+		return s.refuse(c, r, &verdict{400, r.readErr.Error(), 0})
+	case fault.CodeOf(r.readErr) == fault.Overloaded:
+		return s.refuse(c, r, &verdict{503, errBodyBudget.Error(), errBodyBudget.RetryAfter})
+	case isTimeout(r.readErr) && s.refusesIncomplete():
+		return s.refuse(c, r, errDraining)
+	case isTimeout(r.readErr):
 		return s.refuse(c, r, &verdict{408, "the request did not come whole in time", 0})
 	}
-	// The connection broke in the middle of the request: nobody waits for an answer.
+	// The connection broke in the middle of the request: no caller waits for a response.
 	return false
 }
 
-// usualStart is within what time after its start an instance has a configuration,
-// also if the control group starts with it.
-const usualStart = 1500 * time.Millisecond
+// startupTime is the time after its start within which an instance normally has a configuration,
+// even if the control group starts at the same time.
+const startupTime = 1500 * time.Millisecond
 
 const (
-	// firstPoll is the time between two looks for the first configuration.
-	firstPoll = 10 * time.Millisecond
-	// firstShare is the part of a caller's time for which its request may wait for it: the
-	// rest is for the answer.
-	firstShare = 0.5
+	// startupPollInterval is the time between two checks for the first configuration.
+	startupPollInterval = 10 * time.Millisecond
+	// startupWaitShare is the share of a caller's timeout for which its request may wait for the
+	// first configuration: the rest is for the response.
+	startupWaitShare = 0.5
 )
 
-// awaitFirst holds a request that came before the first configuration, or before that was
-// confirmed for the first time, up to the usual time of it. After all processes were killed
-// the balancer sends callers to instances that have none yet, for most of a second; refused,
-// they come back when it is long there, late or for good. An instance that does not get one
-// in the usual time refuses at once, so that callers go elsewhere.
-func (s *Service) awaitFirst(r *request, there func() bool) {
-	left := usualStart - time.Since(s.started)
-	if r.wait > 0 {
-		left = min(left, time.Duration(firstShare*float64(r.wait))-clock.Since(r.arrived))
+// awaitStartup holds a request that arrived before the first configuration, or before its first
+// confirmation, for up to startupTime. After all processes were killed, the balancer sends callers
+// to instances without a configuration for most of a second; if refused, they retry long after it
+// has arrived, too late or never. An instance without a configuration after startupTime refuses
+// immediately, so that callers go elsewhere.
+func (s *Service) awaitStartup(r *request, ready func() bool) {
+	left := startupTime - time.Since(s.started)
+	if r.timeout > 0 {
+		left = min(left, time.Duration(startupWaitShare*float64(r.timeout))-clock.Since(r.arrived))
 	}
 	until := time.Now().Add(left)
-	for !there() && time.Now().Before(until) {
-		t := time.NewTimer(firstPoll)
+	for !ready() && time.Now().Before(until) {
+		t := time.NewTimer(startupPollInterval)
 		select {
 		case <-t.C:
 		case <-r.gone:
@@ -93,25 +93,26 @@
 	}
 }
 
-// hasTable reports whether there is a configuration.
+// hasTable reports whether a configuration is present.
 func (s *Service) hasTable() bool { return s.cfg.State.View().Routes != nil }
 
-// neverConfirmed reports whether the configuration was not confirmed since the start.
+// neverConfirmed reports whether the configuration has not been confirmed since the start.
 func (s *Service) neverConfirmed() bool { return s.cfg.State.Age() > time.Since(s.started) }
 
-// noTable refuses a request that came before there was a configuration, and tells
-// when there should be one.
+// noTable refuses a request that arrived before the first configuration, and tells when one is
+// expected.
 func (s *Service) noTable() *verdict {
 	const shortest = 200 * time.Millisecond
-	return &verdict{503, "there is no configuration yet", max(shortest, usualStart-time.Since(s.started))}
+	return &verdict{503, "there is no configuration yet", max(shortest, startupTime-time.Since(s.started))}
 }
 
-// admit finds out what the request is and whether it may be forwarded; nil means yes.
+// admit resolves the route and organisation of a request and decides whether it may be forwarded;
+// nil means yes.
 func (s *Service) admit(r *request) *verdict {
-	if err := r.read(&s.cfg.Headers); err != nil {
+	if err := r.parseFields(&s.cfg.Headers); err != nil {
 		return &verdict{400, err.Error(), 0}
 	}
-	s.awaitFirst(r, s.hasTable)
+	s.awaitStartup(r, s.hasTable)
 	v := s.cfg.State.View()
 	if v.Routes == nil {
 		return s.noTable()
@@ -123,23 +124,23 @@
 	if v := s.authorise(r, v.Routes); v != nil {
 		return v
 	}
-	s.plan(r, v)
-	if !s.takes(r) {
-		return errEnding
+	s.prepare(r, v)
+	if !s.acceptsDuringDrain(r) {
+		return errDraining
 	}
 	return nil
 }
 
-// errEnding refuses what the process may not live to see the end of. The balancer has
-// had its time to send callers elsewhere; one that comes all the same, since too few
-// instances are ready, is better off at another one than cut off.
-var errEnding = &verdict{503, "not run: this instance ends", retryAtOnce}
+// errDraining refuses a request that the process may not be able to complete before it exits. The
+// balancer had time to send callers elsewhere. One that still arrives, because too few instances
+// are ready, is better served by another instance than cut off.
+var errDraining = &verdict{503, "not run: this instance ends", immediateRetry}
 
-// retryAtOnce tells a caller to come back without a wait.
-const retryAtOnce = 20 * time.Millisecond
+// immediateRetry tells a caller to retry without a noticeable delay.
+const immediateRetry = 20 * time.Millisecond
 
-// mayAct reports whether the view is fresh enough to act on.
-func (s *Service) mayAct() bool { return !s.cfg.FailClosed || s.cfg.State.Lease() > 0 }
+// hasLease reports whether the view is fresh enough to act on.
+func (s *Service) hasLease() bool { return !s.cfg.FailClosed || s.cfg.State.Lease() > 0 }
 
 func (s *Service) authorise(r *request, x *route.Index) *verdict {
 	if r.route.Anonymous && len(r.key) == 0 || len(x.Table.Organisations) == 0 {
@@ -152,21 +153,21 @@
 		}
 		return &verdict{401, "unknown key", 0}
 	}
-	if !s.mayAct() && s.neverConfirmed() {
-		s.awaitFirst(r, s.mayAct)
+	if !s.hasLease() && s.neverConfirmed() {
+		s.awaitStartup(r, s.hasLease)
 	}
-	if !s.mayAct() {
+	if !s.hasLease() {
 		return &verdict{503, errLease.Error(), errLease.RetryAfter}
 	}
 	return nil
 }
 
-// plan sets what the way of the request depends on.
-func (s *Service) plan(r *request, v *follow.View) {
+// prepare sets the service, deadline, urgency and prompt data by which the request is forwarded.
+func (s *Service) prepare(r *request, v *follow.View) {
 	r.service = r.route.Pick(rand.Float64())
 	wait := r.route.Timeout
-	if r.wait > 0 && r.wait < wait {
-		wait = r.wait
+	if r.timeout > 0 && r.timeout < wait {
+		wait = r.timeout
 	}
 	r.deadline = r.arrived.Add(wait - deadlineMargin)
 	r.urgency = v.Routes.Urgency(r.route, r.organisation, urgencyLevels)
@@ -177,26 +178,25 @@
 	}
 	r.capacity, r.fetchRate = e.KVTokens, e.FetchPerMS
 	r.rank = v.Routes.Rank(r.route)
-	r.maxAhead = maxAhead(r.route, r.rank)
+	r.maxQueueMS = queueLimitMS(r.route, r.rank)
 	if r.route.Sticky {
-		r.affinity, r.shared = sharedParts(r.parts)
-		r.shared = min(r.shared, r.tokens)
+		r.affinity, r.sharedTokens = sharedPrefix(r.promptParts)
+		r.sharedTokens = min(r.sharedTokens, r.tokens)
 	}
 }
 
-// refuse answers in this instance's own name.
+// refuse sends a refusal that this instance generates itself.
 func (s *Service) refuse(c *conn, r *request, v *verdict) bool {
 	s.logDone(r, v.status, v.reason)
 	return c.reply(r, v.status, v.reason, v.retry)
 }
 
-// forward sends the request to upstreams until one answers or nothing more may be
-// tried.
+// forward sends the request to upstreams until one answers or no further attempt is allowed.
 func (s *Service) forward(c *conn, r *request) bool {
 	var avoid []*upstream
 	defer s.endTrial(r)
 	for {
-		if v := s.screen(r); v != nil && r.ran {
+		if v := s.screen(r); v != nil && r.mayHaveRun {
 			return s.giveUp(c, r)
 		} else if v != nil {
 			return s.refuse(c, r, v)
@@ -206,24 +206,24 @@
 		case r.isGone():
 			s.logDone(r, 0, "the caller hung up")
 			return false
-		case busy && !r.ran:
+		case busy && !r.mayHaveRun:
 			return s.refuse(c, r, s.busyVerdict(r))
 		case up == nil:
 			return s.giveUp(c, r)
 		}
-		a, o := s.start(r, up, s.patience(r), nil)
+		a, o := s.start(r, up, s.answerTimeout(r), nil)
 		if o == answered {
 			s.fleet.reached(up)
-			again, keep := s.carry(c, a)
-			a.end()
+			again, keep := s.forwardAnswer(c, a)
+			a.release()
 			if !again {
 				return keep
 			}
 			o = unknown
 		} else {
-			a.end()
+			a.release()
 		}
-		s.noteAttempt(r, a, o)
+		s.recordAttempt(r, a, o)
 		if o == callerGone || r.isGone() {
 			s.logDone(r, 0, "the caller hung up")
 			return false
@@ -235,42 +235,42 @@
 	}
 }
 
-// patience is how long the head of an answer is awaited before another upstream is
-// tried; zero where the request must not be repeated. An engine that is late is not
-// given up: what it has read would be read again at another one, which feeds the
-// overload that made it late, and the answer would be late all the same.
-func (s *Service) patience(r *request) time.Duration {
-	if r.tokens > 0 || !r.route.Repeatable() || r.sent+1 >= r.route.MaxAttempts || s.fleet.known(r.service) < 2 {
+// answerTimeout is how long to wait for the head of a response before another upstream is tried;
+// zero if the request must not be repeated. A slow engine is not abandoned: another one would
+// prefill the same prompt again, which increases the overload, and the response would be late as
+// well.
+func (s *Service) answerTimeout(r *request) time.Duration {
+	if r.tokens > 0 || !r.route.Repeatable() || r.sent+1 >= r.route.MaxAttempts || s.fleet.countUpstreams(r.service) < 2 {
 		return 0
 	}
-	return max(minPatience, patienceShare*r.route.Target)
+	return max(minAnswerTimeout, answerTimeoutFactor*r.route.Target)
 }
 
 const (
-	patienceShare = 2
-	minPatience   = 800 * time.Millisecond
+	answerTimeoutFactor = 2
+	minAnswerTimeout    = 800 * time.Millisecond
 )
 
-// noteAttempt records an attempt that has no answer.
-func (s *Service) noteAttempt(r *request, a *attempt, o outcome) {
-	r.last = a.err
+// recordAttempt records an attempt without a response.
+func (s *Service) recordAttempt(r *request, a *attempt, o outcome) {
+	r.lastErr = a.err
 	var pause time.Duration
 	switch o {
 	case notSent:
-		if a.right {
-			s.cfg.Limits.Return(a.up.begun)
+		if a.usedToken {
+			s.cfg.Limits.Return(a.up.incarnation)
 		}
 		if a.conn == nil {
 			pause = a.up.failed(true)
-			if showsCut(a.err) {
+			if indicatesPartition(a.err) {
 				s.fleet.unreachable(a.up)
 			}
 		}
 	case unknown:
 		r.sent++
-		r.ran = true
-		s.countLost(a)
-		s.noteLoss(a)
+		r.mayHaveRun = true
+		s.countIfBegun(a)
+		s.recordLoss(a)
 		if fault.CodeOf(a.err) != fault.Internal || a.head.Status < statusServerError {
 			pause = a.up.failed(false)
 		}
@@ -279,7 +279,7 @@
 		}
 	case callerGone:
 		if a.overdue() {
-			s.countLost(a)
+			s.countIfBegun(a)
 		}
 	case rejected:
 		r.sent++
@@ -289,7 +289,7 @@
 	}
 	s.set.GetOrCreateCounter(`relay_attempts_total{outcome="` + o.String() + `"}`).Inc()
 	l := s.cfg.Log.Event("attempt").Bytes("request", r.id).Str("route", r.route.Name).Str("upstream", a.up.id).
-		Str("outcome", o.String()).Int("sent", int64(r.sent)).MS("took", time.Since(a.begun)).MS("left", r.left(clock.Now())).
+		Str("outcome", o.String()).Int("sent", int64(r.sent)).MS("took", time.Since(a.startedAt)).MS("left", r.left(clock.Now())).
 		MS("set_aside", pause).MS("view_age", s.cfg.State.Age())
 	if o == unknown {
 		l.Str("fingerprint", r.fingerprint().String())
@@ -297,40 +297,40 @@
 	l.Err(a.err).End()
 }
 
-// mayTryAgain decides whether another upstream is tried. What left for an upstream
-// may have run unless it said that it did not; that counts against the budget of
-// repeats, as every arrival does.
+// mayTryAgain decides whether another upstream is tried. A request that was sent may have run
+// unless the upstream declared that it did not. Each further attempt uses the retry budget, whether
+// the previous one ran or not, except if nothing was sent.
 func (s *Service) mayTryAgain(r *request, o outcome) bool {
-	if r.left(clock.Now()) < minLeft {
+	if r.left(clock.Now()) < minTimeLeft {
 		return false
 	}
 	if o == notSent {
 		return !r.leaseLost
 	}
-	if r.sent >= max(1, r.route.MaxAttempts) || r.ran && !r.route.Repeatable() {
+	if r.sent >= max(1, r.route.MaxAttempts) || r.mayHaveRun && !r.route.Repeatable() {
 		return false
 	}
-	if (r.ran || r.trial) && !s.mayRunElsewhere(r) {
+	if (r.mayHaveRun || r.trial) && !s.mayRunAgain(r) {
 		return false
 	}
-	return s.mayRepeat(r.service)
+	return s.spendRepeat(r.service)
 }
 
-// minLeft is how much time must be left for another attempt to be worth it.
-const minLeft = 60 * time.Millisecond
+// minTimeLeft is the remaining time below which no further attempt is made.
+const minTimeLeft = 60 * time.Millisecond
 
-// giveUp is the final answer when no upstream has answered.
+// giveUp sends the final response when no upstream has answered.
 func (s *Service) giveUp(c *conn, r *request) bool {
 	switch {
 	case r.left(clock.Now()) <= 0:
 		return s.refuse(c, r, &verdict{504, "the time limit is reached", 0})
-	case r.ran:
+	case r.mayHaveRun:
 		return s.refuse(c, r, &verdict{502, "outcome unknown: the request may have run", 0})
 	}
 	return s.refuse(c, r, &verdict{503, "not run: no upstream took the request", retryHint(r)})
 }
 
-// retryHint is when a request that did not run may come again.
+// retryHint is when a request that did not run may be retried.
 func retryHint(r *request) time.Duration {
 	const shortest, longest = 100 * time.Millisecond, time.Second
 	return min(longest, max(shortest, r.route.Target/8))
--- a/instance/relay/stream.go
+++ b/instance/relay/stream.go
@@ -10,63 +10,63 @@
 	"github.com/comfreyladder/comfreyladder/instance/http1"
 )
 
-// stream is the passing on of a series of events. Only whole events go out, so that
-// one which broke off in the middle leaves nothing behind, and a stream can go on at
-// another upstream after the last event.
+// stream forwards a response of server-sent events. Only complete events are forwarded, so that one
+// which breaks off leaves no fragment and the stream can continue at another upstream after the
+// last event.
 type stream struct {
 	s *Service
 	c *conn
 	r *request
-	// out says that the head of the answer has gone out.
-	out     bool
-	closing bool
-	// lastID is the ID of the last event that went out, as text and number.
-	lastID   []byte
-	lastSeen int64
-	events   int
-	// pending holds bytes that are no whole event yet.
+	// headSent is set once the head of the response was sent.
+	headSent bool
+	closing  bool
+	// lastID is the ID of the last forwarded event; lastNumber is its number.
+	lastID     []byte
+	lastNumber int64
+	events     int
+	// pending holds bytes that do not form a complete event yet.
 	pending []byte
 }
 
-// carryStream passes a stream on, and resumes it where it breaks.
-func (s *Service) carryStream(c *conn, a *attempt) (again, keep bool) {
-	st := &stream{s: s, c: c, r: a.r, lastSeen: -1}
+// forwardStream forwards a stream and resumes it at another upstream if it breaks.
+func (s *Service) forwardStream(c *conn, a *attempt) (again, keep bool) {
+	st := &stream{s: s, c: c, r: a.r, lastNumber: -1}
 	if n, ok := http1.ParseUint(a.r.lastEvent); ok {
-		st.lastSeen = n
+		st.lastNumber = n
 	}
 	for {
-		err := st.carry(a)
+		err := st.forwardEvents(a)
 		switch {
 		case err == nil:
-			a.end()
+			a.release()
 			s.logDone(a.r, a.head.Status, "")
 			return false, !st.closing
 		case a.r.isGone() || fault.CodeOf(err) == fault.Canceled:
-			a.end()
-			return false, st.broke("the caller hung up")
-		case !st.out:
-			// Nothing went out: the request may begin anew elsewhere.
+			a.release()
+			return false, st.finishBroken("the caller hung up")
+		case !st.headSent:
+			// Nothing was sent to the caller: the request may start over elsewhere.
 			return true, false
 		}
 		next := st.resume(a, err)
 		if next == nil {
-			a.r.last = err
-			return false, st.broke("the stream broke off")
+			a.r.lastErr = err
+			return false, st.finishBroken("the stream broke off")
 		}
 		a = next
 	}
 }
 
-// broke ends a stream of which a part is out.
-func (st *stream) broke(reason string) bool {
+// finishBroken ends a stream of which a part was sent.
+func (st *stream) finishBroken(reason string) bool {
 	st.r.broken = true
 	st.s.logDone(st.r, 0, reason)
 	return false
 }
 
-// carry passes on the events of one attempt; nil means that the stream is whole.
-func (st *stream) carry(a *attempt) error {
-	var piece [ioBuffer]byte
+// forwardEvents forwards the events of one attempt; nil means that the stream is complete.
+func (st *stream) forwardEvents(a *attempt) error {
+	var piece [ioBufferSize]byte
 	st.pending = st.pending[:0]
 	for {
 		a.setStreamDeadline()
@@ -78,50 +78,50 @@
 		}
 		if whole {
 			a.up.succeeded()
-			st.s.completed(a)
+			st.s.recordCompletion(a)
 			return nil
 		}
 		if err != nil {
 			a.err = err
-			return fault.Wrap(err, fault.StreamBroken, "the stream of %s broke after %d events", a.up.id, st.events)
+			return fault.Wrap(err, fault.StreamBroken, "stream from %s broke after %d events", a.up.id, st.events)
 		}
 	}
 }
 
-// stall is after what silence a stream that may be resumed is taken for broken, if
-// the route does not say how long a pause may be; else stallGaps such pauses. With a
-// long prompt that others share it goes on elsewhere only when its connection is
-// lost: reading all of it again costs more than the late answer is worth.
+// A resumable stream counts as broken after a pause of minStallTimeout, or of stallPauses times the
+// maximum pause of its route if that is longer. A stream whose prompt shares maxResumeShared tokens
+// or more with others continues elsewhere only if its connection is lost: prefilling that prompt
+// again costs more than the late response is worth.
 const (
-	stall       = 2 * time.Second
-	stallGaps   = 3
-	stallShared = 3000
+	minStallTimeout = 2 * time.Second
+	stallPauses     = 3
+	maxResumeShared = 3000
 )
 
 func (a *attempt) setStreamDeadline() {
 	left := a.r.left(clock.Now())
-	if a.r.route.Resumable && a.r.sent+1 < a.r.route.MaxAttempts && a.begunEvents && a.r.shared < stallShared {
-		left = min(left, max(stall, stallGaps*a.r.route.MaxPause))
+	if a.r.route.Resumable && a.r.sent+1 < a.r.route.MaxAttempts && a.firstEventSeen && a.r.sharedTokens < maxResumeShared {
+		left = min(left, max(minStallTimeout, stallPauses*a.r.route.MaxPause))
 	}
 	_ = a.conn.nc.SetReadDeadline(time.Now().Add(left))
 }
 
-// send passes on the whole events that are pending.
+// send forwards the complete events in pending.
 func (st *stream) send(a *attempt, last bool) error {
 	end := lastEventEnd(st.pending)
 	if end == 0 && !last {
 		return nil
 	}
 	if last && end < len(st.pending) {
-		return fault.New(fault.StreamBroken, "the stream of %s ends in the middle of an event", a.up.id)
+		return fault.New(fault.StreamBroken, "stream from %s ends in the middle of an event", a.up.id)
 	}
-	events := st.fresh(st.pending[:end])
+	events := st.dropDuplicates(st.pending[:end])
 	if len(events) == 0 && !last {
-		st.keep(end)
+		st.discardPending(end)
 		return nil
 	}
 	b := st.c.out[:0]
-	if !st.out {
+	if !st.headSent {
 		st.closing = st.c.closing(st.r)
 		b = append(appendAnswerHead(b, a, st.closing), "Transfer-Encoding: chunked\r\n\r\n"...)
 	}
@@ -129,28 +129,28 @@
 	if last {
 		b = append(b, lastChunk...)
 	}
-	st.keep(end)
+	st.discardPending(end)
 	st.c.out = b
-	a.firstEvent()
-	st.r.noteEvent(time.Now())
-	st.out = true
+	a.recordFirstEvent()
+	st.r.recordPause(time.Now())
+	st.headSent = true
 	return st.c.write(b)
 }
 
-// noteEvent measures the pauses between events.
-func (r *request) noteEvent(now time.Time) {
-	if !r.lastOut.IsZero() {
-		r.pause = max(r.pause, now.Sub(r.lastOut))
+// recordPause updates the longest pause between forwarded events.
+func (r *request) recordPause(now time.Time) {
+	if !r.lastEventAt.IsZero() {
+		r.longestPause = max(r.longestPause, now.Sub(r.lastEventAt))
 	}
-	r.lastOut = now
+	r.lastEventAt = now
 }
 
-func (st *stream) keep(from int) {
+func (st *stream) discardPending(from int) {
 	n := copy(st.pending, st.pending[from:])
 	st.pending = st.pending[:n]
 }
 
-// lastEventEnd returns where the last whole event in b ends.
+// lastEventEnd returns the offset after the last complete event in b.
 func lastEventEnd(b []byte) int {
 	end := 0
 	if i := bytes.LastIndex(b, []byte("\n\n")); i >= 0 {
@@ -162,18 +162,18 @@
 	return end
 }
 
-// fresh notes the events' IDs and cuts off events that went out before: one that
-// resumes may begin with an event that the caller has already.
-func (st *stream) fresh(events []byte) []byte {
+// dropDuplicates records the IDs of the events and cuts off those that were forwarded before: a
+// resumed stream may begin with an event that the caller already has.
+func (st *stream) dropDuplicates(events []byte) []byte {
 	from := 0
 	for at := 0; at < len(events); {
 		size := eventSize(events[at:])
 		id, n, ok := eventID(events[at : at+size])
 		switch {
-		case ok && n <= st.lastSeen:
+		case ok && n <= st.lastNumber:
 			from = at + size
 		case ok:
-			st.lastSeen, st.lastID = n, append(st.lastID[:0], id...)
+			st.lastNumber, st.lastID = n, append(st.lastID[:0], id...)
 			st.events++
 		}
 		at += size
@@ -206,17 +206,17 @@
 	return nil, 0, false
 }
 
-// resume sends the request to another upstream, to go on after the last event; nil
-// means that it can't.
+// resume sends the request to another upstream, to continue after the last event; nil means that
+// the stream cannot be resumed.
 func (st *stream) resume(broken *attempt, cause error) *attempt {
 	r, s := st.r, st.s
 	avoid := []*upstream{broken.up}
-	// The old run must be off before a new one may begin.
-	broken.dirty = true
-	broken.end()
-	s.noteAttempt(r, broken, unknown)
+	// The old run must be cancelled before a new one may start.
+	broken.notReusable = true
+	broken.release()
+	s.recordAttempt(r, broken, unknown)
 	for r.route.Resumable && len(st.lastID) > 0 && s.mayTryAgain(r, unknown) {
-		r.maxAhead = math.MaxInt32
+		r.maxQueueMS = math.MaxInt32
 		up, _ := s.fleet.choose(r, s.cfg.Domain, avoid)
 		if up == nil {
 			return nil
@@ -228,13 +228,13 @@
 			return a
 		}
 		if o == answered {
-			// A failure is an answer too: the upstream has run the request, and that counts.
+			// An error response counts as an attempt too: the upstream has run the request.
 			o = unknown
 			a.err = fault.New(fault.Internal, "the upstream answered %d", a.head.Status)
 			a.up.answeredFailure()
 		}
-		a.end()
-		s.noteAttempt(r, a, o)
+		a.release()
+		s.recordAttempt(r, a, o)
 		if r.isGone() {
 			return nil
 		}
--- a/instance/relay/stream_test.go
+++ b/instance/relay/stream_test.go
@@ -24,9 +24,9 @@
 	Expect(up.hangUps()).To(BeZero())
 }
 
-// An upstream breaks off in the middle of an event. A stream that may be resumed
-// goes on at another upstream after the last whole event, within the same answer;
-// no event is missing and none comes twice.
+// Guards against losing or duplicating events when an upstream breaks off in the middle of an
+// event: a resumable stream continues at another upstream after the last complete event, within the
+// same response.
 func TestBrokenStreamGoesOnElsewhere(t *testing.T) {
 	script := func(_ int, r *received, c net.Conn) bool {
 		if r.header.Get("X-Last") == "2" {
@@ -44,9 +44,8 @@
 	Expect(b.requests()).To(HaveLen(1))
 }
 
-// A stream breaks off, and all other upstreams fail at once what is resumed there. Each of
-// them has run the request: it must not go to more of them than its route allows, in the
-// minute in which they have trouble anyway.
+// Guards against resuming a broken stream at more upstreams than its route allows when each of them
+// fails the resumed request: each has run it, and that would add load during a failure.
 func TestFailedResumptionsCountAsAttempts(t *testing.T) {
 	script := func(_ int, r *received, c net.Conn) bool {
 		if r.header.Get("X-Last") != "" {
@@ -67,8 +66,8 @@
 	Expect(sent).To(Equal(2), "the route allows two")
 }
 
-// A stream that may not be resumed breaks off. Its caller must see that it isn't
-// whole, and no other upstream may run it.
+// Guards against a stream that must not be resumed and breaks off: its caller must see that it is
+// incomplete, and no other upstream may run it.
 func TestBrokenStreamThatMayNotGoOnIsCut(t *testing.T) {
 	script := func(_ int, r *received, c net.Conn) bool { return events(c, r, 1, 2, false) }
 	a, b := startUpstream(t, "a", script), startUpstream(t, "b", script)
@@ -77,8 +76,8 @@
 	Expect(len(a.requests()) + len(b.requests())).To(Equal(1))
 }
 
-// An upstream ends a stream in good order, but in the middle of an event. Passed on, the
-// answer would look whole to its caller and lack an event.
+// Guards against a stream that an upstream ends regularly but in the middle of an event: forwarded,
+// it would look complete to its caller and lack an event.
 func TestStreamThatEndsInsideAnEventIsNotWhole(t *testing.T) {
 	up := startUpstream(t, "u", func(_ int, r *received, c net.Conn) bool {
 		_, err := io.WriteString(c, streamHead(r)+chunk(event(1)+event(2)[:4])+"0\r\n\r\n")
@@ -88,8 +87,8 @@
 	Expect(r.err).To(HaveOccurred())
 }
 
-// A stream breaks before its first event. One that may be repeated begins anew with
-// the other upstream's own head, one that may not ends as unknown.
+// Guards against a stream that breaks before its first event and is not restarted: one that may be
+// repeated starts over with the head of the other upstream, one that may not ends as unknown.
 func TestStreamThatBreaksBeforeItsFirstEvent(t *testing.T) {
 	script := func(n int, r *received, c net.Conn) bool {
 		if r.header.Get("X-Expect") == "a" {
@@ -99,27 +98,27 @@
 		return events(c, r, 1, 2, true)
 	}
 	a, b := startUpstream(t, "a", script), startUpstream(t, "b", script)
-	bed := start(t, a, b)
+	relay := start(t, a, b)
 	for len(a.requests()) == 0 {
-		r := bed.caller().call("POST", "/stream/", "1", "x")
+		r := relay.caller().call("POST", "/stream/", "1", "x")
 		Expect(r.body).To(Equal(event(1) + event(2)))
 	}
 }
 
-// An upstream falls silent in the middle of a stream, without closing anything. The
-// stream goes on elsewhere instead of waiting for the deadline.
+// Guards against waiting for the deadline when an upstream stops sending in the middle of a stream
+// without closing the connection: the stream continues elsewhere.
 func TestSilentStreamGoesOnElsewhere(t *testing.T) {
 	script := func(_ int, r *received, c net.Conn) bool {
 		if r.header.Get("X-Last") != "" {
 			return events(c, r, 3, 4, true)
 		}
 		events(c, r, 1, 2, false)
-		time.Sleep(2 * limit)
+		time.Sleep(2 * requestTimeout)
 		return false
 	}
 	a, b := startUpstream(t, "a", script), startUpstream(t, "b", script)
-	bed := start(t, a, b)
-	c := bed.caller()
+	relay := start(t, a, b)
+	c := relay.caller()
 	c.send("POST /stream/ HTTP/1.1\r\nHost: h\r\nX-Id: 1\r\nX-Key: k\r\nX-Left: 60000\r\nContent-Length: 1\r\n\r\nx")
 	r := c.receive()
 	Expect(r.body).To(HavePrefix(event(1) + event(2)))
--- a/instance/relay/suite_test.go
+++ b/instance/relay/suite_test.go
@@ -35,10 +35,10 @@
 	mu    sync.Mutex
 	view  *follow.View
 	lease time.Duration
-	// age is how long ago the view was confirmed.
+	// age is the time since the view was confirmed.
 	age time.Duration
-	// looks is after how many looks at the lease it is over; zero means never.
-	looks int
+	// leaseChecks is the number of lease checks after which the lease expires; zero means never.
+	leaseChecks int
 }
 
 func (s *state) View() *follow.View {
@@ -50,8 +50,8 @@
 func (s *state) Lease() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.looks > 0 {
-		if s.looks--; s.looks == 0 {
+	if s.leaseChecks > 0 {
+		if s.leaseChecks--; s.leaseChecks == 0 {
 			lease := s.lease
 			s.lease = 0
 			return lease
@@ -78,14 +78,14 @@
 	s.lease = d
 }
 
-// endLeaseAfter lets the lease end after so many looks at it.
-func (s *state) endLeaseAfter(looks int) {
+// endLeaseAfter expires the lease after the given number of lease checks.
+func (s *state) endLeaseAfter(checks int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.looks = looks
+	s.leaseChecks = checks
 }
 
-// received is a request as an upstream got it.
+// received is a request as an upstream received it.
 type received struct {
 	method, target, body string
 	header               http.Header
@@ -123,7 +123,7 @@
 	}
 }
 
-// begun is the log index at which the upstream was first heard of: another one for each.
+// begun is the log index at which the upstream registered, unique to each.
 func (u *fakeUpstream) begun() uint64 { return uint64(u.listener.Addr().(*net.TCPAddr).Port) }
 
 func (u *fakeUpstream) serve(c net.Conn) {
@@ -161,7 +161,7 @@
 	return u.closed
 }
 
-// whole writes a whole answer with the request's ID and a seal.
+// whole writes a complete response with the request's ID and a seal.
 func whole(c net.Conn, r *received, status int, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 %d X\r\nX-Id: %s\r\nX-Seal: s\r\nContent-Length: %d\r\n\r\n%s", status, r.header.Get("X-Id"), len(body), body)
 	return err == nil
@@ -174,21 +174,21 @@
 	return err == nil
 }
 
-const limit = 2 * time.Second
+const requestTimeout = 2 * time.Second
 
-// bodyRoom is the room for bodies: for one of the largest, not for two.
-const bodyRoom = 24 << 20
+// bodyLimit is the body budget in bytes: enough for one body of the maximum size, not for two.
+const bodyLimit = 24 << 20
 
 func routes() *route.Table {
 	to := []route.WeightedService{{Service: "s", Weight: 1}}
 	return &route.Table{
 		Version: 1,
 		Routes: []route.Route{
-			{Name: "idem", Host: "h", Prefix: "/idem/", Kind: route.Idempotent, Services: to, Timeout: limit, Target: 100 * time.Millisecond, MaxAttempts: 2},
-			{Name: "once", Host: "h", Prefix: "/once/", Kind: route.NonIdempotent, Services: to, Timeout: limit, Target: 100 * time.Millisecond, MaxAttempts: 2},
-			{Name: "stream", Host: "h", Prefix: "/stream/", Kind: route.Streaming, Resumable: true, Services: to, Timeout: limit, Target: 100 * time.Millisecond, MaxAttempts: 2},
-			{Name: "brief", Host: "h", Prefix: "/brief/", Kind: route.Streaming, Services: to, Timeout: limit, Target: 100 * time.Millisecond, MaxAttempts: 2},
-			{Name: "open", Host: "h", Prefix: "/open/", Kind: route.Idempotent, Services: to, Timeout: limit, MaxAttempts: 1, Anonymous: true},
+			{Name: "idem", Host: "h", Prefix: "/idem/", Kind: route.Idempotent, Services: to, Timeout: requestTimeout, Target: 100 * time.Millisecond, MaxAttempts: 2},
+			{Name: "once", Host: "h", Prefix: "/once/", Kind: route.NonIdempotent, Services: to, Timeout: requestTimeout, Target: 100 * time.Millisecond, MaxAttempts: 2},
+			{Name: "stream", Host: "h", Prefix: "/stream/", Kind: route.Streaming, Resumable: true, Services: to, Timeout: requestTimeout, Target: 100 * time.Millisecond, MaxAttempts: 2},
+			{Name: "brief", Host: "h", Prefix: "/brief/", Kind: route.Streaming, Services: to, Timeout: requestTimeout, Target: 100 * time.Millisecond, MaxAttempts: 2},
+			{Name: "open", Host: "h", Prefix: "/open/", Kind: route.Idempotent, Services: to, Timeout: requestTimeout, MaxAttempts: 1, Anonymous: true},
 		},
 		Services:      []route.Service{{Name: "s"}},
 		Organisations: []route.Organisation{{Name: "org", Keys: []route.KeyDigest{route.Digest([]byte("k"))}}},
@@ -196,22 +196,22 @@
 	}
 }
 
-type bed struct {
+type relayTest struct {
 	t       *testing.T
 	state   *state
 	service *relay.Service
 	// began counts the requests that began to run, by organisation.
 	began sync.Map
-	// ago is how long before it was counted the latest one began.
+	// ago is how long before it was counted the latest request began.
 	ago atomic.Int64
-	// log gathers the lines.
+	// log collects the log output.
 	log lockedBuffer
-	// list is what the instance tells and knows of requests that crash upstreams.
-	list   *fakeQuarantine
-	limits *fakeLimits
+	// fakeList is the fake quarantine of the instance.
+	fakeList *fakeQuarantine
+	limits   *fakeLimits
 }
 
-// lockedBuffer is a buffer for a writer and a reader at the same time.
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -229,34 +229,34 @@
 	return b.b.String()
 }
 
-func (b *bed) count(organisation string, ago time.Duration) {
+func (b *relayTest) count(organisation string, ago time.Duration) {
 	b.ago.Store(int64(ago))
 	n, _ := b.began.LoadOrStore(organisation, &atomic.Int64{})
 	n.(*atomic.Int64).Add(1)
 }
 
 // counted returns how many requests of the organisation began to run.
-func (b *bed) counted() int64 {
+func (b *relayTest) counted() int64 {
 	if n, ok := b.began.Load("org"); ok {
 		return n.(*atomic.Int64).Load()
 	}
 	return 0
 }
 
-// start runs a relay before the given upstreams.
-func start(t *testing.T, ups ...*fakeUpstream) *bed {
+// start runs a relay in front of the given upstreams.
+func start(t *testing.T, ups ...*fakeUpstream) *relayTest {
 	t.Helper()
 	RegisterTestingT(t)
 	v := &follow.View{Index: 1, Routes: route.NewIndex(routes()), Upstreams: map[string]*serving.Upstream{}, Forwarders: 1}
 	for _, u := range ups {
 		v.Upstreams[u.id] = &serving.Upstream{ID: u.id, Service: "s", Address: u.listener.Addr().String(), State: serving.Ready, Slots: 8, Begun: u.begun()}
 	}
-	b := &bed{t: t, state: &state{view: v, lease: time.Minute}, list: &fakeQuarantine{}, limits: &fakeLimits{}}
+	b := &relayTest{t: t, state: &state{view: v, lease: time.Minute}, fakeList: &fakeQuarantine{}, limits: &fakeLimits{}}
 	b.service = relay.New(relay.Config{
 		Listen: "127.0.0.1:0", Headers: headers, State: b.state, FailClosed: true,
 		Budget:   relay.Budget{Ratio: 0.2, Window: 10 * time.Second, Slack: 20},
-		Announce: 200 * time.Millisecond, DrainTimeout: 2 * time.Second, BodyBytes: bodyRoom, Began: b.count,
-		Quarantine: b.list, Limits: b.limits, Log: eventlog.New(&b.log, nil),
+		Announce: 200 * time.Millisecond, DrainTimeout: 2 * time.Second, BodyBytes: bodyLimit, Began: b.count,
+		Quarantine: b.fakeList, Limits: b.limits, Log: eventlog.New(&b.log, nil),
 	}, metrics.NewSet())
 	b.service.Update(v)
 	if err := b.service.Start(context.Background()); err != nil {
@@ -266,8 +266,8 @@
 	return b
 }
 
-// patient gives callers so long to send a request, and upstreams as long to answer it.
-func (b *bed) patient(d time.Duration) {
+// setTimeouts sets the header timeout and the timeouts of all routes.
+func (b *relayTest) setTimeouts(d time.Duration) {
 	t := routes()
 	t.Limits.HeaderTimeout = d
 	for i := range t.Routes {
@@ -276,21 +276,21 @@
 	b.use(t)
 }
 
-// engines makes the service one of engines, with routes of unlike urgency to it.
-func (b *bed) engines() {
+// engines turns the upstreams into engines and adds routes of different urgency.
+func (b *relayTest) engines() {
 	t := routes()
 	t.Services[0].Engine = &route.Engine{Slots: 8, KVTokens: 500_000, TokensPerEvent: 3, FetchPerMS: 400}
 	for i, name := range []string{"urgent", "last"} {
 		t.Routes = append(t.Routes, route.Route{
-			Name: name, Host: "h", Prefix: "/" + name + "/", Kind: route.Idempotent, Services: t.Routes[0].Services, Timeout: limit,
+			Name: name, Host: "h", Prefix: "/" + name + "/", Kind: route.Idempotent, Services: t.Routes[0].Services, Timeout: requestTimeout,
 			Target: time.Second, MaxAttempts: 1, Priority: i, Sticky: true,
 		})
 	}
 	b.use(t)
 }
 
-// use puts a table in force; nil for none.
-func (b *bed) use(t *route.Table) {
+// use puts a route table in force; nil for none.
+func (b *relayTest) use(t *route.Table) {
 	b.state.mu.Lock()
 	defer b.state.mu.Unlock()
 	v := *b.state.view
@@ -308,7 +308,7 @@
 	t  *testing.T
 }
 
-func (b *bed) caller() *caller {
+func (b *relayTest) caller() *caller {
 	b.t.Helper()
 	c, err := net.Dial("tcp4", b.service.Address().String())
 	if err != nil {
@@ -344,7 +344,7 @@
 
 func (c *caller) receive() reply {
 	begun := time.Now()
-	_ = c.SetReadDeadline(begun.Add(2 * limit))
+	_ = c.SetReadDeadline(begun.Add(2 * requestTimeout))
 	resp, err := http.ReadResponse(c.in, nil)
 	if err != nil {
 		return reply{err: err, took: time.Since(begun)}
@@ -368,7 +368,7 @@
 	return "HTTP/1.1 200 OK\r\nX-Id: " + r.header.Get("X-Id") + "\r\nX-Seal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 }
 
-// events writes a stream from one event to another; the end only if asked for.
+// events writes a stream of the events from one number to another, and ends it if end is set.
 func events(c net.Conn, r *received, from, to int, end bool) bool {
 	var b strings.Builder
 	b.WriteString(streamHead(r))
