--- a/instance/relay/upstream.go
+++ b/instance/relay/upstream.go
@@ -8,31 +8,31 @@
 	"github.com/comfreyladder/comfreyladder/core/control/serving"
 )
 
-// upstream is what this instance knows of one incarnation: its state, the work that
-// it has from here, how that went, and the connections to it. The fleet's mutex guards
-// the fields up to mu; mu guards those up to pool, which has a mutex of its own.
+// upstream is the state of one incarnation as known to this instance: its registration, the work
+// sent from here, the results of that work, and the connections to it. The fleet's mutex guards the
+// fields up to mu; mu guards those up to pool, which has a mutex of its own.
 type upstream struct {
 	id, address, domain string
-	// begun tells incarnations under one ID apart.
-	begun    uint64
-	state    serving.State
-	silent   bool
-	slots    int
-	maxConns int
-
-	// active counts requests under way, held their prompt tokens, and reading those
-	// that are to be read for requests whose first event has not come.
-	active  int
-	held    int
-	reading int
-	kept    balance.PromptCache
+	// incarnation distinguishes incarnations with the same ID.
+	incarnation uint64
+	state       serving.State
+	silent      bool
+	slots       int
+	maxConns    int
+
+	// active counts requests in flight, usedTokens their prompt tokens, and queuedTokens the tokens
+	// to prefill for requests without a first event.
+	active       int
+	usedTokens   int
+	queuedTokens int
+	promptCache  balance.PromptCache
 
 	mu sync.Mutex
-	// failures counts failures in a row; until is when an upstream that failed may
-	// be tried again.
-	failures int
-	until    time.Time
-	// observer sums up how its answers went.
+	// failures counts consecutive failures; ejectedUntil is when a failed upstream may be tried
+	// again.
+	failures     int
+	ejectedUntil time.Time
+	// observer sums up the results of its responses.
 	observer balance.Observer
 
 	pool   pool
@@ -40,43 +40,43 @@
 }
 
 func newUpstream(info *serving.Upstream) *upstream {
-	u := &upstream{id: info.ID, address: info.Address, begun: info.Begun}
+	u := &upstream{id: info.ID, address: info.Address, incarnation: info.Begun}
 	u.pool.address = info.Address
 	return u
 }
 
-// describe returns what is known here of the upstream, and what was observed of its
-// answers. It needs the fleet's mutex.
+// describe returns the load of the upstream known here and the observations of its responses. The
+// caller holds the fleet's mutex.
 func (u *upstream) describe(now time.Time) (balance.Upstream, balance.Observed) {
-	b := balance.Upstream{ID: u.id, Domain: u.domain, Active: u.active, Slots: u.slots, QueuedTokens: u.reading, UsedTokens: u.held}
+	b := balance.Upstream{ID: u.id, Domain: u.domain, Active: u.active, Slots: u.slots, QueuedTokens: u.queuedTokens, UsedTokens: u.usedTokens}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	b.Suspect = u.failures > 0 && (now.Before(u.until) || u.silent)
+	b.Suspect = u.failures > 0 && (now.Before(u.ejectedUntil) || u.silent)
 	return b, u.observer.Sums(now)
 }
 
-// begin books a request; it needs the fleet's mutex.
-func (u *upstream) begin(r *request, now time.Time) {
+// reserve reserves capacity for a request. The caller holds the fleet's mutex.
+func (u *upstream) reserve(r *request, now time.Time) {
 	u.active++
-	u.reading += r.unread
-	u.held += r.tokens
+	u.queuedTokens += r.uncachedTokens
+	u.usedTokens += r.tokens
 	if r.affinity != 0 {
-		u.kept.Record(now, r.affinity)
+		u.promptCache.Record(now, r.affinity)
 	}
 }
 
-// firstEvent says that a request's prompt was read.
+// firstEvent records that the prompt of a request was prefilled.
 func (f *fleet) firstEvent(a *attempt, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	a.up.reading -= a.unread
-	f.pace(a.r.service).rate.Observe(float64(a.unread+a.ahead), took)
-	a.up.sawFirstEvent(a.nominal+timeFloor, float64(took.Milliseconds())+timeFloor)
+	a.up.queuedTokens -= a.uncachedTokens
+	f.engineRateOf(a.r.service).rate.Observe(float64(a.uncachedTokens+a.queuedTokens), took)
+	a.up.sawFirstEvent(a.nominalMS+latencyFloorMS, float64(took.Milliseconds())+latencyFloorMS)
 }
 
-// timeFloor is added, in milliseconds, to what was predicted and what was seen, so that
-// short answers, which vary by that much, don't look slow.
-const timeFloor = 40.0
+// latencyFloorMS is added to the predicted and the observed time, in milliseconds, so that short
+// responses, which vary by that much, do not make an upstream look slow.
+const latencyFloorMS = 40.0
 
 func (u *upstream) sawFirstEvent(predicted, took float64) {
 	u.mu.Lock()
@@ -84,35 +84,34 @@
 	u.observer.FirstEvent(time.Now(), predicted, took)
 }
 
-// done says that a request has ended.
-func (f *fleet) done(a *attempt) {
+// release returns the capacity reserved for an attempt.
+func (f *fleet) release(a *attempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	a.up.active--
-	a.up.held -= a.r.tokens
-	if !a.begunEvents {
-		a.up.reading -= a.unread
+	a.up.usedTokens -= a.r.tokens
+	if !a.firstEventSeen {
+		a.up.queuedTokens -= a.uncachedTokens
 		return
 	}
-	p := f.pace(a.r.service)
-	reading := time.Duration(float64(a.unread) / p.rate.PerMS() * float64(time.Millisecond))
-	held := time.Since(a.begun) - a.r.first + reading
-	p.residence(a.r.quick).Observe(held)
-	p.route(a.r.route.Name).Observe(held)
+	p := f.engineRateOf(a.r.service)
+	reading := time.Duration(float64(a.uncachedTokens) / p.rate.PerMS() * float64(time.Millisecond))
+	held := time.Since(a.startedAt) - a.r.firstEventAfter + reading
+	p.slotTime(a.r.quick).Observe(held)
+	p.routeSlotTime(a.r.route.Name).Observe(held)
 }
 
 const (
-	// minEjection and maxEjection bound for how long an upstream is left alone after
-	// failures in a row.
+	// minEjection and maxEjection bound how long an upstream is avoided after consecutive failures.
 	minEjection = 500 * time.Millisecond
 	maxEjection = 4 * time.Second
-	// toleratedRow is how many failures in a row don't count: one may be the fault of
-	// its connection alone.
-	toleratedRow = 1
+	// toleratedFailures is how many consecutive failures are ignored: one may be caused by its
+	// connection alone.
+	toleratedFailures = 1
 )
 
-// failed notes an attempt that failed at the upstream, and reports for how long it
-// is left alone.
+// failed records an attempt that failed at the upstream, and returns how long the upstream is
+// avoided.
 func (u *upstream) failed(hard bool) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -122,17 +121,16 @@
 		u.observer.Failed(time.Now())
 	}
 	u.failures++
-	if u.failures <= toleratedRow && !hard {
+	if u.failures <= toleratedFailures && !hard {
 		return 0
 	}
 	pause := min(maxEjection, minEjection<<min(u.failures-1, 8))
-	u.until = time.Now().Add(pause)
+	u.ejectedUntil = time.Now().Add(pause)
 	return pause
 }
 
-// answeredFailure notes a whole answer that is a failure. It may be the request's own
-// fault, so the upstream is not left alone for it; but one that fails more of its
-// requests than its peers costs more.
+// answeredFailure records a complete error response. The request itself may have caused it, so the
+// upstream is not avoided; but one that fails more requests than its peers is rated as more costly.
 func (u *upstream) answeredFailure() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -140,7 +138,7 @@
 	u.failures = 0
 }
 
-// succeeded notes an answer.
+// succeeded records a successful response.
 func (u *upstream) succeeded() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/instance/relay/usage_test.go
+++ b/instance/relay/usage_test.go
@@ -10,9 +10,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// An organisation is billed for a request that begins at one upstream, breaks off and goes
-// on at another one. It asked once.
-func TestARequestThatGoesOnElsewhereIsCountedOnce(t *testing.T) {
+// Guards against billing an organisation twice for a request that begins at one upstream, breaks
+// off and is resumed at another one.
+func TestResumedRequestIsCountedOnce(t *testing.T) {
 	breaks := func(n int, r *received, c net.Conn) bool { return events(c, r, 1, 3, false) }
 	goesOn := func(n int, r *received, c net.Conn) bool {
 		if r.header.Get("X-Last") == "" {
@@ -28,17 +28,18 @@
 	Expect(broken.counted()).To(Equal(int64(1)), "it began, though nobody could end it")
 }
 
-// An idempotent request fails at one upstream and is repeated at another one.
-func TestARepeatedRequestIsCountedOnce(t *testing.T) {
+// Guards against billing twice for an idempotent request that fails at one upstream and is repeated
+// at another one.
+func TestRepeatedRequestIsCountedOnce(t *testing.T) {
 	fails := func(_ int, r *received, c net.Conn) bool { return whole(c, r, 500, "") }
 	b := start(t, startUpstream(t, "u", fails), startUpstream(t, "v", fails))
 	Expect(b.caller().call("GET", "/idem/x", "a", "").status).To(Equal(500))
 	Expect(b.counted()).To(Equal(int64(1)))
 }
 
-// What did not run is not billed: an upstream that refused it, or a stream that broke before
-// its first event.
-func TestWhatDidNotRunIsNotCounted(t *testing.T) {
+// Guards against billing requests that did not run: an upstream refused it, or a stream broke
+// before its first event.
+func TestRequestThatDidNotRunIsNotCounted(t *testing.T) {
 	refuses := func(_ int, r *received, c net.Conn) bool { return notRun(c, r) }
 	b := start(t, startUpstream(t, "u", refuses))
 	Expect(b.caller().call("POST", "/once/x", "a", "").status).To(Equal(503))
@@ -51,8 +52,9 @@
 	Consistently(b.counted, 500*time.Millisecond).Should(BeZero())
 }
 
-// A stream's upstream crashes before its first event, and another one runs it.
-func TestAStreamThatBeginsElsewhereIsCountedOnce(t *testing.T) {
+// Guards against billing twice for a stream whose upstream crashes before its first event and that
+// another one runs.
+func TestStreamRestartedElsewhereIsCountedOnce(t *testing.T) {
 	ups := make([]*fakeUpstream, 2)
 	var first atomic.Bool
 	script := func(i int) func(int, *received, net.Conn) bool {
@@ -72,9 +74,9 @@
 	Consistently(b.counted, 500*time.Millisecond).Should(Equal(int64(1)))
 }
 
-// The answer of a stream is lost before its first event, and the upstream is there as before.
-// It has run the request, as far as can be told.
-func TestAStreamWhoseAnswerIsLostIsCounted(t *testing.T) {
+// Guards against not billing a stream whose response is lost before its first event while its
+// upstream stays alive: it probably ran.
+func TestStreamWithLostResponseIsCounted(t *testing.T) {
 	lost := func(int, *received, net.Conn) bool { return false }
 	b := start(t, startUpstream(t, "u", lost))
 	b.caller().call("POST", "/brief/x", "a", "")
@@ -82,18 +84,19 @@
 	Consistently(b.counted, 300*time.Millisecond).Should(Equal(int64(1)))
 }
 
-// The answer of a request that may not be repeated is lost. It has run as far as anybody can
-// tell, and is billed.
-func TestAnUnknownOutcomeIsCounted(t *testing.T) {
+// Guards against not billing a request that must not be repeated and whose response is lost: it may
+// have run.
+func TestUnknownOutcomeIsCounted(t *testing.T) {
 	lost := func(int, *received, net.Conn) bool { return false }
 	b := start(t, startUpstream(t, "u", lost))
 	Expect(b.caller().call("POST", "/once/x", "a", "").status).To(Equal(502))
 	Expect(b.counted()).To(Equal(int64(1)))
 }
 
-// An upstream takes a request and is silent; the loss shows much later, in the next window.
-// The organisation is billed in the window in which the request began to run.
-func TestALateLossIsCountedWhenTheRequestBegan(t *testing.T) {
+// Guards against billing a request in the window in which its loss is detected: the upstream stops
+// answering, and the loss shows much later, in the next window. The request counts in the window in
+// which it began to run.
+func TestLateLossIsCountedWhenRequestBegan(t *testing.T) {
 	const silence = 700 * time.Millisecond
 	silent := func(int, *received, net.Conn) bool { time.Sleep(silence); return false }
 	for _, path := range []string{"/brief/x", "/once/x"} {
@@ -104,9 +107,9 @@
 	}
 }
 
-// Answers are lost, and callers leave who wait for what will not come. Their requests ran, and
-// are billed.
-func TestACallerWhoLeavesALostAnswerIsCounted(t *testing.T) {
+// Guards against not billing requests whose response was lost and whose callers hang up while they
+// wait for it.
+func TestCallerWhoHangsUpAfterLostResponseIsCounted(t *testing.T) {
 	silent := func(_ int, r *received, _ net.Conn) bool { time.Sleep(3 * time.Second); return false }
 	for _, path := range []string{"/brief/x", "/once/x"} {
 		b := start(t, startUpstream(t, "u", silent))
