--- a/instance/relay/attempt.go
+++ b/instance/relay/attempt.go
@@ -251,10 +251,10 @@
 func (a *attempt) countBegun() { a.countBegunBefore(0) }
 
 func (a *attempt) countBegunBefore(ago time.Duration) {
-	if a.r.organisation == nil || a.s.cfg.Began == nil || a.r.usageCounted.Swap(true) {
+	if a.r.organisation == nil || a.s.cfg.OnRequestBegun == nil || a.r.usageCounted.Swap(true) {
 		return
 	}
-	a.s.cfg.Began(a.r.organisation.Name, ago)
+	a.s.cfg.OnRequestBegun(a.r.organisation.Name, ago)
 }
 
 // recordFirstEvent records that the prompt was prefilled.
--- a/instance/relay/config.go
+++ b/instance/relay/config.go
@@ -78,9 +78,9 @@
 	Announce, DrainTimeout time.Duration
 	// BodyBytes bounds the total size of request bodies held at the same time; zero means no bound.
 	BodyBytes int64
-	// Began, if set, is called once for each request of an organisation that began to run, with the
+	// OnRequestBegun, if set, is called once for each request of an organisation that began to run, with the
 	// time since it began.
-	Began func(organisation string, ago time.Duration)
+	OnRequestBegun func(organisation string, ago time.Duration)
 	// Quarantine keeps requests away from upstreams that they crash; nil disables it.
 	Quarantine Quarantine
 	// Limits enforces the rate limits that upstreams announce; nil if they announce none.
--- a/instance/relay/suite_test.go
+++ b/instance/relay/suite_test.go
@@ -255,7 +255,7 @@
 	b.service = relay.New(relay.Config{
 		Listen: "127.0.0.1:0", Headers: headers, State: b.state, FailClosed: true,
 		Budget:   relay.Budget{Ratio: 0.2, Window: 10 * time.Second, Slack: 20},
-		Announce: 200 * time.Millisecond, DrainTimeout: 2 * time.Second, BodyBytes: bodyLimit, Began: b.count,
+		Announce: 200 * time.Millisecond, DrainTimeout: 2 * time.Second, BodyBytes: bodyLimit, OnRequestBegun: b.count,
 		Quarantine: b.fakeList, Limits: b.limits, Log: eventlog.New(&b.log, nil),
 	}, metrics.NewSet())
 	b.service.Update(v)
--- a/instance/relay/usage.go
+++ b/instance/relay/usage.go
@@ -38,7 +38,7 @@
 // requests were still queued.
 func (s *Service) countIfBegun(a *attempt) {
 	r := a.r
-	if r.organisation == nil || s.cfg.Began == nil || r.usageCounted.Load() {
+	if r.organisation == nil || s.cfg.OnRequestBegun == nil || r.usageCounted.Load() {
 		return
 	}
 	if r.route.Kind != route.Streaming {
@@ -66,7 +66,7 @@
 		}
 		up.pool.putUnused(c, time.Now())
 		if !counted.Swap(true) {
-			s.cfg.Began(organisation, ago+livenessDelay)
+			s.cfg.OnRequestBegun(organisation, ago+livenessDelay)
 		}
 	})
 }
