--- a/instance/relay/request.go
+++ b/instance/relay/request.go
@@ -217,7 +217,7 @@
 		}
 		r.timeout = time.Duration(ms) * time.Millisecond
 		return false, nil
-	case f.Is(h.Parts):
+	case f.Is(h.PromptSegments):
 		return true, setOnce(&r.promptParts, f)
 	case f.Is(h.LastEvent):
 		// encode writes this field again, with a newer ID when this instance resumes the stream.
