--- a/instance/relay/config.go
+++ b/instance/relay/config.go
@@ -33,9 +33,9 @@
 	NotRun, Seal string
 	// LastEvent is the ID of the last event that the caller of a stream has received.
 	LastEvent string
-	// PromptSegments lists the segments of a prompt. Tokens holds the prompt's token count and the maximum
+	// PromptSegments lists the segments of a prompt. TokenCounts holds the prompt's token count and the maximum
 	// length of the answer.
-	PromptSegments, Tokens string
+	PromptSegments, TokenCounts string
 	// Limit, in a response, is how many requests per second the upstream accepts from all instances
 	// together, as a decimal number.
 	Limit string
--- a/instance/relay/request.go
+++ b/instance/relay/request.go
@@ -222,7 +222,7 @@
 	case f.Is(h.LastEvent):
 		// encode writes this field again, with a newer ID when this instance resumes the stream.
 		return false, setOnce(&r.lastEvent, f)
-	case f.Is(h.Tokens):
+	case f.Is(h.TokenCounts):
 		count, _, _ := bytes.Cut(f.Value, []byte{','})
 		n, _ := http1.ParseUint(bytes.TrimSpace(count))
 		r.tokens = int(n)
