--- a/instance/relay/config.go
+++ b/instance/relay/config.go
@@ -33,8 +33,8 @@
 	NotRun, Seal string
 	// LastEvent is the ID of the last event that the caller of a stream has received.
 	LastEvent string
-	// PromptSegments lists the segments of a prompt. TokenCounts holds the prompt's token count and the maximum
-	// length of the answer.
+	// PromptSegments lists the segments of a prompt. TokenCounts holds the prompt's token count and
+	// the maximum length of the answer.
 	PromptSegments, TokenCounts string
 	// Limit, in a response, is how many requests per second the upstream accepts from all instances
 	// together, as a decimal number.
@@ -78,8 +78,8 @@
 	Announce, DrainTimeout time.Duration
 	// BodyBytes bounds the total size of request bodies held at the same time; zero means no bound.
 	BodyBytes int64
-	// OnRequestBegun, if set, is called once for each request of an organisation that began to run, with the
-	// time since it began.
+	// OnRequestBegun, if set, is called once for each request of an organisation that began to run,
+	// with the time since it began.
 	OnRequestBegun func(organisation string, ago time.Duration)
 	// Quarantine keeps requests away from upstreams that they crash; nil disables it.
 	Quarantine Quarantine
