--- a/instance/plain/claimed.go
+++ b/instance/plain/claimed.go
@@ -10,59 +10,61 @@
 	"github.com/comfreyladder/comfreyladder/instance/upstream"
 )
 
-// resolvedByQuery stands in a claim that was settled by asking the service.
+// resolvedByQuery is recorded as the resolver of a claim whose outcome came from the
+// service's query endpoint.
 const resolvedByQuery = "query"
 
-// result is what a call ends with.
+// result is the return value of a call that runs in its own goroutine.
 type result struct {
 	answer CallAnswer
 	err    error
 }
 
-// claimed makes a call at most once. The call runs on when its caller hangs up,
-// so that its receipt is there for the resend.
-func (h *Handler) claimed(ctx context.Context, r *CallRequest) (CallAnswer, error) {
-	out := make(chan result, 1)
-	h.work.begin()
+// callAtMostOnce executes a call at most once per idempotency key. The call continues when
+// its caller disconnects, so that a resend finds its receipt.
+func (h *Handler) callAtMostOnce(ctx context.Context, r *CallRequest) (CallAnswer, error) {
+	results := make(chan result, 1)
+	h.work.beginCall()
 	go func() {
-		defer h.work.end()
-		answer, err := h.run(context.WithoutCancel(ctx), r)
-		out <- result{answer, err}
+		defer h.work.endCall()
+		answer, err := h.claimAndSend(context.WithoutCancel(ctx), r)
+		results <- result{answer, err}
 	}()
 	select {
-	case res := <-out:
+	case res := <-results:
 		return res.answer, res.err
 	case <-ctx.Done():
-		return CallAnswer{}, h.inProgress(ctx.Err(), "the call goes on without its caller")
+		return CallAnswer{}, h.inProgress(ctx.Err(), "the caller disconnected while the call was running")
 	}
 }
 
 func (h *Handler) inProgress(cause error, detail string) error {
-	f := fault.New(fault.InProgress, "%s; send it again with the same key to learn its outcome", detail)
+	f := fault.New(fault.InProgress, "%s; resend it with the same key to get its outcome", detail)
 	f.Cause = cause
 	return f.WithRetryAfter(h.cfg.RetryAfter)
 }
 
-func (h *Handler) run(ctx context.Context, r *CallRequest) (CallAnswer, error) {
+// claimAndSend claims the key and sends the call if the claim is granted.
+func (h *Handler) claimAndSend(ctx context.Context, r *CallRequest) (CallAnswer, error) {
 	id := h.cfg.NewID()
 	claimedAt := time.Now()
 	cmd := h.claimCommand(r, id)
 	res, err := h.submit(ctx, cmd)
 	if err != nil {
-		// The claim may yet be committed; it is given back, because this
-		// attempt will never be sent.
+		// The claim may still be committed. It is released, because this attempt is
+		// never sent.
 		h.writeLater(&claim.Command{Op: claim.OpRelease, Key: cmd.Key, Attempt: id})
-		f := fault.Wrap(err, fault.NotRun, "the call can't be claimed now and was not run; what became of an earlier one with its key isn't known here")
+		f := fault.Wrap(err, fault.NotRun, "the call could not be claimed and was not run; the outcome of an earlier call with the same key is not known here")
 		return CallAnswer{RequestID: id}, f.WithRetryAfter(h.cfg.RetryAfter)
 	}
 	if res.Verdict == claim.Granted && res.View != nil && res.View.Attempt == id {
-		// A process that was frozen since then finds its time limit passed and
-		// sends nothing: by the ledger its claim counts as left by the dead.
+		// The deadline counts from the claim: a process that was frozen in between must
+		// not send, because the ledger treats a claim as abandoned after its timeout.
 		ctx, done := context.WithDeadline(ctx, claimedAt.Add(r.Service.Timeout))
 		defer done()
 		return h.send(ctx, r, cmd)
 	}
-	return h.known(ctx, r, cmd.Key, res)
+	return h.answerResend(ctx, r, cmd.Key, res)
 }
 
 func (h *Handler) claimCommand(r *CallRequest, id string) *claim.Command {
@@ -77,9 +79,9 @@
 	}
 }
 
-// send makes the one attempt of a granted claim and records what came of it.
+// send makes the only attempt of a granted claim and records its outcome.
 func (h *Handler) send(ctx context.Context, r *CallRequest, c *claim.Command) (CallAnswer, error) {
-	answer, err := h.cfg.Client.Do(ctx, r.Target, r.call(c.Request, freshly))
+	answer, err := h.cfg.Client.Do(ctx, r.Target, r.call(c.Request, freshConnection))
 	if err == nil {
 		outcome := classify(answer.Status)
 		h.write(ctx, &claim.Command{Op: claim.OpReceipt, Key: c.Key, Attempt: c.Attempt, Outcome: outcome, Receipt: receiptOf(answer)})
@@ -91,32 +93,33 @@
 	}
 	h.write(ctx, &claim.Command{Op: op, Key: c.Key, Attempt: c.Attempt})
 	if op == claim.OpUnknown && r.Service.QueryPath != "" {
-		asked, unsettled := h.recover(context.WithoutCancel(ctx), r, c.Key, &claim.View{Attempt: c.Attempt, Request: c.Request, Upstream: c.Upstream})
-		if unsettled == nil {
-			asked.Replayed = false
-			return asked, nil
+		resolved, queryErr := h.queryOutcome(context.WithoutCancel(ctx), r, c.Key, &claim.View{Attempt: c.Attempt, Request: c.Request, Upstream: c.Upstream})
+		if queryErr == nil {
+			resolved.Replayed = false
+			return resolved, nil
 		}
 	}
 	return CallAnswer{RequestID: c.Request}, h.failure(err)
 }
 
-// known answers a call whose key was claimed before.
-func (h *Handler) known(ctx context.Context, r *CallRequest, key claim.Key, res claim.Result) (CallAnswer, error) {
+// answerResend answers a call whose claim was not granted, in most cases because its key
+// is already claimed.
+func (h *Handler) answerResend(ctx context.Context, r *CallRequest, key claim.Key, res claim.Result) (CallAnswer, error) {
 	switch res.Verdict {
 	case claim.Settled:
 		return replay(res.View), nil
 	case claim.InProgress:
-		return CallAnswer{}, h.inProgress(nil, "a call with this key is running")
+		return CallAnswer{}, h.inProgress(nil, "a call with this key is in progress")
 	case claim.KeyReused:
-		return CallAnswer{}, fault.New(fault.Conflict, "this %s was used for a call with other content", headerKey)
+		return CallAnswer{}, fault.New(fault.Conflict, "this %s was used for a call with different content", headerKey)
 	case claim.Full:
-		return CallAnswer{}, fault.New(fault.Overloaded, "there is no room for another claim; the call was not run").WithRetryAfter(h.cfg.RetryAfter)
+		return CallAnswer{}, fault.New(fault.Overloaded, "the claim ledger is full; the call was not run").WithRetryAfter(h.cfg.RetryAfter)
 	case claim.Expired:
-		return CallAnswer{}, fault.New(fault.OutcomeUnknown, "this %s was used, or made, longer ago than receipts are kept", headerKey)
+		return CallAnswer{}, fault.New(fault.OutcomeUnknown, "this %s was used or created before the retention period of receipts", headerKey)
 	case claim.OutcomeUnknown:
-		return h.recover(ctx, r, key, res.View)
+		return h.queryOutcome(ctx, r, key, res.View)
 	}
-	return CallAnswer{}, fault.New(fault.Internal, "a claim was answered with %q", res.Verdict)
+	return CallAnswer{}, fault.New(fault.Internal, "unexpected verdict %q on a claim", res.Verdict)
 }
 
 func replay(v *claim.View) CallAnswer {
@@ -140,11 +143,11 @@
 	return out
 }
 
-// recover asks the service what became of a call, by the ID it was sent with.
-// Whatever it says, the call isn't sent again: that the service doesn't know the
-// ID is no proof, for the call may still be on its way.
-func (h *Handler) recover(ctx context.Context, r *CallRequest, key claim.Key, v *claim.View) (CallAnswer, error) {
-	unknown := fault.New(fault.OutcomeUnknown, "the call %s may have run; it is not repeated", v.Request)
+// queryOutcome queries the service for the outcome of a call by its request ID. The call is
+// never sent again, whatever the response: an ID that the service does not know proves
+// nothing, because the call may still be in transit.
+func (h *Handler) queryOutcome(ctx context.Context, r *CallRequest, key claim.Key, v *claim.View) (CallAnswer, error) {
+	unknown := fault.New(fault.OutcomeUnknown, "the call %s may have run; it is not retried", v.Request)
 	if r.Service.QueryPath == "" {
 		if v.Receipt != nil {
 			return replay(v), nil
@@ -157,7 +160,7 @@
 		unknown.Cause = err
 		return CallAnswer{}, unknown
 	case answer.Status == 202:
-		return CallAnswer{}, h.inProgress(nil, "the service still runs the call")
+		return CallAnswer{}, h.inProgress(nil, "the service is still running the call")
 	case answer.Status != 200:
 		return CallAnswer{}, unknown
 	}
--- a/instance/plain/fakes_test.go
+++ b/instance/plain/fakes_test.go
@@ -23,7 +23,7 @@
 
 const limit = 20 * time.Second
 
-// mood is what the fake service does with one call.
+// mood is how the fake service handles one call.
 type mood int
 
 const (
@@ -37,7 +37,7 @@
 	moodCount = int(rejects) + 1
 )
 
-// service is a fake plain service that dedupes nothing: it counts each effect.
+// service is a fake plain service without deduplication. It counts the effects of each key.
 type service struct {
 	ln   net.Listener
 	wg   sync.WaitGroup
@@ -164,12 +164,12 @@
 	return ok
 }
 
-// ledger applies commands to a claim.Machine, as the control group would.
+// ledger applies commands to a claim.Machine, in place of the control group.
 type ledger struct {
 	mu     sync.Mutex
 	m      *claim.Machine
 	ahead  time.Duration
-	rnd    *rand.Rand // nil: no snapshots and no faults
+	rnd    *rand.Rand // nil disables snapshots and faults
 	cutOff atomic.Bool
 }
 
@@ -216,16 +216,16 @@
 	}
 }
 
-// advance moves the log's clock on, as if time passed.
+// advance moves the ledger's clock forward.
 func (l *ledger) advance(d time.Duration) {
 	l.mu.Lock()
 	l.ahead += d
 	l.mu.Unlock()
 }
 
-// crasher ends the goroutine of a call at a step, as the death of its process
-// would. Step counts from 1: before the claim, after it, before the send, after
-// it, before the receipt, after it.
+// crasher simulates a crash of the process by ending the goroutine of a call at a step. Steps
+// count from 1: before the claim, after it, before the send, after it, before the receipt,
+// after it.
 type crasher struct {
 	plain.Ledger
 	plain.Doer
--- a/instance/plain/handler.go
+++ b/instance/plain/handler.go
@@ -1,14 +1,14 @@
-// Package plain carries calls to plain services. A state-changing call of an
-// at-most-once service is claimed in the ledger before its first byte leaves;
+// Package plain forwards calls to plain services. A state-changing call of an
+// at-most-once service is claimed in the ledger before its first byte is sent;
 // see core/claim for the states. Each call ends in one of four ways: an answer
 // (done or rejected), NotRun with proof, OutcomeUnknown, or InProgress for a
-// resend that came while the first call runs.
+// resend that arrives while the first call is running.
 //
-// The answer is true as soon as the service gave it, so the caller gets it even
-// when its receipt can't be written: withholding it would only make the caller
-// resend. The receipt goes on being written in the background, for a bounded
-// time, and Drain waits for it. If the instance dies before, a resend is told
-// OutcomeUnknown: less than is known, but never a second run.
+// The caller gets the service's answer even when its receipt can't be written:
+// withholding the answer would only make the caller resend. Writing the receipt is
+// retried in the background for a bounded time, and Drain waits for it. If the
+// instance crashes before the receipt is written, a resend gets OutcomeUnknown, but
+// the call never runs twice.
 package plain
 
 import (
@@ -22,36 +22,37 @@
 	"github.com/comfreyladder/comfreyladder/instance/upstream"
 )
 
-// Doer makes one attempt at an upstream; *upstream.Client is one.
+// Doer makes one attempt at an upstream. It is implemented by *upstream.Client.
 type Doer interface {
 	Do(ctx context.Context, t upstream.Target, call upstream.Call) (*upstream.Answer, error)
 }
 
 // Defaults of Config.
 const (
-	// DefaultLedgerTimeout bounds one command to the ledger. It is a few
-	// elections of the control group long; a side that is cut off says so after it.
+	// DefaultLedgerTimeout bounds one command to the ledger. It allows for a few
+	// elections of the control group; in a minority partition, calls fail after it.
 	DefaultLedgerTimeout = 2 * time.Second
-	// DefaultRetryAfter is the hint with a call that was not run.
+	// DefaultRetryAfter is the Retry-After hint for a call that was not run or whose
+	// outcome is still pending.
 	DefaultRetryAfter = 2 * time.Second
-	// DefaultWriteLimit is how long a receipt is tried to be written.
+	// DefaultWriteLimit is how long writing a receipt is retried.
 	DefaultWriteLimit = 5 * time.Minute
-	// DefaultMaxWrites bounds the receipts that wait to be written.
+	// DefaultMaxWrites bounds the receipts and releases that are pending in the background.
 	DefaultMaxWrites = 1024
 )
 
-// Config wires a Handler. Ledger, Client, Instance and NewID are needed.
+// Config configures a Handler. Ledger, Client, Instance and NewID are required.
 type Config struct {
 	Ledger   Ledger
 	Client   Doer
 	Instance string
 	// NewID returns a unique ID of at most 128 letters, digits, "-", "_" and ".".
 	NewID func() string
-	// Locate returns where the named upstream is now, for queries. Nil or false
-	// means that the upstream chosen for the call at hand is asked.
+	// Locate returns the current target of the named upstream, for queries. If it is
+	// nil or returns false, the upstream chosen for the current call is queried.
 	Locate func(name string) (upstream.Target, bool)
-	// AllowRetry takes one retry from the budget, or reports that it is spent.
-	// Nil means that nothing is retried.
+	// AllowRetry takes one retry from the budget and returns false if the budget is
+	// exhausted. Nil disables retries.
 	AllowRetry func() bool
 
 	LedgerTimeout time.Duration
@@ -60,13 +61,13 @@
 	MaxWrites     int
 }
 
-// Handler carries calls. It is safe for concurrent use.
+// Handler forwards calls to plain services. It is safe for concurrent use.
 type Handler struct {
 	cfg  Config
-	work work
+	work pendingWork
 }
 
-// New returns a Handler.
+// New returns a Handler. Zero values of cfg are replaced by the defaults.
 func New(cfg Config) *Handler {
 	setDefault(&cfg.LedgerTimeout, DefaultLedgerTimeout)
 	setDefault(&cfg.RetryAfter, DefaultRetryAfter)
@@ -87,11 +88,11 @@
 	}
 }
 
-// Drain waits until no call runs and no receipt waits to be written, or ctx
-// ends. New calls are the caller's to refuse.
+// Drain waits until no at-most-once call is running and no receipt is pending, or until
+// ctx ends. The caller has to reject new calls.
 func (h *Handler) Drain(ctx context.Context) error { return h.work.wait(ctx) }
 
-// Stop ends background writing. Call Drain before.
+// Stop ends the background writes of receipts. Call Drain first.
 func (h *Handler) Stop() { h.work.stop() }
 
 // CallRequest is one call to a plain service.
@@ -101,7 +102,7 @@
 	// Key is the caller's Idempotency-Key, or empty.
 	Key    string
 	Method string
-	// Path is what the service sees, with its query.
+	// Path is the request target as sent to the service, including the query string.
 	Path    string
 	Headers []upstream.Header
 	Body    []byte
@@ -111,46 +112,46 @@
 
 // CallAnswer is the service's answer.
 type CallAnswer struct {
-	// Outcome is Done, Rejected, or Unknown for an answer that doesn't say
-	// whether the call took effect, such as 500.
+	// Outcome is Done, Rejected, or Unknown for a status that does not show whether
+	// the call took effect, such as 500.
 	Outcome claim.Outcome
-	// Replayed says that the answer is that of an earlier call with the key.
+	// Replayed is set if the answer is that of an earlier call with the same key.
 	Replayed bool
-	// Truncated says that of the earlier answer only the status was kept.
+	// Truncated is set if only the status of the earlier answer was stored.
 	Truncated bool
-	// RequestID is the ID under which the service knows the call. It is set
-	// beside a failure as well once this call had one.
+	// RequestID is the ID that was sent to the service. It is also set on failure if an
+	// ID was assigned to this call.
 	RequestID string
 	Answer    upstream.Answer
 }
 
 const headerKey = "Idempotency-Key"
 
-// maxKeyLen bounds a caller's key, in bytes; the ledger keeps it.
+// maxKeyLen bounds the idempotency key in bytes, because the ledger stores it.
 const maxKeyLen = 256
 
-// Call makes the call. It fails with a typed failure: Invalid (no key where one
-// is needed), Conflict (the key was used with other content), InProgress,
+// Call executes the call. It fails with a typed error: Invalid (the key is missing or too
+// long), Conflict (the key was used with different content), InProgress,
 // Overloaded (the ledger is full; not run), NotRun or OutcomeUnknown.
 func (h *Handler) Call(ctx context.Context, r CallRequest) (CallAnswer, error) {
 	switch {
-	case safe(r.Method):
-		return h.read(ctx, &r)
+	case isSafe(r.Method):
+		return h.callWithRetry(ctx, &r)
 	case len(r.Key) > maxKeyLen:
 		return CallAnswer{}, fault.New(fault.Invalid, "the %s is longer than %d bytes", headerKey, maxKeyLen)
 	case r.Key == "" && r.Service.RequireKey:
-		return CallAnswer{}, fault.New(fault.Invalid, "service %q needs an %s on every call that changes state", r.Service.Name, headerKey)
+		return CallAnswer{}, fault.New(fault.Invalid, "service %q requires an %s on every call that changes state", r.Service.Name, headerKey)
 	case r.Key == "" || !r.Service.AtMostOnce:
-		return h.once(ctx, &r)
+		return h.callOnce(ctx, &r)
 	}
-	return h.claimed(ctx, &r)
+	return h.callAtMostOnce(ctx, &r)
 }
 
-func safe(method string) bool { return method == "GET" || method == "HEAD" }
+func isSafe(method string) bool { return method == "GET" || method == "HEAD" }
 
-// read retries a call without effect once, on a fresh connection, if the budget
-// allows it.
-func (h *Handler) read(ctx context.Context, r *CallRequest) (CallAnswer, error) {
+// callWithRetry executes a safe call (GET or HEAD) and retries it once on a new connection if
+// the retry budget allows it. A refused call is not retried.
+func (h *Handler) callWithRetry(ctx context.Context, r *CallRequest) (CallAnswer, error) {
 	ctx, done := context.WithTimeout(ctx, r.Service.Timeout)
 	defer done()
 	id := h.cfg.NewID()
@@ -165,24 +166,24 @@
 	return CallAnswer{Outcome: claim.Done, RequestID: id, Answer: *answer}, nil
 }
 
-// once sends a call that nothing identifies as equal to another: one attempt, on a
-// fresh connection; see freshly.
-func (h *Handler) once(ctx context.Context, r *CallRequest) (CallAnswer, error) {
+// callOnce makes a single attempt on a new connection (see freshConnection). It serves calls
+// that are not deduplicated: those without a key or of a service that is not at-most-once.
+func (h *Handler) callOnce(ctx context.Context, r *CallRequest) (CallAnswer, error) {
 	ctx, done := context.WithTimeout(ctx, r.Service.Timeout)
 	defer done()
 	id := h.cfg.NewID()
-	answer, err := h.cfg.Client.Do(ctx, r.Target, r.call(id, freshly))
+	answer, err := h.cfg.Client.Do(ctx, r.Target, r.call(id, freshConnection))
 	if err != nil {
 		return CallAnswer{RequestID: id}, h.failure(err)
 	}
 	return CallAnswer{Outcome: classify(answer.Status), RequestID: id, Answer: *answer}, nil
 }
 
-// freshly is how calls go out that may not be repeated. Something between the two
-// ends may have lost track of a pooled connection: the call vanishes in it, and
-// its outcome stays unknown for good though nothing ran. A connection that was
-// opened just now has shown that the way works; one round trip is its price.
-const freshly = true
+// freshConnection makes calls that may not be repeated use a new connection. A middlebox may
+// have dropped the state of a pooled connection: the call is then lost in it and its outcome
+// stays unknown although nothing ran. A newly opened connection has proved that the path
+// works, at the cost of one round trip.
+const freshConnection = true
 
 func (r *CallRequest) call(id string, fresh bool) upstream.Call {
 	headers := make([]upstream.Header, 0, len(r.Headers)+1)
@@ -197,8 +198,8 @@
 	return upstream.Call{RequestID: id, Method: r.Method, Path: r.Path, Headers: headers, Body: r.Body, Fresh: fresh, AllowNoID: true}
 }
 
-// failure tells a failed attempt as NotRun or OutcomeUnknown, and nothing else:
-// a time limit that ran out says nothing about whether the call ran.
+// failure maps a failed attempt to NotRun or OutcomeUnknown only: an expired deadline does
+// not show whether the call ran.
 func (h *Handler) failure(err error) *fault.Error {
 	if upstream.EvidenceOf(err) != upstream.Unknown {
 		return fault.Wrap(err, fault.NotRun, "the call was not run").WithRetryAfter(h.cfg.RetryAfter)
@@ -206,9 +207,9 @@
 	return fault.Wrap(err, fault.OutcomeUnknown, "the call may have run")
 }
 
-// classify reads a whole answer. Only a 4xx is a definite rejection; a service
-// that answers 5xx may have failed after the effect, and 408, 425 and 429 come
-// from parts in front of it as well, which don't know what it did.
+// classify derives the outcome from the status of a complete answer. Only a 4xx is a definite
+// rejection: a service that answers 5xx may have failed after the effect, and 408, 425
+// and 429 are also sent by proxies in front of the service, which don't know what it did.
 func classify(status int) claim.Outcome {
 	switch {
 	case status >= 200 && status < 400:
--- a/instance/plain/handler_test.go
+++ b/instance/plain/handler_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// bench is one service with a ledger and handlers made on demand.
+// bench is a test harness with one service, one ledger and an upstream client.
 type bench struct {
 	*WithT
 	s  *service
@@ -40,7 +40,7 @@
 
 func always(m mood) func(string) mood { return func(string) mood { return m } }
 
-// script gives the moods in turn, then the last one for ever.
+// script returns the moods in order and then repeats the last one.
 func script(moods ...mood) func(string) mood {
 	return func(string) mood {
 		m := moods[0]
@@ -68,7 +68,7 @@
 	b.Expect(b.s.effects("k")).To(Equal(1))
 }
 
-// A caller's app sends the same booking at once to many instances.
+// A client sends the same booking to many instances concurrently: it is sent once.
 func TestConcurrentEqualCallsSendOnce(t *testing.T) {
 	b := newBench(t, always(answers))
 	var wg sync.WaitGroup
@@ -110,8 +110,8 @@
 	}
 }
 
-// The service refuses a booking under load and says that it did not run it. The
-// claim is given back, so that the caller's resend is run.
+// The service rejects a booking under load with proof that it was not run. The claim is
+// released, so that the caller's resend runs.
 func TestRefusedCallMayBeSentAgain(t *testing.T) {
 	b := newBench(t, script(refuses, answers))
 	_, err := b.handler(never).Call(context.Background(), book(b.s, "k"))
@@ -122,9 +122,8 @@
 	b.Expect(b.s.effects("k")).To(Equal(1))
 }
 
-// A failure domain is cut off from the control group. A booking that can't be
-// claimed there is refused at once; sent all the same, its resend in another
-// domain would run a second time.
+// A failure domain is partitioned from the control group. A booking that can't be claimed
+// there fails as not run: if it were sent, its resend in another domain would run it again.
 func TestCutOffSideRunsNothing(t *testing.T) {
 	b := newBench(t, always(answers))
 	b.l.cutOff.Store(true)
@@ -139,9 +138,9 @@
 	b.Expect(err).NotTo(HaveOccurred())
 }
 
-// An instance is killed at each step of a booking; the caller resends at another
-// one. The key has one effect at most, and where the service can be asked, an
-// effect that happened is found.
+// An instance crashes at each step of a booking and the caller resends to another one. The key
+// has at most one effect; if the service has a query endpoint, an effect that happened is
+// found.
 func TestCrashBetweenSteps(t *testing.T) {
 	for _, query := range []string{"", "/query?id={key}"} {
 		for at := 1; at <= crashSteps; at++ {
@@ -166,7 +165,7 @@
 	}
 }
 
-// slowLedger answers claims late, as to a process that is frozen meanwhile.
+// slowLedger delays the response to a claim, as if the process were frozen meanwhile.
 type slowLedger struct {
 	plain.Ledger
 	pause time.Duration
@@ -180,9 +179,9 @@
 	return r, err
 }
 
-// An instance is frozen between its claim and the first byte. By the time it
-// goes on, others are told that the outcome is unknown, and an operator may have
-// settled it. It must not send then.
+// An instance is frozen between its claim and the first byte sent. When it resumes, resends
+// have been answered with an unknown outcome, and an operator may have resolved the claim.
+// It must not send any more.
 func TestFrozenBetweenClaimAndSend(t *testing.T) {
 	b := newBench(t, always(answers))
 	r := book(b.s, "k")
@@ -194,8 +193,8 @@
 	b.Expect(b.s.sent()).To(BeZero())
 }
 
-// A caller gives up before its booking is answered; the answer comes all the
-// same. The resend finds it.
+// A caller disconnects before its booking is answered. The late answer is recorded, and the
+// resend gets it.
 func TestLateAnswerIsRecorded(t *testing.T) {
 	b := newBench(t, always(delays))
 	p := b.handler(never)
@@ -210,9 +209,8 @@
 	b.Expect(b.s.effects("k")).To(Equal(1))
 }
 
-// The control group loses its leader right after a booking ran. The caller gets
-// its answer; the receipt is written once there is a leader again, before the
-// instance may stop.
+// The control group loses its leader right after a booking ran. The caller gets its answer;
+// the receipt is written once there is a leader again, and Drain waits for it.
 func TestReceiptIsWrittenAfterTheLedgerReturns(t *testing.T) {
 	var l atomic.Pointer[ledger]
 	b := newBench(t, func(string) mood {
@@ -246,7 +244,7 @@
 	b.Expect(b.s.sent()).To(Equal(1))
 }
 
-// flaky fails its first attempts as a lost connection would.
+// flaky fails its first attempts like a lost connection.
 type flaky struct {
 	plain.Doer
 	lost  int
--- a/instance/plain/history_test.go
+++ b/instance/plain/history_test.go
@@ -18,7 +18,7 @@
 
 type input struct {
 	key string
-	// count asks the service for the effects at the end of the history.
+	// count reads the number of effects from the service at the end of the history.
 	count bool
 }
 
@@ -28,10 +28,10 @@
 	effects int
 }
 
-// effect is the state of one key: whether it ran, and with which answer.
+// effect is the model's state of one key.
 type effect struct {
 	ran    bool
-	answer string // empty: not seen yet
+	answer string // empty: not observed yet
 }
 
 func step(st, in, out any) []any {
@@ -56,8 +56,8 @@
 	return []any{s}
 }
 
-// atMostOnce is the promise: no key has two effects, and all answers to a key
-// are those of its one effect.
+// atMostOnce is the checked model: no key has two effects, and all answers for a key are
+// those of its only effect.
 var atMostOnce = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{effect{}} },
 	Step: step,
@@ -80,7 +80,7 @@
 	mu    sync.Mutex
 	start time.Time
 	ops   []porcupine.Operation
-	// notRun are the IDs of calls that were told as not run.
+	// notRun holds the IDs of calls that were reported as not run.
 	notRun []string
 }
 
@@ -105,10 +105,10 @@
 	return fault.CodeOf(err)
 }
 
-// Callers resend their bookings at any of three instances while answers get lost,
-// the service refuses or dies, instances are killed between any two steps, and
-// the ledger loses proposals and restarts from snapshots. Whatever happens, no
-// booking has two effects and "not run" is true.
+// Callers resend their bookings to any of three instances while answers are lost, the service
+// rejects calls or drops connections, instances crash between any two steps, and the ledger
+// loses proposals and restarts from snapshots. No booking may have two effects, and no call
+// reported as not run may have run.
 func TestHistoriesOfResends(t *testing.T) {
 	for _, query := range []string{"", "/query?id={key}"} {
 		for seed := int64(1); seed <= 4; seed++ {
@@ -174,18 +174,17 @@
 	}
 	t.Logf("%d calls on %d keys, by outcome: %v", len(h.ops)-len(seen), len(seen), codes)
 	if model := atMostOnce.ToModel(); !porcupine.CheckOperations(model, h.ops) {
-		t.Error("the history breaks at-most-once")
+		t.Error("the history violates at-most-once")
 	}
 	for _, id := range h.notRun {
 		if s.ran(id) {
-			t.Errorf("call %s was told as not run, and it ran", id)
+			t.Errorf("call %s was reported as not run but ran", id)
 		}
 	}
 }
 
-// A service runs each booking and loses its first answers; callers resend until
-// they have one. Without a claim each resend is another booking; with it there
-// is one, and those that can be asked about are answered.
+// A service runs each booking but its first two answers are lost, and callers send up to three
+// times. Without claims each resend runs the booking again; with claims it runs once.
 func TestLostAnswers(t *testing.T) {
 	g := NewWithT(t)
 	doubled := map[bool]int{}
--- a/instance/plain/write.go
+++ b/instance/plain/write.go
@@ -9,10 +9,10 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// Pauses between tries to write a receipt.
+// Bounds of the exponential backoff between attempts to write a receipt.
 const (
-	firstPause = 100 * time.Millisecond
-	maxPause   = 5 * time.Second
+	minRetryInterval = 100 * time.Millisecond
+	maxRetryInterval = 5 * time.Second
 )
 
 func (h *Handler) submit(ctx context.Context, c *claim.Command) (claim.Result, error) {
@@ -21,17 +21,17 @@
 	return h.cfg.Ledger.Submit(ctx, c)
 }
 
-// write records what came of a call: once at once, then in the background. It
-// doesn't heed the call's own time limit, which may have passed.
+// write records the outcome of a call: the first attempt is synchronous, retries run in the
+// background. It ignores the deadline of the call, which may have passed.
 func (h *Handler) write(ctx context.Context, c *claim.Command) {
 	if _, err := h.submit(context.WithoutCancel(ctx), c); err != nil {
 		h.writeLater(c)
 	}
 }
 
-// writeLater tries until the ledger answers, the write limit passes or the
-// handler stops. When too many wait, it gives up at once: the claim then becomes
-// an unknown outcome, which is safe.
+// writeLater retries in the background until the ledger answers, the write limit passes or
+// the handler stops. If too many writes are pending, it drops the command: the claim then
+// becomes an unknown outcome, which is safe.
 func (h *Handler) writeLater(c *claim.Command) {
 	if !h.work.beginWrite(h.cfg.MaxWrites) {
 		return
@@ -40,59 +40,59 @@
 		defer h.work.endWrite()
 		ctx, done := context.WithTimeout(h.work.base, h.cfg.WriteLimit)
 		defer done()
-		pause := firstPause
+		interval := minRetryInterval
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(pause):
+			case <-time.After(interval):
 			}
 			if _, err := h.submit(ctx, c); err == nil {
 				return
 			}
-			pause = min(2*pause, maxPause)
+			interval = min(2*interval, maxRetryInterval)
 		}
 	}()
 }
 
-// work counts what a drain waits for.
-type work struct {
+// pendingWork counts the running calls and pending writes that Drain waits for.
+type pendingWork struct {
 	base context.Context
 	stop context.CancelFunc
 
 	mu     *sync.Mutex
 	calls  int
 	writes int
-	// idle is closed, and made anew, when nothing is left.
+	// idle is closed and replaced when both counts reach zero.
 	idle chan struct{}
 }
 
-func newWork() work {
+func newWork() pendingWork {
 	base, stop := context.WithCancel(context.Background())
-	return work{base: base, stop: stop, mu: &sync.Mutex{}, idle: make(chan struct{})}
+	return pendingWork{base: base, stop: stop, mu: &sync.Mutex{}, idle: make(chan struct{})}
 }
 
-func (w *work) begin() {
+func (w *pendingWork) beginCall() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.calls++
 }
 
-func (w *work) beginWrite(most int) bool {
+func (w *pendingWork) beginWrite(limit int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.writes >= most {
+	if w.writes >= limit {
 		return false
 	}
 	w.writes++
 	return true
 }
 
-func (w *work) end() { w.less(&w.calls) }
+func (w *pendingWork) endCall() { w.decrement(&w.calls) }
 
-func (w *work) endWrite() { w.less(&w.writes) }
+func (w *pendingWork) endWrite() { w.decrement(&w.writes) }
 
-func (w *work) less(n *int) {
+func (w *pendingWork) decrement(n *int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	*n--
@@ -102,7 +102,7 @@
 	}
 }
 
-func (w *work) wait(ctx context.Context) error {
+func (w *pendingWork) wait(ctx context.Context) error {
 	w.mu.Lock()
 	busy, idle := w.calls+w.writes > 0, w.idle
 	w.mu.Unlock()
@@ -113,6 +113,6 @@
 	case <-idle:
 		return nil
 	case <-ctx.Done():
-		return fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "calls run or receipts wait to be written")
+		return fault.Wrap(ctx.Err(), fault.DeadlineExceeded, "calls are running or receipts are pending")
 	}
 }
