--- a/instance/plain/fakes_test.go
+++ b/instance/plain/fakes_test.go
@@ -21,39 +21,39 @@
 	"github.com/comfreyladder/comfreyladder/instance/upstream"
 )
 
-const limit = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// mood is how the fake service handles one call.
-type mood int
+// behaviour is how the fake service handles one call.
+type behaviour int
 
 const (
-	answers   mood = iota // runs the call and answers
-	drops                 // runs the call and drops the connection
-	refuses               // 503 with X-Not-Run
-	dies                  // drops the connection before it runs the call
-	delays                // runs the call and answers after the caller's limit
-	fails                 // runs the call and answers 500
-	rejects               // answers 409 without an effect
+	answers   behaviour = iota // runs the call and answers
+	drops                      // runs the call and drops the connection
+	refuses                    // 503 with X-Not-Run
+	dies                       // drops the connection before it runs the call
+	delays                     // runs the call and answers after the caller's limit
+	fails                      // runs the call and answers 500
+	rejects                    // answers 409 without an effect
 	moodCount = int(rejects) + 1
 )
 
 // service is a fake plain service without deduplication. It counts the effects of each key.
 type service struct {
-	ln   net.Listener
-	wg   sync.WaitGroup
-	mu   sync.Mutex
-	mood func(key string) mood
-	byID map[string]string // the answer of each effect, by request ID
-	keys map[string]int    // effects by idempotency key
-	n    int               // requests that change state
-	reg  map[net.Conn]bool
-	over chan struct{}
+	ln     net.Listener
+	wg     sync.WaitGroup
+	mu     sync.Mutex
+	mood   func(key string) behaviour
+	byID   map[string]string // the answer of each effect, by request ID
+	keys   map[string]int    // effects by idempotency key
+	n      int               // requests that change state
+	conns  map[net.Conn]bool
+	closed chan struct{}
 }
 
-func newService(g Gomega, m func(key string) mood) *service {
+func newService(g Gomega, m func(key string) behaviour) *service {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
-	s := &service{ln: ln, mood: m, byID: map[string]string{}, keys: map[string]int{}, reg: map[net.Conn]bool{}, over: make(chan struct{})}
+	s := &service{ln: ln, mood: m, byID: map[string]string{}, keys: map[string]int{}, conns: map[net.Conn]bool{}, closed: make(chan struct{})}
 	s.wg.Go(func() {
 		for {
 			c, err := ln.Accept()
@@ -61,12 +61,12 @@
 				return
 			}
 			s.mu.Lock()
-			s.reg[c] = true
+			s.conns[c] = true
 			s.mu.Unlock()
 			s.wg.Go(func() {
 				defer c.Close()
 				br := bufio.NewReader(c)
-				for s.one(c, br) {
+				for s.serveOne(c, br) {
 				}
 			})
 		}
@@ -76,9 +76,9 @@
 
 func (s *service) close() {
 	s.ln.Close()
-	close(s.over)
+	close(s.closed)
 	s.mu.Lock()
-	for c := range s.reg {
+	for c := range s.conns {
 		c.Close()
 	}
 	s.mu.Unlock()
@@ -93,7 +93,7 @@
 	fmt.Fprintf(c, "HTTP/1.1 %d x\r\nX-Request-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, id, extra, len(body), body)
 }
 
-func (s *service) one(c net.Conn, br *bufio.Reader) bool {
+func (s *service) serveOne(c net.Conn, br *bufio.Reader) bool {
 	req := &fasthttp.Request{}
 	if req.Read(br) != nil {
 		return false
@@ -125,7 +125,7 @@
 	case delays:
 		select {
 		case <-time.After(100 * time.Millisecond):
-		case <-s.over:
+		case <-s.closed:
 		}
 		answer(c, id, 201, body, "")
 	default:
@@ -168,15 +168,15 @@
 type ledger struct {
 	mu     sync.Mutex
 	m      *claim.Machine
-	ahead  time.Duration
-	rnd    *rand.Rand // nil disables snapshots and faults
+	skew   time.Duration
+	rng    *rand.Rand // nil disables snapshots and faults
 	cutOff atomic.Bool
 }
 
 func newLedger(seed int64) *ledger {
 	l := &ledger{m: claim.New(claim.DefaultLimits)}
 	if seed != 0 {
-		l.rnd = rand.New(rand.NewSource(seed))
+		l.rng = rand.New(rand.NewSource(seed))
 	}
 	return l
 }
@@ -188,14 +188,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	lost := 2
-	if l.rnd != nil {
+	if l.rng != nil {
 		l.snapshot()
-		lost = l.rnd.Intn(20)
+		lost = l.rng.Intn(20)
 	}
 	if lost == 0 {
 		return nil, fault.New(fault.Unavailable, "lost before it was committed")
 	}
-	out := l.m.Apply(0, time.Now().Add(l.ahead), data)
+	out := l.m.Apply(0, time.Now().Add(l.skew), data)
 	if lost == 1 {
 		return nil, fault.New(fault.Unavailable, "committed, answer lost")
 	}
@@ -203,7 +203,7 @@
 }
 
 func (l *ledger) snapshot() {
-	if l.rnd.Intn(4) != 0 {
+	if l.rng.Intn(4) != 0 {
 		return
 	}
 	b, err := l.m.Snapshot()
@@ -219,7 +219,7 @@
 // advance moves the ledger's clock forward.
 func (l *ledger) advance(d time.Duration) {
 	l.mu.Lock()
-	l.ahead += d
+	l.skew += d
 	l.mu.Unlock()
 }
 
@@ -234,7 +234,7 @@
 
 const crashSteps = 6
 
-func (c *crasher) die(step, at int) {
+func (c *crasher) crashAt(step, at int) {
 	if step == at {
 		runtime.Goexit()
 	}
@@ -246,15 +246,15 @@
 		before, after = 1, 2
 	}
 	at := c.at()
-	c.die(before, at)
-	defer c.die(after, at)
+	c.crashAt(before, at)
+	defer c.crashAt(after, at)
 	return c.Ledger.Submit(ctx, cmd)
 }
 
 func (c *crasher) Do(ctx context.Context, t upstream.Target, call upstream.Call) (*upstream.Answer, error) {
 	at := c.at()
-	c.die(3, at)
-	defer c.die(4, at)
+	c.crashAt(3, at)
+	defer c.crashAt(4, at)
 	return c.Doer.Do(ctx, t, call)
 }
 
@@ -262,7 +262,7 @@
 
 func newID() string { return fmt.Sprint("id-", ids.Add(1)) }
 
-func never() int { return 0 }
+func neverCrash() int { return 0 }
 
 func newHandler(l *ledger, d plain.Doer, crash func() int) *plain.Handler {
 	c := &crasher{Ledger: plain.ProposeFunc(l.propose), Doer: d, at: crash}
@@ -274,7 +274,7 @@
 	return &intent.Service{Name: "booking", AtMostOnce: true, RequireKey: true, Timeout: 5 * time.Second, Retention: time.Hour}
 }
 
-func book(s *service, key string) plain.CallRequest {
+func bookingRequest(s *service, key string) plain.CallRequest {
 	return plain.CallRequest{Organisation: "neihu-dishes", Service: booking(), Key: key, Method: "POST", Path: "/book",
 		Body: []byte("parts for " + key), Target: s.target()}
 }
--- a/instance/plain/handler_test.go
+++ b/instance/plain/handler_test.go
@@ -18,17 +18,17 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// bench is a test harness with one service, one ledger and an upstream client.
-type bench struct {
+// harness is a test harness with one service, one ledger and an upstream client.
+type harness struct {
 	*WithT
 	s  *service
 	l  *ledger
 	up *upstream.Client
 }
 
-func newBench(t *testing.T, m func(key string) mood) *bench {
+func newHarness(t *testing.T, m func(key string) behaviour) *harness {
 	g := NewWithT(t)
-	b := &bench{WithT: g, s: newService(g, m), l: newLedger(0), up: upstream.New(upstream.Config{})}
+	b := &harness{WithT: g, s: newService(g, m), l: newLedger(0), up: upstream.New(upstream.Config{})}
 	t.Cleanup(func() {
 		b.up.Close(context.Background())
 		b.s.close()
@@ -36,13 +36,13 @@
 	return b
 }
 
-func (b *bench) handler(crash func() int) *plain.Handler { return newHandler(b.l, b.up, crash) }
+func (b *harness) handler(crash func() int) *plain.Handler { return newHandler(b.l, b.up, crash) }
 
-func always(m mood) func(string) mood { return func(string) mood { return m } }
+func always(m behaviour) func(string) behaviour { return func(string) behaviour { return m } }
 
-// script returns the moods in order and then repeats the last one.
-func script(moods ...mood) func(string) mood {
-	return func(string) mood {
+// script returns the behaviours in order and then repeats the last one.
+func script(moods ...behaviour) func(string) behaviour {
+	return func(string) behaviour {
 		m := moods[0]
 		if len(moods) > 1 {
 			moods = moods[1:]
@@ -52,30 +52,30 @@
 }
 
 func TestReplayAtAnotherInstance(t *testing.T) {
-	b := newBench(t, always(answers))
-	first, err := b.handler(never).Call(context.Background(), book(b.s, "k"))
+	b := newHarness(t, always(answers))
+	first, err := b.handler(neverCrash).Call(context.Background(), bookingRequest(b.s, "k"))
 	b.Expect(err).NotTo(HaveOccurred())
-	again, err := b.handler(never).Call(context.Background(), book(b.s, "k"))
+	again, err := b.handler(neverCrash).Call(context.Background(), bookingRequest(b.s, "k"))
 	b.Expect(err).NotTo(HaveOccurred())
 	b.Expect(again.Replayed).To(BeTrue())
 	b.Expect(again.Answer.Body).To(Equal(first.Answer.Body))
 	b.Expect(again.Answer.Status).To(Equal(201))
 	b.Expect(b.s.effects("k")).To(Equal(1))
-	other := book(b.s, "k")
+	other := bookingRequest(b.s, "k")
 	other.Body = []byte("other parts")
-	_, err = b.handler(never).Call(context.Background(), other)
+	_, err = b.handler(neverCrash).Call(context.Background(), other)
 	b.Expect(fault.CodeOf(err)).To(Equal(fault.Conflict))
 	b.Expect(b.s.effects("k")).To(Equal(1))
 }
 
 // A client sends the same booking to many instances concurrently: it is sent once.
 func TestConcurrentEqualCallsSendOnce(t *testing.T) {
-	b := newBench(t, always(answers))
+	b := newHarness(t, always(answers))
 	var wg sync.WaitGroup
 	for range 16 {
-		p := b.handler(never)
+		p := b.handler(neverCrash)
 		wg.Go(func() {
-			_, err := p.Call(context.Background(), book(b.s, "k"))
+			_, err := p.Call(context.Background(), bookingRequest(b.s, "k"))
 			if code := fault.CodeOf(err); code != "" && code != fault.InProgress {
 				t.Errorf("unexpected: %v", err)
 			}
@@ -87,7 +87,7 @@
 
 func TestOutcomesOfOneCall(t *testing.T) {
 	for name, c := range map[string]struct {
-		mood    mood
+		mood    behaviour
 		code    fault.Code
 		outcome claim.Outcome
 		second  fault.Code
@@ -98,11 +98,11 @@
 		"refused":        {refuses, fault.NotRun, "", fault.NotRun},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, always(c.mood))
-			a, err := b.handler(never).Call(context.Background(), book(b.s, "k"))
+			b := newHarness(t, always(c.mood))
+			a, err := b.handler(neverCrash).Call(context.Background(), bookingRequest(b.s, "k"))
 			b.Expect(fault.CodeOf(err)).To(Equal(c.code))
 			b.Expect(a.Outcome).To(Equal(c.outcome))
-			a, err = b.handler(never).Call(context.Background(), book(b.s, "k"))
+			a, err = b.handler(neverCrash).Call(context.Background(), bookingRequest(b.s, "k"))
 			b.Expect(fault.CodeOf(err)).To(Equal(c.second))
 			b.Expect(a.Outcome).To(Equal(c.outcome))
 			b.Expect(b.s.effects("k")).To(BeNumerically("<=", 1))
@@ -113,11 +113,11 @@
 // The service rejects a booking under load with proof that it was not run. The claim is
 // released, so that the caller's resend runs.
 func TestRefusedCallMayBeSentAgain(t *testing.T) {
-	b := newBench(t, script(refuses, answers))
-	_, err := b.handler(never).Call(context.Background(), book(b.s, "k"))
+	b := newHarness(t, script(refuses, answers))
+	_, err := b.handler(neverCrash).Call(context.Background(), bookingRequest(b.s, "k"))
 	b.Expect(fault.CodeOf(err)).To(Equal(fault.NotRun))
 	b.Expect(fault.From(err).RetryAfter).To(BeNumerically(">", 0))
-	_, err = b.handler(never).Call(context.Background(), book(b.s, "k"))
+	_, err = b.handler(neverCrash).Call(context.Background(), bookingRequest(b.s, "k"))
 	b.Expect(err).NotTo(HaveOccurred())
 	b.Expect(b.s.effects("k")).To(Equal(1))
 }
@@ -125,16 +125,16 @@
 // A failure domain is partitioned from the control group. A booking that can't be claimed
 // there fails as not run: if it were sent, its resend in another domain would run it again.
 func TestCutOffSideRunsNothing(t *testing.T) {
-	b := newBench(t, always(answers))
+	b := newHarness(t, always(answers))
 	b.l.cutOff.Store(true)
-	p := b.handler(never)
-	_, err := p.Call(context.Background(), book(b.s, "k"))
+	p := b.handler(neverCrash)
+	_, err := p.Call(context.Background(), bookingRequest(b.s, "k"))
 	b.Expect(fault.CodeOf(err)).To(Equal(fault.NotRun))
 	b.Expect(fault.From(err).RetryAfter).To(BeNumerically(">", 0))
 	b.Expect(b.s.effects("k")).To(BeZero())
 	b.l.cutOff.Store(false)
 	b.Expect(p.Drain(context.Background())).To(Succeed())
-	_, err = p.Call(context.Background(), book(b.s, "k"))
+	_, err = p.Call(context.Background(), bookingRequest(b.s, "k"))
 	b.Expect(err).NotTo(HaveOccurred())
 }
 
@@ -144,15 +144,15 @@
 func TestCrashBetweenSteps(t *testing.T) {
 	for _, query := range []string{"", "/query?id={key}"} {
 		for at := 1; at <= crashSteps; at++ {
-			b := newBench(t, always(answers))
+			b := newHarness(t, always(answers))
 			ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
-			r := book(b.s, "k")
+			r := bookingRequest(b.s, "k")
 			r.Service.QueryPath = query
 			_, err := b.handler(func() int { return at }).Call(ctx, r)
 			cancel()
 			b.Expect(fault.CodeOf(err)).To(Equal(fault.InProgress))
 			b.l.advance(time.Minute)
-			a, err := b.handler(never).Call(context.Background(), r)
+			a, err := b.handler(neverCrash).Call(context.Background(), r)
 			b.Expect(b.s.effects("k")).To(BeNumerically("<=", 1))
 			known := at == 1 || at == crashSteps || query != "" && at > 3
 			if !known {
@@ -183,8 +183,8 @@
 // have been answered with an unknown outcome, and an operator may have resolved the claim.
 // It must not send any more.
 func TestFrozenBetweenClaimAndSend(t *testing.T) {
-	b := newBench(t, always(answers))
-	r := book(b.s, "k")
+	b := newHarness(t, always(answers))
+	r := bookingRequest(b.s, "k")
 	r.Service.Timeout = 20 * time.Millisecond
 	slow := slowLedger{Ledger: plain.ProposeFunc(b.l.propose), pause: 2 * r.Service.Timeout}
 	p := plain.New(plain.Config{Ledger: slow, Client: b.up, Instance: "test", NewID: newID})
@@ -196,14 +196,14 @@
 // A caller disconnects before its booking is answered. The late answer is recorded, and the
 // resend gets it.
 func TestLateAnswerIsRecorded(t *testing.T) {
-	b := newBench(t, always(delays))
-	p := b.handler(never)
+	b := newHarness(t, always(delays))
+	p := b.handler(neverCrash)
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	_, err := p.Call(ctx, book(b.s, "k"))
+	_, err := p.Call(ctx, bookingRequest(b.s, "k"))
 	b.Expect(fault.CodeOf(err)).To(Equal(fault.InProgress))
 	b.Expect(p.Drain(context.Background())).To(Succeed())
-	a, err := b.handler(never).Call(context.Background(), book(b.s, "k"))
+	a, err := b.handler(neverCrash).Call(context.Background(), bookingRequest(b.s, "k"))
 	b.Expect(err).NotTo(HaveOccurred())
 	b.Expect(a.Replayed).To(BeTrue())
 	b.Expect(b.s.effects("k")).To(Equal(1))
@@ -213,13 +213,13 @@
 // the receipt is written once there is a leader again, and Drain waits for it.
 func TestReceiptIsWrittenAfterTheLedgerReturns(t *testing.T) {
 	var l atomic.Pointer[ledger]
-	b := newBench(t, func(string) mood {
+	b := newHarness(t, func(string) behaviour {
 		l.Load().cutOff.Store(true)
 		return answers
 	})
 	l.Store(b.l)
-	p := b.handler(never)
-	a, err := p.Call(context.Background(), book(b.s, "k"))
+	p := b.handler(neverCrash)
+	a, err := p.Call(context.Background(), bookingRequest(b.s, "k"))
 	b.Expect(err).NotTo(HaveOccurred())
 	b.Expect(a.Outcome).To(Equal(claim.Done))
 	short, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
@@ -227,19 +227,19 @@
 	b.Expect(fault.CodeOf(p.Drain(short))).To(Equal(fault.DeadlineExceeded))
 	b.l.cutOff.Store(false)
 	b.Expect(p.Drain(context.Background())).To(Succeed())
-	a, err = b.handler(never).Call(context.Background(), book(b.s, "k"))
+	a, err = b.handler(neverCrash).Call(context.Background(), bookingRequest(b.s, "k"))
 	b.Expect(err).NotTo(HaveOccurred())
 	b.Expect(a.Replayed).To(BeTrue())
 }
 
 func TestCallsWithoutAKey(t *testing.T) {
-	b := newBench(t, always(drops))
-	_, err := b.handler(never).Call(context.Background(), book(b.s, ""))
+	b := newHarness(t, always(drops))
+	_, err := b.handler(neverCrash).Call(context.Background(), bookingRequest(b.s, ""))
 	b.Expect(fault.CodeOf(err)).To(Equal(fault.Invalid))
 	b.Expect(b.s.sent()).To(BeZero())
-	r := book(b.s, "")
+	r := bookingRequest(b.s, "")
 	r.Service.RequireKey = false
-	_, err = b.handler(never).Call(context.Background(), r)
+	_, err = b.handler(neverCrash).Call(context.Background(), r)
 	b.Expect(fault.CodeOf(err)).To(Equal(fault.OutcomeUnknown))
 	b.Expect(b.s.sent()).To(Equal(1))
 }
@@ -261,11 +261,11 @@
 
 func TestReadsAreRetriedOnceOnAFreshConnection(t *testing.T) {
 	for lost, code := range []fault.Code{"", "", fault.OutcomeUnknown} {
-		b := newBench(t, always(answers))
+		b := newHarness(t, always(answers))
 		f := &flaky{Doer: b.up, lost: lost}
-		r := book(b.s, "")
+		r := bookingRequest(b.s, "")
 		r.Method = "GET"
-		_, err := newHandler(b.l, f, never).Call(context.Background(), r)
+		_, err := newHandler(b.l, f, neverCrash).Call(context.Background(), r)
 		b.Expect(fault.CodeOf(err)).To(Equal(code))
 		if lost > 0 {
 			b.Expect(f.calls).To(HaveLen(2))
--- a/instance/plain/history_test.go
+++ b/instance/plain/history_test.go
@@ -122,28 +122,28 @@
 	g := NewWithT(t)
 	var mu sync.Mutex
 	rnd := rand.New(rand.NewSource(seed))
-	draw := func(n int) int {
+	random := func(n int) int {
 		mu.Lock()
 		defer mu.Unlock()
 		return rnd.Intn(n)
 	}
-	moods := []mood{answers, drops, refuses, dies, delays}
-	s := newService(g, func(string) mood { return moods[draw(len(moods))] })
+	moods := []behaviour{answers, drops, refuses, dies, delays}
+	s := newService(g, func(string) behaviour { return moods[random(len(moods))] })
 	up := upstream.New(upstream.Config{MaxIdle: time.Second})
 	l := newLedger(seed)
 	var handlers []*plain.Handler
 	for range 3 {
-		handlers = append(handlers, newHandler(l, up, func() int { return draw(8 * crashSteps) }))
+		handlers = append(handlers, newHandler(l, up, func() int { return random(8 * crashSteps) }))
 	}
 	h := &history{start: time.Now()}
 	var wg sync.WaitGroup
 	for c := range clients {
 		wg.Go(func() {
 			for i := range sends {
-				r := book(s, fmt.Sprintf("%d-%d", i/3, draw(keys/4)))
+				r := bookingRequest(s, fmt.Sprintf("%d-%d", i/3, random(keys/4)))
 				r.Service.QueryPath = query
-				h.call(c, handlers[draw(len(handlers))], r)
-				if draw(10) == 0 {
+				h.call(c, handlers[random(len(handlers))], r)
+				if random(10) == 0 {
 					l.advance(8 * time.Second)
 				}
 			}
@@ -151,7 +151,7 @@
 	}
 	wg.Wait()
 	for _, p := range handlers {
-		ctx, done := context.WithTimeout(context.Background(), limit)
+		ctx, done := context.WithTimeout(context.Background(), testTimeout)
 		g.Expect(p.Drain(ctx)).To(Succeed())
 		done()
 		p.Stop()
@@ -191,16 +191,16 @@
 	for _, claimed := range []bool{false, true} {
 		const keys = 40
 		sent := map[string]int{}
-		s := newService(g, func(k string) mood {
+		s := newService(g, func(k string) behaviour {
 			if sent[k]++; sent[k] <= 2 {
 				return drops
 			}
 			return answers
 		})
 		up := upstream.New(upstream.Config{})
-		p := newHandler(newLedger(0), up, never)
+		p := newHandler(newLedger(0), up, neverCrash)
 		for i := range keys {
-			r := book(s, fmt.Sprint("k", i))
+			r := bookingRequest(s, fmt.Sprint("k", i))
 			r.Service.AtMostOnce = claimed
 			for range 3 {
 				if _, err := p.Call(context.Background(), r); err == nil {
--- a/instance/registry/bench_test.go
+++ b/instance/registry/bench_test.go
@@ -32,10 +32,9 @@
 	registry *registry.Service
 }
 
-// BenchmarkDomain runs links, membership and the upstreams' view of a failure
-// domain of the size that is designed for, all in this process, and reports what
-// one instance receives and spends. One run takes a fixed time, so that ns/op
-// says nothing.
+// BenchmarkDomain runs the links, membership and registries of a failure domain of the size that
+// the system is designed for in one process and reports the traffic and processor time per
+// instance. One run takes a fixed time, so ns/op is meaningless.
 func BenchmarkDomain(b *testing.B) {
 	var all []*daemon
 	seed := ""
--- a/instance/registry/registry.go
+++ b/instance/registry/registry.go
@@ -1,6 +1,5 @@
-// Package registry runs a failure domain's view of its upstreams: it takes
-// announcements in, relays them to the domain's other instances and publishes
-// snapshots.
+// Package registry maintains an instance's view of the upstreams in its failure domain: it
+// accepts announcements, relays them to the domain's other instances and publishes snapshots.
 package registry
 
 import (
@@ -23,19 +22,19 @@
 )
 
 const (
-	// DefaultInterval is how long accepted beats wait to be relayed together
-	// to the peer that needs them first, and to all when an upstream came or
-	// went; it adds that much to the age of what is known there.
+	// DefaultInterval is how long accepted beats are batched before they are relayed to the
+	// scheduler. Its peers get them at every fourth interval, or at the next one when an upstream
+	// came or went. The interval adds to the age of what a peer knows.
 	DefaultInterval = 100 * time.Millisecond
-	// relayIntervals is how many intervals beats wait for the other peers. An
-	// upstream's next beat still arrives 2 s before the last one's lifetime of
-	// 3 s ends, so that one lost message does no harm.
+	// relayIntervals is the number of intervals between relays to the other peers. An
+	// upstream's next beat still arrives 2 s before the lifetime of 3 s of the last one ends,
+	// so that one lost message does no harm.
 	relayIntervals = 4
-	// maxPending bounds the beats that wait for the next relay.
+	// maxPending bounds the beats that are queued for the next relay.
 	maxPending = core.MaxUpstreams
 )
 
-// Links is what this service needs of instance/link.
+// Links is the part of instance/link that this service uses.
 type Links interface {
 	Send(to, channel string, msg any) error
 	Handle(channel string, h link.Handler, options ...link.ChannelOption)
@@ -49,29 +48,30 @@
 	Links  Links
 	// Peers returns the names of the domain's other instances.
 	Peers func() []string
-	// First returns the peer that acts on the upstreams' load: the domain's
-	// scheduler. It is told at each interval, the others at every fourth. Nil,
-	// or an empty name, tells all at each interval.
+	// First returns the peer that acts on the upstreams' load: the domain's scheduler. Beats
+	// are relayed to it at each interval, to the others at every fourth. If it is nil or returns
+	// an empty name, beats are relayed to all peers at each interval.
 	First func() string
 	Log   zerolog.Logger
-	// Interval of relays and of the check for silent upstreams; zero means
+	// Interval is the period of relays and of the check for silent upstreams; zero means
 	// DefaultInterval.
 	Interval time.Duration
 	// OnChange is called with each new snapshot, in order. It must not block.
 	OnChange func(*core.View)
 }
 
-// batch is one message to the peers.
+// batch is a message of relayed beats.
 type batch struct {
 	Beats  []core.RelayedBeat `codec:"b,omitempty"`
 	Briefs []core.CompactBeat `codec:"s,omitempty"`
 }
 
-// want asks for the whole beats of upstreams that a peer knows.
+// want requests the full beats of upstreams of which a peer has sent compact beats.
 type want struct {
 	Refs []uint64 `codec:"r"`
 }
 
+// pending is a beat that is queued since at.
 type pending struct {
 	m  core.RelayedBeat
 	at time.Time
@@ -83,20 +83,21 @@
 	view  atomic.Pointer[core.View]
 	mu    sync.Mutex
 	state *core.Registry
-	// queue waits for all peers; its entries from fresh on came since the last
-	// interval. hurry says that it may not wait, as an upstream came or went.
-	queue  []pending
-	fresh  int
-	hurry  bool
-	ticks  int
-	first  string // who was told first at the last relay
-	waits  bool   // somebody else acts on the load, so that it may be shown late
-	turns  uint64 // as of the published view
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+	// queue holds the beats for the next relay to all peers. Those from index unsent on came
+	// since the last interval. sendNow makes the next tick relay to all peers, because an
+	// upstream came or went.
+	queue            []pending
+	unsent           int
+	sendNow          bool
+	ticks            int
+	lastFirst        string // the scheduler at the last relay
+	deferLoad        bool   // another instance acts on the load, so it may be published late
+	publishedChanges uint64 // membership changes in the published view
+	cancel           context.CancelFunc
+	done             sync.WaitGroup
 }
 
-// New returns a service that is not started; it registers its channel.
+// New returns a service that is not started. It registers its channels.
 func New(cfg Config) *Service {
 	if cfg.Interval <= 0 {
 		cfg.Interval = DefaultInterval
@@ -104,11 +105,11 @@
 	s := &Service{cfg: cfg, state: core.New(cfg.Domain)}
 	s.view.Store(s.state.View())
 	cfg.Links.Handle(channelBeats, s.receive, link.Lossy())
-	cfg.Links.Handle(channelWant, s.wanted, link.Lossy())
+	cfg.Links.Handle(channelWant, s.handleWant, link.Lossy())
 	return s
 }
 
-// Start begins to relay beats and to expire silent upstreams.
+// Start starts to relay beats and to expire silent upstreams.
 func (s *Service) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// Stop ends the relays.
+// Stop stops the relays.
 func (s *Service) Stop(context.Context) error {
 	if s.cancel != nil {
 		s.cancel()
@@ -125,15 +126,14 @@
 	return nil
 }
 
-// View returns the latest snapshot of the upstreams that may be given new work.
-// Their coming and going shows at once, their load within Config.Interval where
-// it is acted on and within four of them elsewhere.
+// View returns the latest snapshot of the upstreams that may be given new work. Upstreams that
+// come or go appear in it at once. Their load appears within one Config.Interval at the
+// scheduler and within four at other instances.
 func (s *Service) View() *core.View { return s.view.Load() }
 
-// Announce takes in a beat that an upstream sent to this instance. It fails with
-// fault.Invalid for a malformed beat or one of another failure domain and with
-// fault.Overloaded when too many upstreams are known; a late or repeated beat is
-// no failure.
+// Announce processes a beat that an upstream sent to this instance. It fails with fault.Invalid
+// for a malformed beat or one of another failure domain and with fault.Overloaded when too
+// many upstreams are known. A late or repeated beat is ignored without an error.
 func (s *Service) Announce(beat announce.Heartbeat) error {
 	if err := beat.Validate(); err != nil {
 		return err
@@ -143,38 +143,38 @@
 	defer s.mu.Unlock()
 	switch s.state.Apply(now, beat) {
 	case core.WrongDomain:
-		return fault.New(fault.Invalid, "domain: %q is not %q, whose instances this one belongs to", beat.Domain, s.cfg.Domain)
+		return fault.New(fault.Invalid, "domain: %q does not match this instance's failure domain %q", beat.Domain, s.cfg.Domain)
 	case core.Full:
-		return fault.New(fault.Overloaded, "%d upstreams are known already", core.MaxUpstreams)
+		return fault.New(fault.Overloaded, "the limit of %d known upstreams is reached", core.MaxUpstreams)
 	case core.Accepted:
 		s.enqueue(pending{core.RelayedBeat{Beat: beat, Remaining: min(beat.TTL(), core.MaxSilence)}, now})
-		s.publishTurns()
+		s.publishMembershipChanges()
 	}
 	return nil
 }
 
-// enqueue keeps a beat for the next relay; the oldest goes when there are too
-// many, as its upstream sends another one within a second.
+// enqueue adds a beat to the queue for the next relay. A full queue drops its oldest beat,
+// because its upstream sends another one within a second.
 func (s *Service) enqueue(p pending) {
 	if len(s.queue) >= maxPending {
 		s.queue = s.queue[1:]
-		s.fresh = max(s.fresh-1, 0)
+		s.unsent = max(s.unsent-1, 0)
 	}
 	s.queue = append(s.queue, p)
 }
 
-// publishTurns publishes at once when an upstream came or went. Other changes,
-// which come with each beat, wait for the next tick: a snapshot for each of them
-// took a quarter of what a domain of 21 instances spends on control.
-func (s *Service) publishTurns() {
-	if s.state.MembershipChanges() != s.turns {
-		s.hurry = true
+// publishMembershipChanges publishes a snapshot at once when an upstream came or went. Other
+// changes, which come with each beat, wait for the next tick: a snapshot for each of them took
+// a quarter of what a domain of 21 instances spends on control.
+func (s *Service) publishMembershipChanges() {
+	if s.state.MembershipChanges() != s.publishedChanges {
+		s.sendNow = true
 		s.publish()
 	}
 }
 
 func (s *Service) publish() {
-	s.turns = s.state.MembershipChanges()
+	s.publishedChanges = s.state.MembershipChanges()
 	v := s.state.View()
 	if v == s.view.Load() {
 		return
@@ -190,26 +190,26 @@
 	if err := m.Decode(&b); err != nil {
 		return nil, err
 	}
-	if unknown := s.take(time.Now(), from, b); len(unknown) > 0 {
+	if unknown := s.applyBatch(time.Now(), from, b); len(unknown) > 0 {
 		return nil, s.cfg.Links.Send(from, channelWant, want{unknown})
 	}
 	return nil, nil
 }
 
-// take applies a peer's beats and returns the references of brief beats that
-// cannot be understood, as too little is known of their upstreams.
-func (s *Service) take(now time.Time, from string, b batch) []uint64 {
+// applyBatch applies a peer's beats and returns the references of compact beats whose omitted
+// fields are not known here.
+func (s *Service) applyBatch(now time.Time, from string, b batch) []uint64 {
 	var unknown []uint64
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.state.Expire(now)
 	for _, r := range b.Beats {
 		if err := r.Beat.Validate(); err != nil {
-			s.cfg.Log.Warn().Err(err).Str("peer", from).Msg("relayed beat refused")
+			s.cfg.Log.Warn().Err(err).Str("peer", from).Msg("relayed beat rejected")
 			continue
 		}
-		// A leave is relayed by each that hears it first, since no later beat
-		// makes up for a lost one.
+		// Each instance relays a leave once more, because no later beat makes up for a
+		// lost one.
 		if s.state.ApplyRelayed(now, r) == core.Accepted && r.Beat.Leave {
 			s.enqueue(pending{r, now})
 		}
@@ -219,12 +219,12 @@
 			unknown = append(unknown, brief.Ref)
 		}
 	}
-	s.publishTurns()
+	s.publishMembershipChanges()
 	return unknown
 }
 
-// wanted answers a peer that lacks whole beats.
-func (s *Service) wanted(_ context.Context, from string, m link.Message) (any, error) {
+// handleWant sends full beats to a peer that requested them.
+func (s *Service) handleWant(_ context.Context, from string, m link.Message) (any, error) {
 	var w want
 	if err := m.Decode(&w); err != nil {
 		return nil, err
@@ -260,13 +260,13 @@
 func (s *Service) tick(now time.Time) {
 	s.mu.Lock()
 	for _, name := range s.state.Expire(now) {
-		s.cfg.Log.Warn().Str("upstream", name).Msg("upstream silent, no new work")
+		s.cfg.Log.Warn().Str("upstream", name).Msg("upstream is silent, no new work is assigned to it")
 	}
-	if s.state.MembershipChanges() != s.turns {
+	if s.state.MembershipChanges() != s.publishedChanges {
 		s.publish()
 	}
 	s.ticks++
-	if !s.waits || s.ticks%relayIntervals == 0 {
+	if !s.deferLoad || s.ticks%relayIntervals == 0 {
 		s.publish()
 	}
 	waiting := len(s.queue) > 0
@@ -276,25 +276,25 @@
 	}
 }
 
-// relay sends what waits: all of it to all peers when it is time for that, else
-// what is fresh to the first. A peer that has just become the first one has got
-// nothing of what waits, nor has the one that was it before missed anything.
+// relay sends the queued beats: all of them to all peers when a relay to all is due, otherwise
+// the unsent ones to the scheduler. A peer that has just become the scheduler lacks all queued
+// beats, while the former scheduler has them already; so a change causes a relay to all.
 func (s *Service) relay(now time.Time) {
 	first := ""
 	if s.cfg.First != nil {
 		first = s.cfg.First()
 	}
 	s.mu.Lock()
-	changed := first != s.first
-	toAll := first == "" || changed || s.hurry || s.ticks%relayIntervals == 0
-	fresh := packed(now, s.queue[s.fresh:])
+	changed := first != s.lastFirst
+	toAll := first == "" || changed || s.sendNow || s.ticks%relayIntervals == 0
+	fresh := newBatch(now, s.queue[s.unsent:])
 	all := fresh
 	if toAll {
-		all = packed(now, s.queue)
-		s.queue, s.hurry = nil, false
+		all = newBatch(now, s.queue)
+		s.queue, s.sendNow = nil, false
 	}
-	s.first, s.fresh = first, len(s.queue)
-	s.waits = first != "" && first != s.cfg.Self
+	s.lastFirst, s.unsent = first, len(s.queue)
+	s.deferLoad = first != "" && first != s.cfg.Self
 	s.mu.Unlock()
 	for _, peer := range s.cfg.Peers() {
 		switch {
@@ -306,8 +306,9 @@
 	}
 }
 
-// packed makes a message of beats that were held.
-func packed(now time.Time, held []pending) (b batch) {
+// newBatch builds a message from queued beats, in compact form where possible. It drops expired
+// ones.
+func newBatch(now time.Time, held []pending) (b batch) {
 	for _, p := range held {
 		m, ok := core.WithDelay(p.m, now.Sub(p.at))
 		if !ok {
@@ -327,6 +328,6 @@
 		return
 	}
 	if err := s.cfg.Links.Send(peer, channelBeats, b); err != nil {
-		s.cfg.Log.Debug().Err(err).Str("peer", peer).Msg("beats not relayed")
+		s.cfg.Log.Debug().Err(err).Str("peer", peer).Msg("failed to relay beats")
 	}
 }
--- a/instance/registry/registry_test.go
+++ b/instance/registry/registry_test.go
@@ -49,9 +49,9 @@
 	return s
 }
 
-// Story: an upstream says to one instance that it leaves, and the link from there
-// to a third one is down. The second one passes the leave on, so that the third
-// gives it no more work, although earlier beats would still allow it.
+// An upstream announces its leave to one instance, whose link to a third one is down. The second
+// one relays the leave, so that the third gives the upstream no more work although earlier
+// beats would still allow it.
 func TestLeavesArePassedOn(t *testing.T) {
 	g := NewWithT(t)
 	b := &book{}
@@ -65,8 +65,8 @@
 	leave.Sequence, leave.Leave = 1<<40, true
 	g.Expect(three.Announce(beat)).To(Succeed())
 	g.Expect(one.Announce(leave)).To(Succeed())
-	// The upstream's own late beats go on reaching the third one meanwhile, so
-	// that it is not silence that ends it.
+	// The upstream's late beats still reach the third instance, so that it is not dropped
+	// for silence.
 	g.Eventually(func() any {
 		beat.Sequence++
 		g.Expect(three.Announce(beat)).To(Succeed())
@@ -74,9 +74,8 @@
 	}, limit).Should(BeNil())
 }
 
-// Story: an upstream's announcements reach one instance of its failure domain.
-// The other one uses the upstream as well, and stops doing so when the upstream
-// leaves, or dies without a word.
+// An upstream's announcements reach one instance of its failure domain. The other one learns of
+// the upstream too, and drops it when it leaves or dies without a leave.
 func TestUpstreamsAreKnownInTheWholeDomain(t *testing.T) {
 	g := NewWithT(t)
 	b := &book{}
@@ -106,7 +105,7 @@
 		beat.Sequence++
 		g.Expect(two.Announce(beat)).To(Succeed())
 		return append(names(one)(), names(two)()...)
-	}, limit, "100ms").Should(Equal([]string{"e1", "e1"}), "the dead one is given up")
+	}, limit, "100ms").Should(Equal([]string{"e1", "e1"}), "the dead upstream is dropped")
 
 	beat.Sequence++
 	beat.Leave = true
--- a/instance/registry/relay_test.go
+++ b/instance/registry/relay_test.go
@@ -17,14 +17,14 @@
 	"github.com/comfreyladder/comfreyladder/instance/registry"
 )
 
-// post keeps what a registry sends to each peer.
+// post records what a registry sends to each peer.
 type post struct {
 	mu       sync.Mutex
 	messages map[string]int
 	seen     map[string]map[uint64]bool
 }
 
-// sent is the form of the messages on the wire.
+// sent is the encoding of the messages.
 type sent struct {
 	Beats  []core.RelayedBeat `codec:"b"`
 	Briefs []core.CompactBeat `codec:"s"`
@@ -61,10 +61,9 @@
 	}
 }
 
-// Story: each instance of a domain tells each other one of every beat, and spends
-// its share of the processor on that. Only the scheduler acts on load, so that the
-// others can wait and get several beats in one message; they must still get all,
-// also those that wait while another instance becomes the scheduler.
+// Relaying every beat to every peer at once costs each instance processor time, and only the
+// scheduler acts on load. So the other peers get several beats in one message, but must still
+// get all of them, including those queued while another instance becomes the scheduler.
 func TestTheSchedulerIsToldFirst(t *testing.T) {
 	g := NewWithT(t)
 	p := &post{messages: map[string]int{}, seen: map[string]map[uint64]bool{}}
@@ -94,7 +93,8 @@
 	g.Expect(first).To(Equal(beats))
 	g.Expect(others).To(BeNumerically("<=", beats/2))
 	for n := range beats {
-		// Every seventh, so that what waits for all is not always the same.
+		// The scheduler changes at every seventh beat, so that the number of queued beats
+		// varies.
 		if n%7 == 0 {
 			scheduler.Store([]string{"three", "four"}[n/7%2])
 		}
