--- a/instance/member/book.go
+++ b/instance/member/book.go
@@ -1,20 +1,19 @@
-// Package member runs the membership of one instance: it sends heartbeats over
-// links, feeds core/member with what comes, and tells links where instances are.
+// Package member runs the membership protocol of one instance: it exchanges heartbeats over
+// links, maintains the core/member table from them and updates the links' addresses.
 package member
 
 import (
 	"sync/atomic"
 )
 
-// Book is the address book of an instance's links. It is made before both, as
+// Book is the address book of an instance's links. It is created before both services, because
 // links need it and membership needs links.
 type Book struct {
 	addresses atomic.Pointer[map[string]string]
 }
 
-// NewBook returns a book that knows the seeds: "ip:port" addresses of peer
-// listeners from the settings. Until an instance's name is known, its address
-// stands for the name.
+// NewBook returns a book that contains the seeds: "ip:port" addresses of peer listeners from the
+// settings. Until an instance's name is known, its address is used as its name.
 func NewBook(seeds []string) *Book {
 	b := &Book{}
 	known := map[string]string{}
--- a/instance/member/member.go
+++ b/instance/member/member.go
@@ -20,25 +20,24 @@
 
 // Defaults of Config.
 const (
-	// DefaultInterval of heartbeats fits core/member's DefaultConfig.
+	// DefaultInterval of heartbeats matches core/member's DefaultConfig.
 	DefaultInterval = time.Second
-	// DefaultLeaveTimeout bounds how long a leave waits for the others' word
-	// that they know.
+	// DefaultLeaveTimeout bounds how long a leave waits for the acknowledgements of its peers.
 	DefaultLeaveTimeout = time.Second
 )
 
-// digestRounds is how many heartbeats there are for one message to the other
-// failure domains, which need to know less.
+// digestRounds is the number of heartbeat rounds per digest sent to the other failure domains,
+// which need less detail.
 const digestRounds = 5
 
-// The first startRounds rounds follow each other startHaste times faster, so
-// that an instance that starts is known, and knows the others, soon.
+// The first startRounds rounds run startSpeedup times faster, so that a starting instance and
+// its peers learn of each other quickly.
 const (
-	startRounds = 10
-	startHaste  = 5
+	startRounds  = 10
+	startSpeedup = 5
 )
 
-// Links is what this service needs of instance/link.
+// Links is the part of instance/link that this service uses.
 type Links interface {
 	Send(to, channel string, msg any) error
 	Call(ctx context.Context, to, channel string, req, resp any) error
@@ -48,8 +47,8 @@
 
 // Config of a Service.
 type Config struct {
-	// Self is this instance; its incarnation must exceed that of any earlier
-	// start under the same name, such as the time of the start.
+	// Self is this instance. Its incarnation must exceed that of any earlier start under the
+	// same name; the start time meets this.
 	Self  core.Info
 	Seeds []string
 	Book  *Book
@@ -58,7 +57,7 @@
 	Log   zerolog.Logger
 	// Interval of heartbeats; zero means DefaultInterval.
 	Interval time.Duration
-	// OnSuperseded is called once when a newer process has this one's name.
+	// OnSuperseded is called once when a newer process uses this instance's name.
 	OnSuperseded func()
 	// OnChange is called after each round, from the service's goroutine.
 	OnChange func()
@@ -66,17 +65,17 @@
 
 // Service runs one instance's membership.
 type Service struct {
-	cfg    Config
-	mu     sync.Mutex
-	table  *core.Table
-	round  int
-	told   bool
-	hurry  chan struct{}
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+	cfg                Config
+	mu                 sync.Mutex
+	table              *core.Table
+	round              int
+	supersededReported bool
+	sendNow            chan struct{}
+	cancel             context.CancelFunc
+	done               sync.WaitGroup
 }
 
-// New returns a service that is not started; it registers its channels.
+// New returns a service that is not started. It registers its channels.
 func New(cfg Config) *Service {
 	if cfg.Interval <= 0 {
 		cfg.Interval = DefaultInterval
@@ -84,13 +83,13 @@
 	if cfg.Table == (core.Config{}) {
 		cfg.Table = core.DefaultConfig()
 	}
-	s := &Service{cfg: cfg, table: core.New(cfg.Table, cfg.Self), hurry: make(chan struct{}, 1)}
+	s := &Service{cfg: cfg, table: core.New(cfg.Table, cfg.Self), sendNow: make(chan struct{}, 1)}
 	cfg.Links.Handle(channelBeat, s.receive, link.Lossy(), link.Lazy())
 	cfg.Links.Handle(channelLeave, s.receive)
 	return s
 }
 
-// Start begins to send heartbeats.
+// Start starts sending heartbeats.
 func (s *Service) Start(context.Context) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.cancel = cancel
@@ -98,9 +97,8 @@
 	return nil
 }
 
-// Stop leaves: it tells all peers that this instance ends and waits for their
-// word, for DefaultLeaveTimeout at most. Those that did not hear it find out by
-// silence.
+// Stop leaves the failure domain: it notifies all live peers and waits for their acknowledgements,
+// for DefaultLeaveTimeout at most. Peers that miss the message detect the leave by silence.
 func (s *Service) Stop(ctx context.Context) error {
 	if s.cancel == nil {
 		return nil
@@ -112,22 +110,22 @@
 	s.mu.Lock()
 	s.table.Leave()
 	m := s.table.Heartbeat()
-	peers := s.alive(time.Now())
+	peers := s.livePeers(time.Now())
 	s.mu.Unlock()
-	var told sync.WaitGroup
+	var calls sync.WaitGroup
 	for _, name := range peers {
-		told.Go(func() {
+		calls.Go(func() {
 			if err := s.cfg.Links.Call(ctx, name, channelLeave, m, nil); err != nil {
-				s.cfg.Log.Debug().Err(err).Str("peer", name).Msg("leave not confirmed")
+				s.cfg.Log.Debug().Err(err).Str("peer", name).Msg("leave was not acknowledged")
 			}
 		})
 	}
-	told.Wait()
+	calls.Wait()
 	return nil
 }
 
-// alive returns the peers of the failure domain that can be expected to answer.
-func (s *Service) alive(now time.Time) []string {
+// livePeers returns the peers of the failure domain that can be expected to answer.
+func (s *Service) livePeers(now time.Time) []string {
 	var names []string
 	for _, m := range s.table.Members(now) {
 		if m.Name != s.cfg.Self.Name && m.Domain == s.cfg.Self.Domain && m.Status < core.Dead {
@@ -141,16 +139,16 @@
 	ticker := time.NewTicker(s.cfg.Interval)
 	defer ticker.Stop()
 	for {
-		s.beat(time.Now())
+		s.runRound(time.Now())
 		switch {
 		case s.round <= startRounds:
-			ticker.Reset(s.cfg.Interval / startHaste)
+			ticker.Reset(s.cfg.Interval / startSpeedup)
 		case s.round == startRounds+1:
 			ticker.Reset(s.cfg.Interval)
 		}
 		select {
 		case <-ticker.C:
-		case <-s.hurry:
+		case <-s.sendNow:
 		case <-ctx.Done():
 			return
 		}
@@ -169,27 +167,27 @@
 	defer s.mu.Unlock()
 	if s.table.Receive(time.Now(), msg) {
 		select {
-		case s.hurry <- struct{}{}:
+		case s.sendNow <- struct{}{}:
 		default:
 		}
 	}
 	return nil, nil
 }
 
-// outgoing is one message with those it goes to.
+// outgoing is one message and its recipients.
 type outgoing struct {
 	to  []string
 	msg core.Message
 }
 
-func (s *Service) beat(now time.Time) {
+func (s *Service) runRound(now time.Time) {
 	s.mu.Lock()
 	s.table.Tick(now)
 	s.round++
-	out := s.plan(now)
+	out := s.planRound(now)
 	forgotten := s.refreshBook()
-	superseded := s.table.Superseded() && !s.told
-	s.told = s.told || superseded
+	superseded := s.table.Superseded() && !s.supersededReported
+	s.supersededReported = s.supersededReported || superseded
 	s.mu.Unlock()
 
 	for _, name := range forgotten {
@@ -198,7 +196,7 @@
 	for _, o := range out {
 		for _, to := range o.to {
 			if err := s.cfg.Links.Send(to, channelBeat, o.msg); err != nil {
-				s.cfg.Log.Debug().Err(err).Str("peer", to).Msg("heartbeat not sent")
+				s.cfg.Log.Debug().Err(err).Str("peer", to).Msg("failed to send heartbeat")
 			}
 		}
 	}
@@ -210,38 +208,38 @@
 	}
 }
 
-// plan says what goes to whom in this round: a heartbeat to each peer, all that
-// is known to one of them in turn, and every few rounds the failure domain's
-// digest to other domains, from its delegate only.
-func (s *Service) plan(now time.Time) []outgoing {
+// planRound returns the messages of this round: a heartbeat to each peer, the full state to one
+// peer in rotation, and every digestRounds rounds the failure domain's digest to the other
+// domains, sent by its delegate only.
+func (s *Service) planRound(now time.Time) []outgoing {
 	beat := s.table.Heartbeat()
 	peers := s.table.Peers()
 	out := []outgoing{{to: peers, msg: beat}}
 	if len(peers) > 0 {
 		full := s.table.FullHeartbeat(now)
-		turn := s.round
+		rotation := s.round
 		if s.round%digestRounds == 0 {
-			// Digests take turns of their own: counted in rounds they would reach
-			// only some of 5, 10, 15 or 20 peers, ever the same ones.
-			turn = s.round / digestRounds
+			// Digests have their own rotation: rotated by rounds, they would always reach
+			// the same few of 5, 10, 15 or 20 peers.
+			rotation = s.round / digestRounds
 		} else {
 			full.OtherDomains = nil
 		}
-		turn %= len(peers)
-		out = append(out, outgoing{to: peers[turn : turn+1], msg: full})
+		rotation %= len(peers)
+		out = append(out, outgoing{to: peers[rotation : rotation+1], msg: full})
 	}
-	abroad := core.Message{From: beat.From, OtherDomains: append(s.table.Domains(now), s.table.Digest(now))}
+	remote := core.Message{From: beat.From, OtherDomains: append(s.table.Domains(now), s.table.Digest(now))}
 	if seeds := s.unknownSeeds(now); len(seeds) > 0 {
-		out = append(out, outgoing{to: seeds, msg: abroad})
+		out = append(out, outgoing{to: seeds, msg: remote})
 	}
 	if s.round%digestRounds == 0 && s.table.Delegate(now) == s.cfg.Self.Name {
-		abroad.OtherDomains = abroad.OtherDomains[len(abroad.OtherDomains)-1:]
-		out = append(out, outgoing{to: s.abroad(now), msg: abroad})
+		remote.OtherDomains = remote.OtherDomains[len(remote.OtherDomains)-1:]
+		out = append(out, outgoing{to: s.remoteContacts(now), msg: remote})
 	}
 	return out
 }
 
-// unknownSeeds returns the seeds at whose addresses no instance is known yet.
+// unknownSeeds returns the seeds whose addresses belong to no known live instance.
 func (s *Service) unknownSeeds(now time.Time) []string {
 	known := map[string]bool{s.cfg.Self.Address: true}
 	for _, m := range s.table.Members(now) {
@@ -256,8 +254,8 @@
 	return seeds
 }
 
-// abroad returns one contact of each other failure domain, another one in turn.
-func (s *Service) abroad(now time.Time) []string {
+// remoteContacts returns one contact of each other failure domain, in rotation.
+func (s *Service) remoteContacts(now time.Time) []string {
 	var to []string
 	for _, d := range s.table.Domains(now) {
 		if len(d.Contacts) > 0 {
@@ -267,7 +265,7 @@
 	return to
 }
 
-// refreshBook tells links the addresses and returns the names that are gone.
+// refreshBook updates the address book and returns the names that were removed from it.
 func (s *Service) refreshBook() []string {
 	known := map[string]string{}
 	for _, seed := range s.cfg.Seeds {
@@ -278,75 +276,74 @@
 			known[m.Name] = m.Address
 		}
 	}
-	var gone []string
+	var removed []string
 	for name := range *s.cfg.Book.addresses.Load() {
 		if _, ok := known[name]; !ok {
-			gone = append(gone, name)
+			removed = append(removed, name)
 		}
 	}
 	s.cfg.Book.set(known)
-	return gone
+	return removed
 }
 
-// Members returns all known instances of the failure domain and the contacts of
-// others, this one included, ordered by name.
+// Members returns all known instances of the failure domain, including this one, and the contacts
+// of other domains, ordered by name.
 func (s *Service) Members() []core.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Members(time.Now())
 }
 
-// Peers returns the names of the failure domain's other instances that are not
-// known to be gone.
+// Peers returns the names of the failure domain's other instances that are not known to have left
+// or died.
 func (s *Service) Peers() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.alive(time.Now())
+	return s.livePeers(time.Now())
 }
 
-// Domain returns what is known of this instance's failure domain.
+// Domain returns the digest of this instance's failure domain.
 func (s *Service) Domain() core.Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Digest(time.Now())
 }
 
-// Domains returns what is known of the other failure domains.
+// Domains returns the known digests of the other failure domains.
 func (s *Service) Domains() []core.Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Domains(time.Now())
 }
 
-// DomainSilent reports whether nothing recent is known of a failure domain.
+// DomainSilent reports whether there is no recent information on a failure domain.
 func (s *Service) DomainSilent(domain string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.DomainSilent(time.Now(), domain)
 }
 
-// RevisionSeen returns the highest revision that any known instance acted on.
+// RevisionSeen returns the highest revision that any known instance has applied.
 func (s *Service) RevisionSeen() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.RevisionSeen()
 }
 
-// SetRevision states the configuration revision that this instance acts on.
+// SetRevision sets the configuration revision that this instance has applied.
 func (s *Service) SetRevision(revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table.SetRevision(revision)
 }
 
-// Drain tells the others that this instance takes no new work. It returns at
-// once; the heartbeats go on.
+// Drain announces that this instance takes no new work. It returns at once; heartbeats continue.
 func (s *Service) Drain(context.Context) error {
 	s.mu.Lock()
 	s.table.Drain()
 	s.mu.Unlock()
 	select {
-	case s.hurry <- struct{}{}:
+	case s.sendNow <- struct{}{}:
 	default:
 	}
 	return nil
--- a/instance/member/member_test.go
+++ b/instance/member/member_test.go
@@ -15,14 +15,14 @@
 	"github.com/comfreyladder/comfreyladder/instance/member"
 )
 
-const limit = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-type node struct {
+type instance struct {
 	links   *link.Service
 	members *member.Service
 }
 
-func start(t *testing.T, name, domain string, incarnation uint64, seeds ...string) *node {
+func start(t *testing.T, name, domain string, incarnation uint64, seeds ...string) *instance {
 	g := NewWithT(t)
 	book := member.NewBook(seeds)
 	links, err := link.New(link.Config{
@@ -30,7 +30,7 @@
 		AcceptedHashes: [][sha256.Size]byte{sha256.Sum256([]byte("secret"))},
 	})
 	g.Expect(err).NotTo(HaveOccurred())
-	n := &node{links: links}
+	n := &instance{links: links}
 	cfg := member.Config{Seeds: seeds, Book: book, Links: links, Interval: 50 * time.Millisecond}
 	cfg.Table = core.Config{SuspectAfter: time.Second, DeadAfter: 2 * time.Second, ForgetAfter: time.Hour, DomainSilentAfter: 5 * time.Second}
 	g.Expect(links.Start(context.Background())).To(Succeed())
@@ -41,14 +41,14 @@
 	return n
 }
 
-func (n *node) kill(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+func (n *instance) kill(t *testing.T) {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	NewWithT(t).Expect(n.links.Stop(ctx)).To(Succeed())
 	_ = n.members.Stop(ctx)
 }
 
-func (n *node) status(name string) func() string {
+func (n *instance) status(name string) func() string {
 	return func() string {
 		for _, m := range n.members.Members() {
 			if m.Name == name {
@@ -59,41 +59,41 @@
 	}
 }
 
-// Story: of a failure domain's instances, known to each other only by one seed,
-// one leaves, one is lost without a word and one comes back under its old name.
+// Instances of a failure domain start with the address of one seed only. One of them leaves, one
+// crashes, and one restarts under its old name; the others must see each status.
 func TestLifeOfADomain(t *testing.T) {
 	g := NewWithT(t)
 	first := start(t, "i0", "hall", 1)
 	seed := first.links.Addr().String()
-	nodes := []*node{first}
+	nodes := []*instance{first}
 	for i := 1; i < 5; i++ {
 		nodes = append(nodes, start(t, fmt.Sprintf("i%d", i), "hall", 1, seed))
 	}
 	far := start(t, "x0", "far", 1, seed)
 	for _, n := range nodes {
 		for i := range nodes {
-			g.Eventually(n.status(fmt.Sprintf("i%d", i)), limit).Should(Equal("alive"))
+			g.Eventually(n.status(fmt.Sprintf("i%d", i)), testTimeout).Should(Equal("alive"))
 		}
-		g.Eventually(func() bool { return n.members.DomainSilent("far") }, limit).Should(BeFalse())
+		g.Eventually(func() bool { return n.members.DomainSilent("far") }, testTimeout).Should(BeFalse())
 	}
 	g.Eventually(func() int {
 		for _, d := range far.members.Domains() {
 			return d.Live
 		}
 		return 0
-	}, limit).Should(Equal(5))
+	}, testTimeout).Should(Equal(5))
 
 	nodes[2].members.SetRevision(7)
-	g.Eventually(nodes[1].members.RevisionSeen, limit).Should(BeEquivalentTo(7))
+	g.Eventually(nodes[1].members.RevisionSeen, testTimeout).Should(BeEquivalentTo(7))
 	g.Expect(nodes[2].members.Drain(context.Background())).To(Succeed())
-	g.Eventually(nodes[1].status("i2"), limit).Should(Equal("draining"))
+	g.Eventually(nodes[1].status("i2"), testTimeout).Should(Equal("draining"))
 	g.Expect(nodes[2].members.Stop(context.Background())).To(Succeed())
-	g.Eventually(nodes[1].status("i2"), limit).Should(Equal("left"))
+	g.Eventually(nodes[1].status("i2"), testTimeout).Should(Equal("left"))
 	nodes[3].kill(t)
-	g.Eventually(nodes[1].status("i3"), limit).Should(Equal("dead"))
+	g.Eventually(nodes[1].status("i3"), testTimeout).Should(Equal("dead"))
 
 	again := start(t, "i2", "hall", 2, seed)
-	g.Eventually(nodes[1].status("i2"), limit).Should(Equal("alive"))
-	g.Eventually(again.status("i4"), limit).Should(Equal("alive"))
-	g.Eventually(again.members.RevisionSeen, limit).Should(BeEquivalentTo(7), "what it acted on before the restart")
+	g.Eventually(nodes[1].status("i2"), testTimeout).Should(Equal("alive"))
+	g.Eventually(again.status("i4"), testTimeout).Should(Equal("alive"))
+	g.Eventually(again.members.RevisionSeen, testTimeout).Should(BeEquivalentTo(7), "the revision it applied before the restart")
 }
--- a/instance/meter/meter.go
+++ b/instance/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter counts, at an instance that forwards requests, how many of each
-// organisation began to run in which window of the agreed time (core/usage).
+// Package meter counts the requests of each organisation that started to run on a forwarding
+// instance, by window of the agreed time (core/usage).
 package meter
 
 import (
@@ -12,19 +12,19 @@
 	"github.com/comfreyladder/comfreyladder/instance/clock"
 )
 
-// Meter is the counter of one start of an instance. It is safe for concurrent use.
+// Meter counts requests since one start of an instance. It is safe for concurrent use.
 type Meter struct {
 	mu      sync.Mutex
 	counter *usage.Counter
 	agreed  timebase.Follower
 }
 
-// New returns a meter that counts by windows of a span.
+// New returns a meter whose windows have the given span.
 func New(span time.Duration) *Meter {
 	return &Meter{counter: usage.NewCounter(rand.Uint64()|1, span)}
 }
 
-// now returns the agreed time; the time of day until one is known. It needs mu.
+// now returns the agreed time, or the local wall clock until one is known. The caller holds mu.
 func (m *Meter) now() time.Time {
 	if at, known := m.agreed.Now(clock.Now()); known {
 		return at
@@ -39,7 +39,8 @@
 	m.counter.Add(m.now().Add(-ago), organisation)
 }
 
-// Report returns what a member has not been told yet, and the revision for Told.
+// Report returns the counts that a member has not acknowledged yet, and the revision to pass to
+// Acknowledge.
 func (m *Meter) Report(member string) (usage.Report, uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -53,7 +54,7 @@
 	m.counter.Acknowledge(r, revision, member)
 }
 
-// Observe takes in the agreed time of an answer; see timebase.Follower.
+// Observe updates the agreed time from a response; see timebase.Follower.
 func (m *Meter) Observe(sent, came time.Time, held time.Duration, agreed time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
