--- a/instance/follow/follow.go
+++ b/instance/follow/follow.go
@@ -317,7 +317,7 @@
 		return
 	}
 	if q.Usage != nil {
-		f.cfg.Meter.Told(q.Usage, revision, member)
+		f.cfg.Meter.Acknowledge(q.Usage, revision, member)
 	}
 	f.settled = a.Settled
 	if a.Agreed != 0 {
--- a/instance/meter/meter.go
+++ b/instance/meter/meter.go
@@ -47,8 +47,8 @@
 	return m.counter.Report(m.now(), member)
 }
 
-// Told notes that a member has taken in a report.
-func (m *Meter) Told(r *usage.Report, revision uint64, member string) {
+// Acknowledge notes that a member has taken in a report.
+func (m *Meter) Acknowledge(r *usage.Report, revision uint64, member string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counter.Acknowledge(r, revision, member)
