--- a/instance/meter/meter.go
+++ b/instance/meter/meter.go
@@ -32,8 +32,8 @@
 	return time.Now()
 }
 
-// Began counts a request that began to run some time ago.
-func (m *Meter) Began(organisation string, ago time.Duration) {
+// RecordStart counts a request that began to run some time ago.
+func (m *Meter) RecordStart(organisation string, ago time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counter.Add(m.now().Add(-ago), organisation)
--- a/instance/roles/edge.go
+++ b/instance/roles/edge.go
@@ -92,7 +92,7 @@
 			BodyBytes: int64(bodyShare * float64(p.cfg.MemoryMB) * (1 << 20)),
 		}
 		if p.meter != nil {
-			cfg.Began = p.meter.Began
+			cfg.Began = p.meter.RecordStart
 		}
 		s := relay.New(cfg, tel.Set())
 		state.Subscribe(s.Update)
