--- a/instance/daemon/work.go
+++ b/instance/daemon/work.go
@@ -40,7 +40,7 @@
 		peers := &schedulePeers{Service: links, d: d, members: members}
 		r := instregistry.New(instregistry.Config{
 			Self: d.cfg.Instance.Name, Domain: d.cfg.Instance.FailureDomain, Links: links, Peers: func() []string { return d.livePeers(members) }, Log: d.log, OnChange: tell,
-			First: func() string { return schedule.Elect(peers.Members()) },
+			Scheduler: func() string { return schedule.Elect(peers.Members()) },
 		})
 		// A rule that leaves the intent takes its upstreams out of use at once.
 		conf.Subscribe(func(*config.View) { tell(r.View()) })
--- a/instance/registry/registry.go
+++ b/instance/registry/registry.go
@@ -48,10 +48,10 @@
 	Links  Links
 	// Peers returns the names of the domain's other instances.
 	Peers func() []string
-	// First returns the peer that acts on the upstreams' load: the domain's scheduler. Beats
+	// Scheduler returns the peer that acts on the upstreams' load: the domain's scheduler. Beats
 	// are relayed to it at each interval, to the others at every fourth. If it is nil or returns
 	// an empty name, beats are relayed to all peers at each interval.
-	First func() string
+	Scheduler func() string
 	Log   zerolog.Logger
 	// Interval is the period of relays and of the check for silent upstreams; zero means
 	// DefaultInterval.
@@ -281,8 +281,8 @@
 // beats, while the former scheduler has them already; so a change causes a relay to all.
 func (s *Service) relay(now time.Time) {
 	first := ""
-	if s.cfg.First != nil {
-		first = s.cfg.First()
+	if s.cfg.Scheduler != nil {
+		first = s.cfg.Scheduler()
 	}
 	s.mu.Lock()
 	changed := first != s.lastFirst
--- a/instance/registry/relay_test.go
+++ b/instance/registry/relay_test.go
@@ -71,7 +71,7 @@
 	scheduler.Store("two")
 	s := registry.New(registry.Config{
 		Domain: "hall", Links: p, Log: zerolog.Nop(), Interval: 5 * time.Millisecond,
-		Peers: func() []string { return []string{"two", "three", "four"} }, First: func() string { return scheduler.Load().(string) },
+		Peers: func() []string { return []string{"two", "three", "four"} }, Scheduler: func() string { return scheduler.Load().(string) },
 	})
 	g.Expect(s.Start(context.Background())).To(Succeed())
 	defer func() { _ = s.Stop(context.Background()) }()
