--- a/instance/meter/meter.go
+++ b/instance/meter/meter.go
@@ -32,7 +32,7 @@
 	return time.Now()
 }
 
-// RecordStart counts a request that began to run some time ago.
+// RecordStart counts a request that started to run the given time ago.
 func (m *Meter) RecordStart(organisation string, ago time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -47,7 +47,7 @@
 	return m.counter.Report(m.now(), member)
 }
 
-// Acknowledge notes that a member has taken in a report.
+// Acknowledge records that a member has accepted a report.
 func (m *Meter) Acknowledge(r *usage.Report, revision uint64, member string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/instance/plain/fakes_test.go
+++ b/instance/plain/fakes_test.go
@@ -27,33 +27,33 @@
 type behaviour int
 
 const (
-	answers   behaviour = iota // runs the call and answers
-	drops                      // runs the call and drops the connection
-	refuses                    // 503 with X-Not-Run
-	dies                       // drops the connection before it runs the call
-	delays                     // runs the call and answers after the caller's limit
-	fails                      // runs the call and answers 500
-	rejects                    // answers 409 without an effect
-	moodCount = int(rejects) + 1
+	answers        behaviour = iota // runs the call and answers
+	drops                           // runs the call and drops the connection
+	refuses                         // 503 with X-Not-Run
+	dies                            // drops the connection before it runs the call
+	delays                          // runs the call and answers after the caller's limit
+	fails                           // runs the call and answers 500
+	rejects                         // answers 409 without an effect
+	behaviourCount = int(rejects) + 1
 )
 
 // service is a fake plain service without deduplication. It counts the effects of each key.
 type service struct {
-	ln     net.Listener
-	wg     sync.WaitGroup
-	mu     sync.Mutex
-	mood   func(key string) behaviour
-	byID   map[string]string // the answer of each effect, by request ID
-	keys   map[string]int    // effects by idempotency key
-	n      int               // requests that change state
-	conns  map[net.Conn]bool
-	closed chan struct{}
+	ln          net.Listener
+	wg          sync.WaitGroup
+	mu          sync.Mutex
+	behaviourOf func(key string) behaviour
+	byID        map[string]string // the answer of each effect, by request ID
+	keys        map[string]int    // effects by idempotency key
+	n           int               // requests that change state
+	conns       map[net.Conn]bool
+	closed      chan struct{}
 }
 
 func newService(g Gomega, m func(key string) behaviour) *service {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
-	s := &service{ln: ln, mood: m, byID: map[string]string{}, keys: map[string]int{}, conns: map[net.Conn]bool{}, closed: make(chan struct{})}
+	s := &service{ln: ln, behaviourOf: m, byID: map[string]string{}, keys: map[string]int{}, conns: map[net.Conn]bool{}, closed: make(chan struct{})}
 	s.wg.Go(func() {
 		for {
 			c, err := ln.Accept()
@@ -105,7 +105,7 @@
 	}
 	s.mu.Lock()
 	s.n++
-	m := s.mood(key)
+	m := s.behaviourOf(key)
 	body := ""
 	if m != refuses && m != dies && m != rejects {
 		s.keys[key]++
--- a/instance/plain/handler_test.go
+++ b/instance/plain/handler_test.go
@@ -41,11 +41,11 @@
 func always(m behaviour) func(string) behaviour { return func(string) behaviour { return m } }
 
 // script returns the behaviours in order and then repeats the last one.
-func script(moods ...behaviour) func(string) behaviour {
+func script(behaviours ...behaviour) func(string) behaviour {
 	return func(string) behaviour {
-		m := moods[0]
-		if len(moods) > 1 {
-			moods = moods[1:]
+		m := behaviours[0]
+		if len(behaviours) > 1 {
+			behaviours = behaviours[1:]
 		}
 		return m
 	}
@@ -87,10 +87,10 @@
 
 func TestOutcomesOfOneCall(t *testing.T) {
 	for name, c := range map[string]struct {
-		mood    behaviour
-		code    fault.Code
-		outcome claim.Outcome
-		second  fault.Code
+		behaviour behaviour
+		code      fault.Code
+		outcome   claim.Outcome
+		second    fault.Code
 	}{
 		"rejected":       {rejects, "", claim.Rejected, ""},
 		"failed":         {fails, "", claim.Unknown, ""},
@@ -98,7 +98,7 @@
 		"refused":        {refuses, fault.NotRun, "", fault.NotRun},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newHarness(t, always(c.mood))
+			b := newHarness(t, always(c.behaviour))
 			a, err := b.handler(neverCrash).Call(context.Background(), bookingRequest(b.s, "k"))
 			b.Expect(fault.CodeOf(err)).To(Equal(c.code))
 			b.Expect(a.Outcome).To(Equal(c.outcome))
@@ -124,7 +124,7 @@
 
 // A failure domain is partitioned from the control group. A booking that can't be claimed
 // there fails as not run: if it were sent, its resend in another domain would run it again.
-func TestCutOffSideRunsNothing(t *testing.T) {
+func TestPartitionedInstanceRunsNothing(t *testing.T) {
 	b := newHarness(t, always(answers))
 	b.l.cutOff.Store(true)
 	p := b.handler(neverCrash)
--- a/instance/plain/history_test.go
+++ b/instance/plain/history_test.go
@@ -127,8 +127,8 @@
 		defer mu.Unlock()
 		return rnd.Intn(n)
 	}
-	moods := []behaviour{answers, drops, refuses, dies, delays}
-	s := newService(g, func(string) behaviour { return moods[random(len(moods))] })
+	behaviours := []behaviour{answers, drops, refuses, dies, delays}
+	s := newService(g, func(string) behaviour { return behaviours[random(len(behaviours))] })
 	up := upstream.New(upstream.Config{MaxIdle: time.Second})
 	l := newLedger(seed)
 	var handlers []*plain.Handler
--- a/instance/registry/registry.go
+++ b/instance/registry/registry.go
@@ -52,7 +52,7 @@
 	// are relayed to it at each interval, to the others at every fourth. If it is nil or returns
 	// an empty name, beats are relayed to all peers at each interval.
 	Scheduler func() string
-	Log   zerolog.Logger
+	Log       zerolog.Logger
 	// Interval is the period of relays and of the check for silent upstreams; zero means
 	// DefaultInterval.
 	Interval time.Duration
@@ -62,8 +62,8 @@
 
 // batch is a message of relayed beats.
 type batch struct {
-	Beats  []core.RelayedBeat `codec:"b,omitempty"`
-	Briefs []core.CompactBeat `codec:"s,omitempty"`
+	Beats   []core.RelayedBeat `codec:"b,omitempty"`
+	Compact []core.CompactBeat `codec:"s,omitempty"`
 }
 
 // want requests the full beats of upstreams of which a peer has sent compact beats.
@@ -90,7 +90,7 @@
 	unsent           int
 	sendNow          bool
 	ticks            int
-	lastFirst        string // the scheduler at the last relay
+	lastScheduler    string // the scheduler at the last relay
 	deferLoad        bool   // another instance acts on the load, so it may be published late
 	publishedChanges uint64 // membership changes in the published view
 	cancel           context.CancelFunc
@@ -214,9 +214,9 @@
 			s.enqueue(pending{r, now})
 		}
 	}
-	for _, brief := range b.Briefs {
-		if s.state.ApplyCompact(now, brief) == core.Unknown {
-			unknown = append(unknown, brief.Ref)
+	for _, compact := range b.Compact {
+		if s.state.ApplyCompact(now, compact) == core.Unknown {
+			unknown = append(unknown, compact.Ref)
 		}
 	}
 	s.publishMembershipChanges()
@@ -280,26 +280,26 @@
 // the unsent ones to the scheduler. A peer that has just become the scheduler lacks all queued
 // beats, while the former scheduler has them already; so a change causes a relay to all.
 func (s *Service) relay(now time.Time) {
-	first := ""
+	scheduler := ""
 	if s.cfg.Scheduler != nil {
-		first = s.cfg.Scheduler()
+		scheduler = s.cfg.Scheduler()
 	}
 	s.mu.Lock()
-	changed := first != s.lastFirst
-	toAll := first == "" || changed || s.sendNow || s.ticks%relayIntervals == 0
-	fresh := newBatch(now, s.queue[s.unsent:])
-	all := fresh
+	changed := scheduler != s.lastScheduler
+	toAll := scheduler == "" || changed || s.sendNow || s.ticks%relayIntervals == 0
+	unsent := newBatch(now, s.queue[s.unsent:])
+	all := unsent
 	if toAll {
 		all = newBatch(now, s.queue)
 		s.queue, s.sendNow = nil, false
 	}
-	s.lastFirst, s.unsent = first, len(s.queue)
-	s.deferLoad = first != "" && first != s.cfg.Self
+	s.lastScheduler, s.unsent = scheduler, len(s.queue)
+	s.deferLoad = scheduler != "" && scheduler != s.cfg.Self
 	s.mu.Unlock()
 	for _, peer := range s.cfg.Peers() {
 		switch {
-		case peer == first && !changed:
-			s.send(peer, fresh)
+		case peer == scheduler && !changed:
+			s.send(peer, unsent)
 		case toAll:
 			s.send(peer, all)
 		}
@@ -308,14 +308,14 @@
 
 // newBatch builds a message from queued beats, in compact form where possible. It drops expired
 // ones.
-func newBatch(now time.Time, held []pending) (b batch) {
-	for _, p := range held {
+func newBatch(now time.Time, beats []pending) (b batch) {
+	for _, p := range beats {
 		m, ok := core.WithDelay(p.m, now.Sub(p.at))
 		if !ok {
 			continue
 		}
-		if brief, ok := core.Compact(m); ok {
-			b.Briefs = append(b.Briefs, brief)
+		if compact, ok := core.Compact(m); ok {
+			b.Compact = append(b.Compact, compact)
 			continue
 		}
 		b.Beats = append(b.Beats, m)
@@ -324,7 +324,7 @@
 }
 
 func (s *Service) send(peer string, b batch) {
-	if len(b.Beats)+len(b.Briefs) == 0 {
+	if len(b.Beats)+len(b.Compact) == 0 {
 		return
 	}
 	if err := s.cfg.Links.Send(peer, channelBeats, b); err != nil {
--- a/instance/registry/registry_test.go
+++ b/instance/registry/registry_test.go
@@ -52,7 +52,7 @@
 // An upstream announces its leave to one instance, whose link to a third one is down. The second
 // one relays the leave, so that the third gives the upstream no more work although earlier
 // beats would still allow it.
-func TestLeavesArePassedOn(t *testing.T) {
+func TestLeavesAreRelayed(t *testing.T) {
 	g := NewWithT(t)
 	b := &book{}
 	one, three := start(t, "one", b, "two"), start(t, "three", b)
--- a/instance/registry/relay_test.go
+++ b/instance/registry/relay_test.go
@@ -17,8 +17,8 @@
 	"github.com/comfreyladder/comfreyladder/instance/registry"
 )
 
-// post records what a registry sends to each peer.
-type post struct {
+// linkRecorder records what a registry sends to each peer.
+type linkRecorder struct {
 	mu       sync.Mutex
 	messages map[string]int
 	seen     map[string]map[uint64]bool
@@ -30,9 +30,9 @@
 	Briefs []core.CompactBeat `codec:"s"`
 }
 
-func (p *post) Handle(string, link.Handler, ...link.ChannelOption) {}
+func (p *linkRecorder) Handle(string, link.Handler, ...link.ChannelOption) {}
 
-func (p *post) Send(to, _ string, msg any) error {
+func (p *linkRecorder) Send(to, _ string, msg any) error {
 	data, err := link.Encode(msg)
 	if err != nil {
 		return err
@@ -53,7 +53,7 @@
 	return nil
 }
 
-func (p *post) has(to string, sequence uint64) func() bool {
+func (p *linkRecorder) has(to string, sequence uint64) func() bool {
 	return func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -64,9 +64,9 @@
 // Relaying every beat to every peer at once costs each instance processor time, and only the
 // scheduler acts on load. So the other peers get several beats in one message, but must still
 // get all of them, including those queued while another instance becomes the scheduler.
-func TestTheSchedulerIsToldFirst(t *testing.T) {
+func TestRelaysToSchedulerFirst(t *testing.T) {
 	g := NewWithT(t)
-	p := &post{messages: map[string]int{}, seen: map[string]map[uint64]bool{}}
+	p := &linkRecorder{messages: map[string]int{}, seen: map[string]map[uint64]bool{}}
 	var scheduler atomic.Value
 	scheduler.Store("two")
 	s := registry.New(registry.Config{
