--- a/instance/roles/config.go
+++ b/instance/roles/config.go
@@ -1,7 +1,6 @@
-// Package roles puts the services of a process together for a deployment that runs
-// the product in two roles: instances that forward callers' requests, without a
-// disk, and instances that hold the control state. Names, formats and calls towards
-// the deployment come from outside, as functions.
+// Package roles assembles the services of a process for a deployment that runs instances
+// in two roles: diskless instances that forward callers' requests, and instances that hold
+// the control state. The names, formats and calls of the deployment are passed in as functions.
 package roles
 
 import (
@@ -18,43 +17,45 @@
 	"github.com/comfreyladder/comfreyladder/instance/upstream"
 )
 
-// Config of a process.
+// Config configures a process.
 type Config struct {
-	// Instance is the name in logs, Domain the failure domain, IP the address.
+	// Instance is the instance's name in logs, Domain its failure domain, IP its address.
 	Instance, Domain, IP string
-	// Peer is the "ip:port" of the peer listener, which is also the name by which
-	// other instances know this one; Seeds are those of members of the control group.
+	// Peer is the "ip:port" of the peer listener and the name by which other instances know
+	// this one. Seeds lists the peer addresses of members of the control group.
 	Peer  string
 	Seeds []string
-	// Callers and Ready are listeners of an instance that forwards, Control that of
-	// one that holds the control state.
+	// Callers and Ready are the "ip:port" of the listeners of an instance that forwards,
+	// Control that of an instance that holds the control state.
 	Callers, Ready, Control string
-	// Metrics is the "ip:port" of the metrics; empty for none.
+	// Metrics is the "ip:port" of the metrics listener; empty for none.
 	Metrics string
 	// Bootstrap lets the seeds found the control group.
 	Bootstrap  bool
 	DataFolder string
-	// FailClosed refuses requests with a key Lease after the last contact with the
-	// control group.
+	// FailClosed rejects requests with a key once the last contact with the control group is
+	// longer ago than Lease.
 	FailClosed bool
 	Lease      time.Duration
-	// Silence is after what time without a heartbeat an upstream counts as silent.
+	// Silence is the time without a heartbeat after which an upstream counts as silent.
 	Silence time.Duration
-	// Announce and Grace bound a stop; see relay.Config.
+	// Announce is how long a draining instance continues as before, see relay.Config; Grace
+	// limits the whole stop.
 	Announce, Grace time.Duration
-	// CallsLag is how old the list of instances may be by which callers of Control choose.
+	// CallsLag is the maximum age of the list by which callers of Control choose an instance.
 	CallsLag time.Duration
 	Budget   relay.Budget
 	MemoryMB int
-	// Duties are calls that one instance at a time makes; nil for none.
+	// Duties are calls that only one instance at a time makes; nil for none.
 	Duties *Duties
 }
 
-// Duties says which calls are to be made to a provider by one instance at a time.
+// Duties configures the calls to a provider that only one instance at a time makes.
 type Duties struct {
-	// Provider is its "ip:port".
+	// Provider is the "ip:port" of the provider.
 	Provider string
-	// Usage and Scale are nil where there is no such duty; Unknown lists others.
+	// Usage and Scale are nil if that duty is not configured; Unknown lists the names of duties
+	// that this version does not know.
 	Usage   *duty.Usage
 	Scale   *duty.Scale
 	Unknown []string
@@ -63,7 +64,7 @@
 	PerSecond float64
 }
 
-// span returns the span of usage reports, zero for none.
+// span returns the length of a usage report's window, or zero if usage is not reported.
 func (d *Duties) span() time.Duration {
 	if d == nil || d.Usage == nil {
 		return 0
@@ -71,7 +72,7 @@
 	return d.Usage.Span
 }
 
-// Validate reports the first fault, as fault.Invalid.
+// Validate returns the first error in the configuration, as fault.Invalid.
 func (c *Config) Validate() error {
 	switch {
 	case c.Callers == "" && c.Control == "":
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// Serving is what the deployment's calls are translated to.
+// Serving is the interface of the control state to which the deployment's calls are translated.
 type Serving interface {
 	Put(ctx context.Context, t *route.Table, source []byte) error
 	Newest(ctx context.Context) (version uint64, source []byte, err error)
@@ -98,14 +99,14 @@
 	Leave(ctx context.Context, id string, born int64) error
 }
 
-// Dialect is how the deployment speaks.
+// Dialect holds the headers, handlers and formats of the deployment.
 type Dialect struct {
 	Headers relay.Headers
-	// Control handles the calls of operators and upstreams, Ready the question
-	// whether callers may be sent here.
+	// Control handles the calls of operators and upstreams, Ready the readiness check, which
+	// reports whether callers may be sent to this instance.
 	Control func(Serving) fasthttp.RequestHandler
 	Ready   func(func() bool) fasthttp.RequestHandler
-	// Provider speaks to the provider at an address.
+	// Provider returns a client of the provider at an address.
 	Provider func(address string, client *upstream.Client) duty.Provider
 	// Reload reads the settings again.
 	Reload func() (*Config, error)
--- a/instance/roles/core.go
+++ b/instance/roles/core.go
@@ -17,14 +17,13 @@
 	"github.com/comfreyladder/comfreyladder/instance/telemetry"
 )
 
-// heartbeat and electionTimeout are those of a control group whose members are some
-// milliseconds apart. After a loss of power of all machines callers wait for an
-// election: with raft's defaults of 200 ms and 1 s it took 1.7 s until edges had a
-// configuration.
+// heartbeat and electionTimeout suit a control group whose members are a few milliseconds
+// apart. After a power loss of all instances, callers wait for an election: with raft's
+// defaults of 200 ms and 1 s, forwarders had a configuration only after 1.7 s.
 const (
 	heartbeat       = 120 * time.Millisecond
 	electionTimeout = 600 * time.Millisecond
-	// restartTimeout lets leases outlast two heartbeats by a little.
+	// restartTimeout is slightly longer than two heartbeats, so that leases outlast them.
 	restartTimeout = 280 * time.Millisecond
 )
 
@@ -48,7 +47,7 @@
 		}
 		s := control.New(control.Config{
 			Name: p.cfg.Peer, DataFolder: p.cfg.DataFolder, Founders: p.founders(), Bootstrap: p.cfg.Bootstrap,
-			Links: links, Members: func() []string { return p.otherSeeds() }, Log: p.log, OnFatal: p.fail,
+			Links: links, Members: func() []string { return p.otherSeeds() }, Log: p.log, OnFatal: p.reportFatal,
 			RepairMembers: true, RetryDisk: true, OnApplied: applied,
 			Heartbeat: heartbeat, ElectionTimeout: electionTimeout, RestartTimeout: restartTimeout,
 		})
@@ -57,8 +56,8 @@
 	}}
 }
 
-// founders are the seeds that all processes get at the first start. An instance that
-// is none of them joins.
+// founders returns the founding members of the control group: the seeds, which all processes
+// get at the first start. It returns nil on an instance that is not a seed and has to join.
 func (p *Process) founders() []string {
 	if !slices.Contains(p.cfg.Seeds, p.cfg.Peer) {
 		return nil
@@ -75,7 +74,8 @@
 	return list
 }
 
-// servingService finds the member of the control group that runs here.
+// servingService is the serving service with the control service of this process, which
+// starts later and holds the local replica.
 type servingService struct {
 	*serving.Service
 	control atomic.Pointer[control.Service]
@@ -110,7 +110,7 @@
 	}}
 }
 
-func (p *Process) rights() kernel.Module {
+func (p *Process) limitAllocator() kernel.Module {
 	return kernel.Module{Name: nameLimits, Needs: []string{nameLinks, nameServing}, New: func(k *kernel.Kernel) (kernel.Service, error) {
 		links, err := kernel.Lookup[*link.Service](k, nameLinks)
 		if err != nil {
@@ -124,8 +124,8 @@
 	}}
 }
 
-func (p *Process) calls() kernel.Module {
-	return kernel.Module{Name: nameCalls, Needs: []string{nameServing, nameControl, nameQuarantine}, New: func(k *kernel.Kernel) (kernel.Service, error) {
+func (p *Process) controlListener() kernel.Module {
+	return kernel.Module{Name: nameControlListener, Needs: []string{nameServing, nameControl, nameQuarantine}, New: func(k *kernel.Kernel) (kernel.Service, error) {
 		s, err := kernel.Lookup[*servingService](k, nameServing)
 		if err != nil {
 			return nil, err
@@ -135,17 +135,17 @@
 			return nil, err
 		}
 		handler := list.Handler(p.dialect.Control(s))
-		return callsListener{newListener(p.cfg.Control, p.logRefusals(handler)), p.cfg.CallsLag}, nil
+		return controlListener{newListener(p.cfg.Control, p.logRejections(handler)), p.cfg.CallsLag}, nil
 	}}
 }
 
-// maxReason bounds what a refused call's line says of the reason, in bytes: it may quote
-// what a stranger sent.
+// maxReason limits the path and the reason in the log line of a rejected call, in bytes,
+// because they may contain text from an untrusted sender.
 const maxReason = 200
 
-// logRefusals writes a line for each call that is refused as faulty. The sender is told
-// as well, but it may be nobody who reads answers.
-func (p *Process) logRefusals(h fasthttp.RequestHandler) fasthttp.RequestHandler {
+// logRejections logs each call that is answered with a 4xx status. The response names the
+// reason too, but the sender may not read responses.
+func (p *Process) logRejections(h fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		h(ctx)
 		status := ctx.Response.StatusCode()
@@ -160,7 +160,7 @@
 
 func truncate(text string) string { return text[:min(len(text), maxReason)] }
 
-// replica returns the member of the control group that runs here, or nil.
+// replica returns the local member of the control group, or nil while there is none.
 func (s *servingService) replica() *consensus.Service {
 	if c := s.control.Load(); c != nil {
 		return c.Replica()
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// memberGauges tell how the member of the control group stands that runs here.
+// memberGauges registers gauges for the state of the local member of the control group.
 func memberGauges(tel *telemetry.Service, s *servingService) {
 	gauge := func(name string, value func(consensus.Status) float64) {
 		tel.Set().NewGauge(name, func() float64 {
--- a/instance/roles/duties.go
+++ b/instance/roles/duties.go
@@ -10,11 +10,11 @@
 	"github.com/comfreyladder/comfreyladder/instance/upstream"
 )
 
-// providerDial bounds a connect to the provider: one that is cut off answers nothing, and
-// another member may reach it.
-const providerDial = 700 * time.Millisecond
+// providerDialTimeout limits a connection attempt to the provider. An unreachable provider does
+// not answer at all, and another member may still be able to reach it.
+const providerDialTimeout = 700 * time.Millisecond
 
-// dutiesService holds the client of the calls besides the service that makes them.
+// dutiesService is the duty service with the HTTP client of its calls, which is closed with it.
 type dutiesService struct {
 	*duty.Service
 	client *upstream.Client
@@ -44,12 +44,12 @@
 		d := p.cfg.Duties
 		orders := d.Scale
 		if orders != nil {
-			// A copy: what the settings say is compared with what they say later.
+			// Copied, because Reload compares the settings with those that it reads later.
 			known := *orders
 			known.Look = state.Scalable
 			orders = &known
 		}
-		client := upstream.New(upstream.Config{DialTimeout: providerDial, FirstByte: duty.DefaultCallTimeout})
+		client := upstream.New(upstream.Config{DialTimeout: providerDialTimeout, FirstByte: duty.DefaultCallTimeout})
 		s := duty.New(duty.Config{
 			Instance: p.cfg.Instance, Machine: p.cfg.Peer, Agreed: state.Agreed, Provider: p.dialect.Provider(d.Provider, client),
 			Usage: d.Usage, Scale: orders, Lease: d.Lease, PerSecond: d.PerSecond, Log: p.log,
@@ -64,7 +64,7 @@
 	}}
 }
 
-// dutyGauges tell how the duties stand, as this member knows it.
+// dutyGauges registers gauges for the state of the duties as this member knows it.
 func dutyGauges(tel *telemetry.Service, s *duty.Service) {
 	gauge := func(name string, value func(*duty.View) float64) {
 		tel.Set().NewGauge(name, func() float64 { return value(s.View()) })
--- a/instance/roles/edge.go
+++ b/instance/roles/edge.go
@@ -28,9 +28,9 @@
 	}}
 }
 
-// aloneAfter is after what time without a confirmed answer an instance counts as cut off from
-// the control group.
-const aloneAfter = time.Second
+// partitionedAfter is the time without a confirmed answer after which an instance considers itself
+// cut off from the control group.
+const partitionedAfter = time.Second
 
 func (p *Process) recorder() kernel.Module {
 	return kernel.Module{Name: nameQuarantine, Needs: []string{nameLinks, nameFollow}, New: func(k *kernel.Kernel) (kernel.Service, error) {
@@ -43,14 +43,14 @@
 			return nil, err
 		}
 		r := quarantine.NewRecorder(quarantine.RecorderConfig{
-			Links: links, Members: state.Members, Alone: func() bool { return state.Age() > aloneAfter }, Log: p.events,
+			Links: links, Members: state.Members, Alone: func() bool { return state.Age() > partitionedAfter }, Log: p.events,
 		})
 		state.Subscribe(func(v *follow.View) { r.Update(v.Quarantine) })
 		return r, nil
 	}}
 }
 
-func (p *Process) limits() kernel.Module {
+func (p *Process) limitClient() kernel.Module {
 	return kernel.Module{Name: nameLimits, Needs: []string{nameLinks, nameFollow}, New: func(k *kernel.Kernel) (kernel.Service, error) {
 		links, err := kernel.Lookup[*link.Service](k, nameLinks)
 		if err != nil {
@@ -89,7 +89,7 @@
 			Listen: p.cfg.Callers, Domain: p.cfg.Domain, Headers: p.dialect.Headers, State: state, FailClosed: p.cfg.FailClosed,
 			Budget: p.cfg.Budget, Announce: p.cfg.Announce, DrainTimeout: p.cfg.Grace - 2*stopMargin, Log: p.events,
 			Quarantine: recorder, Limits: limits,
-			BodyBytes: int64(bodyShare * float64(p.cfg.MemoryMB) * (1 << 20)),
+			BodyBytes: int64(bodyMemoryShare * float64(p.cfg.MemoryMB) * (1 << 20)),
 		}
 		if p.meter != nil {
 			cfg.Began = p.meter.Began
@@ -101,12 +101,12 @@
 	}}
 }
 
-// bodyShare is the part of the memory limit that request bodies may take. Each is held
-// twice while it is sent, and a buffer that grows is copied.
-const bodyShare = 0.125
+// bodyMemoryShare is the share of the memory limit that request bodies may use. Each body is
+// held twice while it is sent, and a growing buffer is copied.
+const bodyMemoryShare = 0.125
 
 func (p *Process) ready() kernel.Module {
-	return kernel.Module{Name: nameReady, Needs: []string{nameRelay}, New: func(k *kernel.Kernel) (kernel.Service, error) {
+	return kernel.Module{Name: nameReadyListener, Needs: []string{nameRelay}, New: func(k *kernel.Kernel) (kernel.Service, error) {
 		s, err := kernel.Lookup[*relay.Service](k, nameRelay)
 		if err != nil {
 			return nil, err
--- a/instance/roles/listener.go
+++ b/instance/roles/listener.go
@@ -17,32 +17,33 @@
 	"github.com/comfreyladder/comfreyladder/instance/tcpconn"
 )
 
-// maxCall bounds the body of a call: a table of some thousand routes.
-const maxCall = 16 << 20
+// maxBodyBytes limits the body of a call, of which the largest is a table of some thousand
+// routes.
+const maxBodyBytes = 16 << 20
 
 const (
-	// quietCalls is for how long no call and no connection may come until a listener of
-	// calls counts as left by its callers.
-	quietCalls = 300 * time.Millisecond
-	// drainCalls bounds the drain of a listener that its callers have left: longer than
-	// most calls.
-	drainCalls = 2 * time.Second
-	// stopLimit bounds the end of a listener whose calls take no time.
-	stopLimit = 500 * time.Millisecond
+	// callQuietPeriod is the time without a call or a connection after which the callers of a
+	// control listener are considered gone.
+	callQuietPeriod = 300 * time.Millisecond
+	// callDrainTimeout limits the drain of a control listener whose callers have left. It is
+	// longer than most calls.
+	callDrainTimeout = 2 * time.Second
+	// stopTimeout limits the drain of a listener whose calls are answered immediately.
+	stopTimeout = 500 * time.Millisecond
 )
 
-// listener is one HTTP listener with its handler. It ends in order: each answer ends its
-// connection, what has arrived is answered, and only then the listener is closed.
+// listener is an HTTP listener with its handler and a graceful shutdown: each response closes
+// its connection, requests that have arrived are answered, and only then the listener is closed.
 type listener struct {
 	address string
 	server  *fasthttp.Server
 	bound   *tcpconn.Listener
-	// listening says that connections may still be accepted, draining that answers end
-	// their connections.
+	// listening is true while connections may still be accepted, draining once responses
+	// close their connections.
 	listening, draining atomic.Bool
-	// begun counts what happens on connections.
-	begun atomic.Int64
-	ended sync.Once
+	// activity counts state changes of connections.
+	activity  atomic.Int64
+	drainOnce sync.Once
 
 	mu    sync.Mutex
 	conns map[net.Conn]*drain.Conn
@@ -51,14 +52,14 @@
 func newListener(address string, h fasthttp.RequestHandler) *listener {
 	l := &listener{address: address, conns: map[net.Conn]*drain.Conn{}}
 	l.server = &fasthttp.Server{
-		Handler: l.closing(h), ConnState: l.track, MaxRequestBodySize: maxCall, NoDefaultServerHeader: true, NoDefaultDate: true,
+		Handler: l.closeAfterResponse(h), ConnState: l.trackConn, MaxRequestBodySize: maxBodyBytes, NoDefaultServerHeader: true, NoDefaultDate: true,
 		Logger: log.New(io.Discard, "", 0),
 	}
 	return l
 }
 
-// closing lets answers end their connections once the listener drains.
-func (l *listener) closing(h fasthttp.RequestHandler) fasthttp.RequestHandler {
+// closeAfterResponse makes responses close their connections once the listener drains.
+func (l *listener) closeAfterResponse(h fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(ctx *fasthttp.RequestCtx) {
 		h(ctx)
 		if l.draining.Load() {
@@ -82,20 +83,20 @@
 	return nil
 }
 
-// track follows the life of a connection. A call counts as read with its first byte, as
-// the server tells no more.
-func (l *listener) track(c net.Conn, state fasthttp.ConnState) {
+// trackConn records the state of a connection. A call counts as being read from its first byte
+// until its response, because the server reports no state between them.
+func (l *listener) trackConn(c net.Conn, state fasthttp.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.begun.Add(1)
+	l.activity.Add(1)
 	switch state {
 	case fasthttp.StateNew:
 		l.conns[c] = &drain.Conn{}
 	case fasthttp.StateActive:
 		l.conns[c].BeginRequest()
 		if l.draining.Load() {
-			// A sweep may have ended the reading right before.
-			_ = c.SetReadDeadline(time.Now().Add(drainCalls))
+			// A concurrent Sweep may just have set a read deadline in the past.
+			_ = c.SetReadDeadline(time.Now().Add(callDrainTimeout))
 		}
 	case fasthttp.StateIdle:
 		l.conns[c].RequestRead()
@@ -105,27 +106,28 @@
 	}
 }
 
-// end drains the listener, once.
-func (l *listener) end(ctx context.Context, limit time.Duration) (err error) {
-	l.ended.Do(func() {
+// drain drains the listener; only the first call has an effect.
+func (l *listener) drain(ctx context.Context, limit time.Duration) (err error) {
+	l.drainOnce.Do(func() {
 		l.draining.Store(true)
-		course := drain.NewSchedule(clock.Now(), 0, limit)
-		err = shutdown.Run(ctx, &course, l)
+		schedule := drain.NewSchedule(clock.Now(), 0, limit)
+		err = shutdown.Run(ctx, &schedule, l)
 	})
 	return err
 }
 
-// awaitLeave waits until callers have left, who choose by a list that is up to lag old:
-// each answer ends its connection meanwhile.
-func (l *listener) awaitLeave(ctx context.Context, lag time.Duration) {
+// awaitCallersLeave waits until callers have switched to other instances, for at most
+// memberListAge, the age of the list by which they choose. Meanwhile each response closes its
+// connection.
+func (l *listener) awaitCallersLeave(ctx context.Context, memberListAge time.Duration) {
 	l.draining.Store(true)
-	ctx, cancel := context.WithTimeout(ctx, lag)
+	ctx, cancel := context.WithTimeout(ctx, memberListAge)
 	defer cancel()
-	seen := l.begun.Load()
-	// Callers that do not leave in that time are refused by a closed listener.
-	_ = shutdown.AwaitQuiet(ctx, quietCalls, func() bool {
+	seen := l.activity.Load()
+	// Callers that have not left by then find the listener closed.
+	_ = shutdown.AwaitQuiet(ctx, callQuietPeriod, func() bool {
 		before := seen
-		seen = l.begun.Load()
+		seen = l.activity.Load()
 		return seen != before
 	})
 }
@@ -135,7 +137,7 @@
 	if l.bound == nil {
 		return nil
 	}
-	err := l.end(ctx, stopLimit)
+	err := l.drain(ctx, stopTimeout)
 	_ = l.bound.Close()
 	return err
 }
@@ -144,11 +146,11 @@
 func (l *listener) CloseListener() { l.bound.CloseWhenEmpty() }
 
 // Sweep implements shutdown.Server.
-func (l *listener) Sweep(ran time.Duration, lastCall bool) {
+func (l *listener) Sweep(ran time.Duration, rejectIncomplete bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for c, life := range l.conns {
-		if life.Sweep(ran) == drain.CloseNow || lastCall && life.Reading() {
+	for c, state := range l.conns {
+		if state.Sweep(ran) == drain.CloseNow || rejectIncomplete && state.Reading() {
 			_ = c.SetReadDeadline(time.Now())
 		}
 	}
@@ -159,24 +161,24 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := drain.Work{Listening: l.listening.Load(), All: len(l.conns), Open: len(l.conns)}
-	for _, life := range l.conns {
-		if life.Reading() {
+	for _, state := range l.conns {
+		if state.Reading() {
 			w.InFlight++
 		}
 	}
 	return w
 }
 
-// callsListener is a listener of calls that must be answered before the services behind
-// it hand over and stop.
-type callsListener struct {
+// controlListener is a listener for control calls, which must be answered before the services
+// behind it hand over and stop.
+type controlListener struct {
 	*listener
-	// lag is how old the list may be by which callers choose an instance.
-	lag time.Duration
+	// memberListAge is the maximum age of the list by which callers choose an instance.
+	memberListAge time.Duration
 }
 
 // Drain implements kernel.Drainer.
-func (l callsListener) Drain(ctx context.Context) error {
-	l.awaitLeave(ctx, l.lag)
-	return l.end(ctx, drainCalls)
+func (l controlListener) Drain(ctx context.Context) error {
+	l.awaitCallersLeave(ctx, l.memberListAge)
+	return l.drain(ctx, callDrainTimeout)
 }
--- a/instance/roles/process.go
+++ b/instance/roles/process.go
@@ -22,23 +22,24 @@
 	"github.com/comfreyladder/comfreyladder/instance/telemetry"
 )
 
-// The names of the services.
+// Names of the services in the kernel.
 const (
-	nameTelemetry  = "telemetry"
-	nameLinks      = "links"
-	nameControl    = "control"
-	nameServing    = "serving"
-	nameDuties     = "duties"
-	nameQuarantine = "quarantine"
-	nameLimits     = "limits"
-	nameFollow     = "follow"
-	nameRelay      = "relay"
-	nameCalls      = "listener.control"
-	nameReady      = "listener.ready"
-	nameMetrics    = "listener.metrics"
+	nameTelemetry       = "telemetry"
+	nameLinks           = "links"
+	nameControl         = "control"
+	nameServing         = "serving"
+	nameDuties          = "duties"
+	nameQuarantine      = "quarantine"
+	nameLimits          = "limits"
+	nameFollow          = "follow"
+	nameRelay           = "relay"
+	nameControlListener = "listener.control"
+	nameReadyListener   = "listener.ready"
+	nameMetricsListener = "listener.metrics"
 )
 
-// Process is one process of the deployment.
+// Process is one process of the deployment, which either forwards requests or holds the
+// control state.
 type Process struct {
 	cfg     *Config
 	dialect *Dialect
@@ -46,14 +47,14 @@
 	events  *eventlog.Sink
 	kernel  *kernel.Kernel
 	seeds   atomic.Pointer[[]string]
-	// forwarder is set before the follower starts, which tells it the others' loads.
+	// forwarder is set before the follower starts, which passes it the loads of other instances.
 	forwarder atomic.Pointer[relay.Service]
-	// meter counts requests for usage reports; nil where there are none.
+	// meter counts requests for usage reports; nil if usage is not reported.
 	meter *meter.Meter
 	fatal chan error
 }
 
-// New returns a process that has not started.
+// New returns a process that has not been started.
 func New(cfg *Config, dialect *Dialect, log zerolog.Logger, events *eventlog.Sink) (*Process, error) {
 	p := &Process{cfg: cfg, dialect: dialect, log: log, events: events, kernel: kernel.New(), fatal: make(chan error, 1)}
 	p.seeds.Store(&cfg.Seeds)
@@ -62,12 +63,12 @@
 	}
 	modules := []kernel.Module{p.telemetry(), p.links()}
 	if cfg.Control != "" {
-		modules = append(modules, p.control(), p.serving(), p.quarantine(), p.rights(), p.calls())
+		modules = append(modules, p.control(), p.serving(), p.quarantine(), p.limitAllocator(), p.controlListener())
 		if p.hasDuties() {
 			modules = append(modules, p.duties())
 		}
 	} else {
-		modules = append(modules, p.follow(), p.recorder(), p.limits(), p.relay(), p.ready())
+		modules = append(modules, p.follow(), p.recorder(), p.limitClient(), p.relay(), p.ready())
 	}
 	if cfg.Metrics != "" {
 		modules = append(modules, p.metrics())
@@ -75,22 +76,21 @@
 	return p, p.kernel.Register(modules...)
 }
 
-// memoryShare is the part of the machine's memory that the heap may grow to before
-// it is collected at any price, and collectAt the growth in per cent at which it is
-// otherwise: memory is plentiful here and processor time is not.
+// heapMemoryShare is the share of the instance's memory that is set as Go's soft memory limit;
+// below it, gcPercent is the heap growth in per cent that triggers a collection. Memory is
+// plentiful here and processor time is not.
 const (
-	memoryShare = 0.6
-	collectAt   = 400
+	heapMemoryShare = 0.6
+	gcPercent       = 400
 )
 
 // Start starts all services.
 func (p *Process) Start(ctx context.Context) error {
-	// The machine gives the process one processor at a time; more threads would only
-	// wake each other.
+	// The process gets one processor at a time; more threads would only wake each other.
 	runtime.GOMAXPROCS(1)
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	if p.cfg.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(p.cfg.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(heapMemoryShare * float64(p.cfg.MemoryMB) * (1 << 20)))
 	}
 	if err := p.kernel.Start(ctx); err != nil {
 		return err
@@ -105,12 +105,12 @@
 	return nil
 }
 
-// stopMargin is kept back from the time for a stop, for what a stop itself takes.
+// stopMargin is subtracted from the time for a stop, to leave time for the stop itself.
 const stopMargin = 500 * time.Millisecond
 
-// Stop drains and stops all services within the time that the settings give.
+// Stop drains and stops all services within Config.Grace.
 func (p *Process) Stop() error {
-	begun := time.Now()
+	start := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), p.cfg.Grace-stopMargin)
 	defer cancel()
 	p.events.Event("stop").Str("instance", p.cfg.Instance).MS("grace", p.cfg.Grace).End()
@@ -118,15 +118,15 @@
 		p.events.Event("drain_failed").Err(err).End()
 	}
 	err := p.kernel.Stop(ctx)
-	p.events.Event("stopped").Str("instance", p.cfg.Instance).MS("took", time.Since(begun)).End()
+	p.events.Event("stopped").Str("instance", p.cfg.Instance).MS("took", time.Since(start)).End()
 	return err
 }
 
-// Fatal tells why the process has to end.
+// Fatal returns a channel that receives the error because of which the process has to end.
 func (p *Process) Fatal() <-chan error { return p.fatal }
 
-// Reload reads the settings again and takes up what may change while the process
-// runs: the seeds. A file that can't be read changes nothing.
+// Reload reads the settings again and applies the seeds, the only setting that may change while
+// the process runs. If the settings cannot be read, nothing changes.
 func (p *Process) Reload(why string) {
 	cfg, err := p.dialect.Reload()
 	if err != nil {
@@ -141,7 +141,7 @@
 		Bool("needs_restart", !reflect.DeepEqual(&fixed, p.cfg)).End()
 }
 
-func (p *Process) fail(err error) {
+func (p *Process) reportFatal(err error) {
 	select {
 	case p.fatal <- err:
 	default:
@@ -152,15 +152,15 @@
 	return kernel.Module{Name: nameTelemetry, New: func(*kernel.Kernel) (kernel.Service, error) { return telemetry.New(), nil }}
 }
 
-// names is the address book: instances are named by their peer addresses.
-type names struct{}
+// peerAddressBook is a link.AddressBook for instances that are named by their peer addresses.
+type peerAddressBook struct{}
 
 // Address implements link.AddressBook.
-func (names) Address(instance string) (string, bool) { return instance, instance != "" }
+func (peerAddressBook) Address(instance string) (string, bool) { return instance, instance != "" }
 
 func (p *Process) links() kernel.Module {
 	return kernel.Module{Name: nameLinks, New: func(*kernel.Kernel) (kernel.Service, error) {
-		cfg := link.Config{Self: p.cfg.Peer, Book: names{}, AllowUnauthenticated: true, Log: p.log}
+		cfg := link.Config{Self: p.cfg.Peer, Book: peerAddressBook{}, AllowUnauthenticated: true, Log: p.log}
 		if p.cfg.Control != "" {
 			cfg.Listen = p.cfg.Peer
 		}
@@ -176,7 +176,7 @@
 	if p.hasDuties() {
 		needs = append(needs, nameDuties)
 	}
-	return kernel.Module{Name: nameMetrics, Needs: needs, New: func(k *kernel.Kernel) (kernel.Service, error) {
+	return kernel.Module{Name: nameMetricsListener, Needs: needs, New: func(k *kernel.Kernel) (kernel.Service, error) {
 		tel, err := kernel.Lookup[*telemetry.Service](k, nameTelemetry)
 		if err != nil {
 			return nil, err
