--- a/instance/settings/scaling.go
+++ b/instance/settings/scaling.go
@@ -8,36 +8,37 @@
 	"github.com/comfreyladder/comfreyladder/instance/inifile"
 )
 
-// scalingSection is the only section of a file of Scaling.
+// scalingSection is the only section of a scaling file.
 const scalingSection = "scaling"
 
-// Scaling says how upstreams are ordered where a provider takes orders of them. It has a file
-// of its own, since it is the same for all members of the control group.
+// Scaling configures how upstreams are ordered from a provider. It has its own file, because it
+// is the same for all members of the control group. See scale.Config for the fields.
 type Scaling struct {
-	// Utilisation is the part of the upstreams that the demand may need, as seen over Hold.
+	// Utilisation is the share of the upstreams that the demand, observed over HoldTime, may require.
 	Utilisation float64 `ini:"utilisation" default:"0.5" allow:"0.05..1"`
-	// Start is the part of the most upstreams that is ordered until the first demand was
-	// seen, for StartFor at most.
-	Start    float64       `ini:"start" default:"1" allow:"0.05..1"`
-	StartFor time.Duration `ini:"start_for" default:"10m" allow:"1s..24h"`
-	// Hold is for how long upstreams stay that were needed; after that the part Pace of them
-	// may go in a second.
-	Hold time.Duration `ini:"hold" default:"30s" allow:"1s..24h"`
-	Pace float64       `ini:"pace" default:"0.02" allow:"0.0001..1"`
-	// Base is how many standard upstreams each failure domain keeps.
-	Base int `ini:"base" default:"1" allow:"1..10000"`
-	// Most is how many upstreams of a service there may be, Coming how many more than serve
-	// may be ordered at a time, or a tenth of them if that is more.
-	Most   int `ini:"most" default:"4000" allow:"1..1000000"`
-	Coming int `ini:"coming" default:"240" allow:"1..1000000"`
-	// Bearable is the part of the upstreams that the demand may need while preemptible ones
-	// are taken back; beyond it standard ones are ordered.
-	Bearable float64 `ini:"bearable" default:"1" allow:"0.1..2"`
-	// DryRun logs what would be ordered, and orders nothing.
+	// StartShare is the share of MaxUpstreams that is ordered until demand is first seen, for at
+	// most StartTimeout.
+	StartShare   float64       `ini:"start" default:"1" allow:"0.05..1"`
+	StartTimeout time.Duration `ini:"start_for" default:"10m" allow:"1s..24h"`
+	// HoldTime is how long upstreams are kept after they were last needed, ReleaseRate the share of
+	// them that may be removed per second afterwards.
+	HoldTime    time.Duration `ini:"hold" default:"30s" allow:"1s..24h"`
+	ReleaseRate float64       `ini:"pace" default:"0.02" allow:"0.0001..1"`
+	// MinStandard is the number of standard upstreams that each failure domain keeps.
+	MinStandard int `ini:"base" default:"1" allow:"1..10000"`
+	// MaxUpstreams limits the upstreams of a service. MaxPending limits those ordered at a time in
+	// excess of the serving ones; a tenth of the serving ones is permitted if that is more.
+	MaxUpstreams int `ini:"most" default:"4000" allow:"1..1000000"`
+	MaxPending   int `ini:"coming" default:"240" allow:"1..1000000"`
+	// MaxUtilisation is the share of the upstreams that the demand may require while preemptible
+	// ones are reclaimed; above it, standard ones are ordered.
+	MaxUtilisation float64 `ini:"bearable" default:"1" allow:"0.1..2"`
+	// DryRun logs the orders without placing them.
 	DryRun bool `ini:"dry_run" default:"false"`
 }
 
-// LoadScaling reads and checks a file. The failure is an *inifile.FaultsError with all faults.
+// LoadScaling reads and checks a scaling file. All faults are returned at once, as an
+// *inifile.FaultsError.
 func LoadScaling(name string) (*Scaling, error) {
 	f, err := inifile.Load(name)
 	if err != nil {
@@ -48,12 +49,12 @@
 	return out, f.Err()
 }
 
-// Plan returns the settings of the decision.
+// Plan returns the configuration of the scaling decision.
 func (s *Scaling) Plan() scale.Config {
 	return scale.Config{
-		Utilisation: s.Utilisation, StartShare: s.Start, StartTimeout: s.StartFor, HoldTime: s.Hold, ReleaseRate: s.Pace, MinStandard: s.Base, MaxUtilisation: s.Bearable, MaxUpstreams: s.Most, MaxPending: s.Coming,
+		Utilisation: s.Utilisation, StartShare: s.StartShare, StartTimeout: s.StartTimeout, HoldTime: s.HoldTime, ReleaseRate: s.ReleaseRate, MinStandard: s.MinStandard, MaxUtilisation: s.MaxUtilisation, MaxUpstreams: s.MaxUpstreams, MaxPending: s.MaxPending,
 	}
 }
 
-// DescribeScaling writes all keys with their defaults and what is allowed.
+// DescribeScaling writes all keys with their defaults and allowed values.
 func DescribeScaling(w io.Writer) { inifile.Describe(w, scalingSection, Scaling{}) }
--- a/instance/settings/scaling_test.go
+++ b/instance/settings/scaling_test.go
@@ -10,8 +10,8 @@
 	"github.com/comfreyladder/comfreyladder/instance/settings"
 )
 
-var _ = Describe("Settings of the autoscaling", func() {
-	It("has the defaults of the decision, which the description can be loaded as", func() {
+var _ = Describe("Scaling settings", func() {
+	It("has the defaults of scale.Config, and its description can be loaded", func() {
 		var out bytes.Buffer
 		settings.DescribeScaling(&out)
 		s, err := settings.LoadScaling(write(out.String()))
@@ -23,7 +23,7 @@
 		Expect(s.DryRun).To(BeFalse())
 	})
 
-	It("tells all faults at once", func() {
+	It("reports all faults at once", func() {
 		_, err := settings.LoadScaling(write("[scaling]\nutilisation = 0\nhold = soon\nbase = -1\ndry_run = perhaps\nprice = 3\n[more]\n"))
 		Expect(keys(err)).To(ConsistOf("scaling.utilisation", "scaling.hold", "scaling.base", "scaling.dry_run", "scaling.price", "more."))
 	})
--- a/instance/settings/settings.go
+++ b/instance/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings holds the daemon's settings: what one process must know
-// before it can learn anything else. All that operators change while the system
-// runs belongs to the intent, not here.
+// Package settings loads the settings file of the daemon: what a process needs to start and
+// to reach the control group. Everything that operators change while the system runs is part of
+// the intent instead.
 package settings
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/comfreyladder/comfreyladder/instance/inifile"
 )
 
-// Settings are the checked settings of one daemon.
+// Settings holds the validated settings of one daemon.
 type Settings struct {
 	Instance Instance
 	Listen   Listen
@@ -26,45 +26,46 @@
 	Log      Log
 }
 
-// Instance says who this process is.
+// Instance identifies the instance and configures its storage and shutdown.
 type Instance struct {
-	// Name is unique among all instances, and a new disk needs no new name.
+	// Name is unique among all instances. It may be kept when the disk is replaced.
 	Name string `ini:"name" allow:"required"`
-	// FailureDomain is the failure domain that the instance stands in.
+	// FailureDomain is the failure domain in which the instance runs.
 	FailureDomain string `ini:"failure_domain" allow:"required"`
-	// DataFolder holds all files; without one the instance only follows.
+	// DataFolder holds all files. An instance without one only follows the control group.
 	DataFolder string `ini:"data_folder"`
-	// DrainTimeout bounds a graceful shutdown, counted from the signal.
+	// DrainTimeout limits a graceful shutdown, measured from the signal.
 	DrainTimeout time.Duration `ini:"drain_timeout" default:"10m" allow:"1s..24h"`
-	// DrainDelay is how long the instance answers "not ready" but goes on
-	// taking requests, until the balancer has noticed.
+	// DrainDelay is how long the instance reports "not ready" but still accepts requests, until
+	// the load balancer has noticed.
 	DrainDelay time.Duration `ini:"drain_delay" default:"5s" allow:"0s..5m"`
 }
 
-// Listen holds the listeners' addresses; port 0 takes a free port.
+// Listen holds the addresses of the listeners; port 0 selects a free port.
 type Listen struct {
-	// Callers serves callers, announcements and readiness, behind the balancer.
+	// Callers serves callers, announcements of upstreams and the readiness check, behind the load
+	// balancer.
 	Callers string `ini:"callers" default:"127.0.0.1:8080" allow:"address"`
 	// Operators serves the administration API and metrics.
 	Operators string `ini:"operators" default:"127.0.0.1:8081" allow:"address"`
 	// Peers serves links from other instances.
 	Peers string `ini:"peers" default:"127.0.0.1:8082" allow:"address"`
-	// EventLoops is the number of event loops per listener; 0 takes one per core.
+	// EventLoops is the number of event loops per listener; 0 means one per core.
 	EventLoops int `ini:"event_loops" default:"0" allow:"0..256"`
 }
 
-// TLS turns TLS on for all listeners. The files are read again when they change.
+// TLS enables TLS on all listeners. The files are reloaded when they change.
 type TLS struct {
 	Certificate string `ini:"certificate"`
 	Key         string `ini:"key"`
-	// PeerAuthority is the certificate authority that peers' certificates are
-	// checked with; empty means the system's.
+	// PeerAuthority is the certificate authority that verifies the certificates of peers; empty
+	// means those of the system.
 	PeerAuthority string `ini:"peer_authority"`
 }
 
-// Control says how the instance meets the others.
+// Control configures how the instance reaches the control group.
 type Control struct {
-	// Seeds are peer addresses of instances that are asked first.
+	// Seeds are the peer addresses of the instances that are contacted first.
 	Seeds []string `ini:"seeds" allow:"address"`
 	// PeerKeyFile holds the credential that all instances share.
 	PeerKeyFile string `ini:"peer_key_file"`
@@ -73,67 +74,67 @@
 	Founders []string `ini:"founders"`
 	// FoundingIntent is the intent file that becomes revision 1.
 	FoundingIntent string `ini:"founding_intent"`
-	// Lease is how long the configuration counts as known to be the newest
-	// after the last contact with the control group.
+	// Lease is how long after the last contact with the control group the configuration is still
+	// considered current.
 	Lease time.Duration `ini:"configuration_lease" default:"5s" allow:"1s..10s"`
 }
 
 // Limits protect the instance from slow, large or many requests.
 type Limits struct {
-	// MaxHeader and MaxBody bound one request, in bytes.
+	// MaxHeader and MaxBody limit the header and the body of a request, in bytes.
 	MaxHeader int `ini:"max_header_bytes" default:"16384" allow:"1024..1048576"`
 	MaxBody   int `ini:"max_body_bytes" default:"4194304" allow:"1024..268435456"`
-	// MaxConnections bounds open connections per listener.
+	// MaxConnections limits the open connections per listener.
 	MaxConnections int `ini:"max_connections" default:"20000" allow:"1..1000000"`
-	// IdleTimeout closes connections without a request.
+	// IdleTimeout is the time after which a connection without a request is closed.
 	IdleTimeout time.Duration `ini:"idle_timeout" default:"75s" allow:"1s..1h"`
-	// ReadTimeout bounds the arrival of one whole request.
+	// ReadTimeout limits the time until a request has been received completely.
 	ReadTimeout time.Duration `ini:"read_timeout" default:"30s" allow:"1s..1h"`
-	// WriteTimeout bounds how long a caller may not take what is written to it.
+	// WriteTimeout limits how long a caller may block a write to it.
 	WriteTimeout time.Duration `ini:"write_timeout" default:"30s" allow:"1s..1h"`
 }
 
 // Upstream holds the limits of connections to upstreams.
 type Upstream struct {
-	// ConnectTimeout bounds the connection's setup.
+	// ConnectTimeout limits the time to establish a connection.
 	ConnectTimeout time.Duration `ini:"connect_timeout" default:"500ms" allow:"1ms..1m"`
-	// FirstByteTimeout bounds the wait for the first byte of an answer.
+	// FirstByteTimeout limits the wait for the first byte of a response.
 	FirstByteTimeout time.Duration `ini:"first_byte_timeout" default:"60s" allow:"1ms..1h"`
-	// Silence bounds the gap between two events of a stream.
+	// Silence limits the time between two events of a stream.
 	Silence time.Duration `ini:"stream_silence" default:"5s" allow:"1ms..1h"`
-	// IdleAge is the age at which an idle pooled connection is closed.
+	// IdleAge is how long a pooled connection may be idle before it is closed.
 	IdleAge time.Duration `ini:"idle_age" default:"10s" allow:"0s..10m"`
-	// Attempts bounds the tries of one request.
+	// Attempts limits the attempts of a request.
 	Attempts int `ini:"attempts" default:"3" allow:"1..10"`
 }
 
-// Log says how much is logged.
+// Log sets the log level.
 type Log struct {
 	Level string `ini:"level" default:"info" allow:"debug|info|warn|error"`
 }
 
-// Load reads and checks a settings file. All faults are reported at once, as an
-// *inifile.FaultsError. Relative paths count from the file's folder.
+// Load reads and checks a settings file. All faults are returned at once, as an
+// *inifile.FaultsError. Relative paths are relative to the folder of the file.
 func Load(path string) (*Settings, error) {
 	f, err := inifile.Load(path)
 	if err != nil {
 		return nil, err
 	}
 	s := &Settings{}
-	for _, part := range s.sections() {
-		f.Decode(part.name, part.into)
+	for _, section := range s.sections() {
+		f.Decode(section.name, section.target)
 	}
-	s.cross(f)
+	s.checkCombinations(f)
 	if err := f.Err(); err != nil {
 		return nil, err
 	}
-	s.anchor(filepath.Dir(path))
+	s.resolvePaths(filepath.Dir(path))
 	return s, nil
 }
 
 type section struct {
-	name string
-	into any
+	name   string
+	target any
 }
 
 func (s *Settings) sections() []section {
@@ -143,23 +144,23 @@
 	}
 }
 
-// Describe writes all keys with their defaults and what is allowed.
+// Describe writes all keys with their defaults and allowed values.
 func Describe(w io.Writer) {
-	for _, part := range (&Settings{}).sections() {
-		inifile.Describe(w, part.name, reflect.ValueOf(part.into).Elem().Interface())
+	for _, section := range (&Settings{}).sections() {
+		inifile.Describe(w, section.name, reflect.ValueOf(section.target).Elem().Interface())
 	}
 }
 
-// cross checks what no single key can tell.
-func (s *Settings) cross(f *inifile.File) {
+// checkCombinations checks the rules that concern several keys, and the format of founders.
+func (s *Settings) checkCombinations(f *inifile.File) {
 	if (s.TLS.Certificate == "") != (s.TLS.Key == "") {
-		f.Add("tls", "key", s.TLS.Key, "certificate and key go together")
+		f.Add("tls", "key", s.TLS.Key, "certificate and key must be set together")
 	}
 	if len(s.Control.Seeds) > 0 && s.Control.PeerKeyFile == "" {
-		f.Add("control", "peer_key_file", "", "needed with seeds: no peer is met without a credential")
+		f.Add("control", "peer_key_file", "", "required with seeds: connections to peers need a credential")
 	}
 	if len(s.Control.Founders) > 0 && s.Instance.DataFolder == "" {
-		f.Add("instance", "data_folder", "", "needed with founders: a founder keeps control state")
+		f.Add("instance", "data_folder", "", "required with founders: a founder stores control state")
 	}
 	for _, founder := range s.Control.Founders {
 		if _, err := ParseFounder(founder); err != nil {
@@ -168,7 +169,7 @@
 	}
 }
 
-func (s *Settings) anchor(dir string) {
+func (s *Settings) resolvePaths(dir string) {
 	for _, p := range []*string{
 		&s.Instance.DataFolder, &s.TLS.Certificate, &s.TLS.Key, &s.TLS.PeerAuthority,
 		&s.Control.PeerKeyFile, &s.Control.FoundingIntent,
@@ -179,10 +180,10 @@
 	}
 }
 
-// Founder is one instance that founds the control group.
+// Founder is a founding member of the control group.
 type Founder struct{ Name, Address string }
 
-// ParseFounder splits name@address.
+// ParseFounder parses a founder in the form name@address.
 func ParseFounder(text string) (Founder, error) {
 	name, addr, ok := strings.Cut(text, "@")
 	if !ok || name == "" || addr == "" {
@@ -191,7 +192,7 @@
 	return Founder{Name: name, Address: addr}, nil
 }
 
-// ReadKey reads a credential from a file; surrounding white space is dropped.
+// ReadKey reads a credential from a file, without surrounding white space.
 func ReadKey(path string) (string, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -204,4 +205,5 @@
 	return key, nil
 }
 
+// minKeyLen is the minimum length of a credential, in bytes.
 const minKeyLen = 16
--- a/instance/settings/settings_test.go
+++ b/instance/settings/settings_test.go
@@ -65,7 +65,7 @@
 		Expect(err.Error()).To(ContainSubstring(`[log] level = "loud": allowed is one of debug, info, warn, error`))
 	})
 
-	It("describes every key as a file that loads once names are given", func() {
+	It("describes every key in a file that loads once the names are filled in", func() {
 		var text bytes.Buffer
 		settings.Describe(&text)
 		filled := strings.NewReplacer("\nname = \n", "\nname = a\n", "failure_domain = \n", "failure_domain = d\n").Replace(text.String())
@@ -73,7 +73,7 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("checks what no single key can tell", func() {
+	It("checks combinations of keys", func() {
 		_, err := settings.Load(write("[instance]\nname=a\nfailure_domain=d\n[tls]\ncertificate=c.pem\n[control]\nseeds=127.0.0.1:1\nfounders=a\n"))
 		Expect(keys(err)).To(ConsistOf("tls.key", "control.peer_key_file", "instance.data_folder", "control.founders"))
 	})
