--- a/instance/kernel/kernel.go
+++ b/instance/kernel/kernel.go
@@ -1,7 +1,6 @@
-// Package kernel is the micro-kernel of a process: services register under a
-// dotted name, say which names they need, and find each other by name. The
-// kernel provisions and starts them in order of need and drains and stops them
-// in reverse.
+// Package kernel manages the services of a process. Each service is registered under a dotted
+// name with the names of the services on which it depends, and looks these up by name. The kernel
+// creates and starts services in dependency order, and drains and stops them in reverse order.
 package kernel
 
 import (
@@ -11,35 +10,33 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// Service is one running part of a process.
+// Service is a component of a process that is started and stopped by the kernel.
 type Service interface {
-	// Start begins work and returns once the service is usable. Work that goes
-	// on belongs to goroutines that Stop ends.
+	// Start starts the service and returns once it is usable. Background work runs in goroutines
+	// that Stop ends.
 	Start(ctx context.Context) error
-	// Stop ends all work of the service and releases what it holds.
+	// Stop ends all work of the service and releases its resources.
 	Stop(ctx context.Context) error
 }
 
 // Drainer is a service with work in flight that must finish before a stop.
 type Drainer interface {
-	// Drain refuses or hands off new work and returns when nothing is in
-	// flight, or when ctx ends.
+	// Drain rejects new work or hands it over, and returns when no work is in flight or ctx ends.
 	Drain(ctx context.Context) error
 }
 
-// Module describes a service before it exists.
+// Module describes a service before it is created.
 type Module struct {
-	// Name is the dotted name under which others find the service.
+	// Name is the dotted name under which other services look it up.
 	Name string
-	// Needs lists services that must be started before this one.
+	// Needs lists the names of the services that must be started before this one.
 	Needs []string
-	// New provisions the service; it may look up its needs in the kernel but
-	// must not start any work.
+	// New creates the service. It may look up the services in Needs but must not start any work.
 	New func(k *Kernel) (Service, error)
 }
 
-// Kernel holds the services of one process. It is not safe for concurrent
-// changes; lookups after Start are safe.
+// Kernel holds the services of one process. Its methods are not safe for concurrent use, except
+// for lookups after Start.
 type Kernel struct {
 	modules  map[string]Module
 	services map[string]Service
@@ -52,7 +49,7 @@
 	return &Kernel{modules: map[string]Module{}, services: map[string]Service{}}
 }
 
-// Register adds modules. A name may be registered once.
+// Register adds modules. Each name may be registered only once.
 func (k *Kernel) Register(modules ...Module) error {
 	for _, m := range modules {
 		if _, dup := k.modules[m.Name]; dup {
@@ -63,7 +60,7 @@
 	return nil
 }
 
-// Lookup returns the service with the given name as a T.
+// Lookup returns the service with the given name, which must have type T.
 func Lookup[T any](k *Kernel, name string) (T, error) {
 	var zero T
 	s, ok := k.services[name]
@@ -77,16 +74,16 @@
 	return t, nil
 }
 
-// Start provisions all services and starts them in order of need. When one
-// fails, those already started are stopped in reverse and the failure returned.
+// Start creates all services and starts them in dependency order. If a start fails, the services
+// that have been started are stopped in reverse order, and the error is returned.
 func (k *Kernel) Start(ctx context.Context) error {
-	if err := k.sortByNeed(); err != nil {
+	if err := k.sortByDependency(); err != nil {
 		return err
 	}
 	for _, name := range k.order {
 		s, err := k.modules[name].New(k)
 		if err != nil {
-			return fault.Wrap(err, fault.CodeOf(err), "provision service %q", name)
+			return fault.Wrap(err, fault.CodeOf(err), "create service %q", name)
 		}
 		k.services[name] = s
 	}
@@ -100,9 +97,10 @@
 	return nil
 }
 
-// Drain lets every Drainer finish its work, dependants first.
+// Drain drains every Drainer, dependants first, and returns the first error after having tried
+// all of them.
 func (k *Kernel) Drain(ctx context.Context) error {
-	return k.reverse(func(_ string, s Service) error {
+	return k.forEachReverse(func(_ string, s Service) error {
 		d, ok := s.(Drainer)
 		if !ok {
 			return nil
@@ -111,15 +109,15 @@
 	}, "drain")
 }
 
-// Stop stops the started services in reverse order and returns the first
-// failure after having tried all of them.
+// Stop stops the started services in reverse order and returns the first error after having
+// tried all of them.
 func (k *Kernel) Stop(ctx context.Context) error {
-	err := k.reverse(func(_ string, s Service) error { return s.Stop(ctx) }, "stop")
+	err := k.forEachReverse(func(_ string, s Service) error { return s.Stop(ctx) }, "stop")
 	k.started = 0
 	return err
 }
 
-func (k *Kernel) reverse(f func(string, Service) error, what string) error {
+func (k *Kernel) forEachReverse(f func(string, Service) error, what string) error {
 	var first error
 	for i := k.started - 1; i >= 0; i-- {
 		name := k.order[i]
@@ -130,15 +128,15 @@
 	return first
 }
 
-// sortByNeed orders the modules so that each comes after all that it needs;
-// among the free choices, names go alphabetically, so that starts are alike.
-func (k *Kernel) sortByNeed() error {
+// sortByDependency sorts the modules topologically, each after those that it needs. Names are
+// visited in alphabetical order, so that the start order is deterministic.
+func (k *Kernel) sortByDependency() error {
 	names := make([]string, 0, len(k.modules))
 	for name := range k.modules {
 		names = append(names, name)
 	}
 	sort.Strings(names)
-	state := map[string]visit{}
+	state := map[string]visitState{}
 	for _, name := range names {
 		if err := k.visit(name, state); err != nil {
 			return err
@@ -147,31 +145,31 @@
 	return nil
 }
 
-type visit int
+type visitState int
 
 const (
-	visitOpen visit = iota + 1
-	visitDone
+	visiting visitState = iota + 1
+	visited
 )
 
-func (k *Kernel) visit(name string, state map[string]visit) error {
-	switch state[name] {
-	case visitDone:
+func (k *Kernel) visit(name string, states map[string]visitState) error {
+	switch states[name] {
+	case visited:
 		return nil
-	case visitOpen:
-		return fault.New(fault.Internal, "service %q needs itself by a cycle", name)
+	case visiting:
+		return fault.New(fault.Internal, "service %q is part of a dependency cycle", name)
 	}
 	m, ok := k.modules[name]
 	if !ok {
 		return fault.New(fault.NotFound, "service %q is needed but not registered", name)
 	}
-	state[name] = visitOpen
+	states[name] = visiting
 	for _, need := range m.Needs {
-		if err := k.visit(need, state); err != nil {
+		if err := k.visit(need, states); err != nil {
 			return err
 		}
 	}
-	state[name] = visitDone
+	states[name] = visited
 	k.order = append(k.order, name)
 	return nil
 }
--- a/instance/kernel/kernel_test.go
+++ b/instance/kernel/kernel_test.go
@@ -16,23 +16,23 @@
 	RunSpecs(t, "kernel")
 }
 
-type probe struct {
-	name string
-	log  *[]string
-	fail error
+type fakeService struct {
+	name     string
+	log      *[]string
+	startErr error
 }
 
-func (p *probe) Start(context.Context) error {
+func (p *fakeService) Start(context.Context) error {
 	*p.log = append(*p.log, "start "+p.name)
-	return p.fail
+	return p.startErr
 }
 
-func (p *probe) Stop(context.Context) error {
+func (p *fakeService) Stop(context.Context) error {
 	*p.log = append(*p.log, "stop "+p.name)
 	return nil
 }
 
-func (p *probe) Drain(context.Context) error {
+func (p *fakeService) Drain(context.Context) error {
 	*p.log = append(*p.log, "drain "+p.name)
 	return nil
 }
@@ -42,16 +42,16 @@
 	module := func(name string, fail error, needs ...string) kernel.Module {
 		return kernel.Module{Name: name, Needs: needs, New: func(k *kernel.Kernel) (kernel.Service, error) {
 			for _, n := range needs {
-				if _, err := kernel.Lookup[*probe](k, n); err != nil {
+				if _, err := kernel.Lookup[*fakeService](k, n); err != nil {
 					return nil, err
 				}
 			}
-			return &probe{name: name, log: &log, fail: fail}, nil
+			return &fakeService{name: name, log: &log, startErr: fail}, nil
 		}}
 	}
 	BeforeEach(func() { log = nil })
 
-	It("starts in order of need, drains and stops in reverse", func() {
+	It("starts in dependency order, drains and stops in reverse order", func() {
 		k := kernel.New()
 		Expect(k.Register(module("a", nil, "b"), module("b", nil))).To(Succeed())
 		ctx := context.Background()
@@ -61,14 +61,14 @@
 		Expect(log).To(Equal([]string{"start b", "start a", "drain a", "drain b", "stop a", "stop b"}))
 	})
 
-	It("stops what was started when a later start fails", func() {
+	It("stops the started services when a later start fails", func() {
 		k := kernel.New()
 		Expect(k.Register(module("a", nil), module("b", fault.New(fault.Unavailable, "no"), "a"))).To(Succeed())
 		Expect(fault.CodeOf(k.Start(context.Background()))).To(Equal(fault.Unavailable))
 		Expect(log).To(Equal([]string{"start a", "start b", "stop a"}))
 	})
 
-	It("refuses a cycle, a missing need and a double name", func() {
+	It("rejects a dependency cycle, a missing dependency and a duplicate name", func() {
 		k := kernel.New()
 		Expect(k.Register(module("a", nil, "b"), module("b", nil, "a"))).To(Succeed())
 		Expect(k.Register(module("a", nil))).NotTo(Succeed())
