--- a/instance/eventlog/eventlog.go
+++ b/instance/eventlog/eventlog.go
@@ -1,7 +1,7 @@
-// Package eventlog writes key=value lines to a file that may be slow, full or
-// unread: lines are gathered in a bounded buffer and written by a goroutine of
-// their own, so that no request ever waits for the log. What does not fit, or
-// exceeds the rate of its kind, is counted and told.
+// Package eventlog writes key=value lines to an output that may be slow, full or without a
+// reader. Lines are collected in a bounded buffer and written by a separate goroutine, so that no
+// request waits for the log. Lines that do not fit, or exceed the rate limit of their kind, are
+// dropped and counted, and the counts are logged.
 package eventlog
 
 import (
@@ -16,46 +16,46 @@
 
 // Defaults of a Sink.
 const (
-	// DefaultBuffer bounds the bytes that wait for the writer.
+	// DefaultBuffer limits the bytes that wait to be written.
 	DefaultBuffer = 128 << 10
-	// DefaultRate is how many lines a second one kind may write.
+	// DefaultRate is the maximum number of lines per second of one kind.
 	DefaultRate = 40
-	// flushEvery gathers lines into one write: each write costs a system call and a
-	// wake-up.
-	flushEvery = 200 * time.Millisecond
+	// flushDelay is how long lines are collected for one write, since each write costs a system
+	// call and a wake-up.
+	flushDelay = 200 * time.Millisecond
 )
 
-// Sink is the bounded writer. It is safe for concurrent use.
+// Sink buffers lines and writes them in the background. It is safe for concurrent use.
 type Sink struct {
 	out    io.Writer
 	rates  map[string]int
 	cancel context.CancelFunc
 	done   chan struct{}
 
-	mu      sync.Mutex
-	buf     []byte
-	spare   []byte
-	kinds   map[string]*kind
-	second  int64
-	lost    int
-	closed  bool
-	pending chan struct{}
+	mu           sync.Mutex
+	buf          []byte
+	spare        []byte
+	countsByKind map[string]*lineCounts
+	second       int64
+	overflowed   int
+	closed       bool
+	pending      chan struct{}
 }
 
-// kind counts the lines of one kind within a second.
-type kind struct{ written, dropped int }
+// lineCounts counts the lines of one kind in the current second.
+type lineCounts struct{ written, dropped int }
 
-// New returns a sink that writes to out. rates gives the lines a second by kind
-// where they differ from DefaultRate.
+// New returns a sink that writes to out. rates maps a kind to its maximum number of lines per
+// second; other kinds have DefaultRate.
 func New(out io.Writer, rates map[string]int) *Sink {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &Sink{out: out, rates: rates, cancel: cancel, done: make(chan struct{}), kinds: map[string]*kind{}, pending: make(chan struct{}, 1)}
+	s := &Sink{out: out, rates: rates, cancel: cancel, done: make(chan struct{}), countsByKind: map[string]*lineCounts{}, pending: make(chan struct{}, 1)}
 	go s.run(ctx)
 	return s
 }
 
-// Close writes what waits, for at most the given time, and ends the goroutine. A
-// writer that blocks for longer is left behind.
+// Close flushes the buffer, waiting for at most limit, and ends the goroutine. A write that blocks
+// for longer is abandoned.
 func (s *Sink) Close(limit time.Duration) {
 	s.mu.Lock()
 	s.closed = true
@@ -72,7 +72,7 @@
 	for {
 		select {
 		case <-s.pending:
-			clock.Sleep(ctx, flushEvery)
+			clock.Sleep(ctx, flushDelay)
 			s.flush()
 		case <-ctx.Done():
 			s.flush()
@@ -83,18 +83,18 @@
 
 func (s *Sink) flush() {
 	s.mu.Lock()
-	out := s.buf
+	batch := s.buf
 	s.buf = s.spare[:0]
 	s.spare = nil
 	s.mu.Unlock()
-	// A failed write has nowhere to be told; the lines are lost.
-	_, _ = s.out.Write(out)
+	// There is nowhere to report a failed write; the lines are lost.
+	_, _ = s.out.Write(batch)
 	s.mu.Lock()
-	s.spare = out
+	s.spare = batch
 	s.mu.Unlock()
 }
 
-// Write implements io.Writer for one whole line of no kind.
+// Write implements io.Writer. The argument must be one complete line; its kind is "other".
 func (s *Sink) Write(line []byte) (int, error) {
 	s.append("other", line)
 	return len(line), nil
@@ -106,11 +106,11 @@
 	if s.closed {
 		return
 	}
-	s.newSecond(time.Now().Unix())
-	k := s.kinds[name]
+	s.startSecond(time.Now().Unix())
+	k := s.countsByKind[name]
 	if k == nil {
-		k = &kind{}
-		s.kinds[name] = k
+		k = &lineCounts{}
+		s.countsByKind[name] = k
 	}
 	rate, ok := s.rates[name]
 	if !ok {
@@ -121,12 +121,12 @@
 		return
 	}
 	k.written++
-	s.put(line)
+	s.enqueue(line)
 }
 
-func (s *Sink) put(line []byte) {
+func (s *Sink) enqueue(line []byte) {
 	if len(s.buf)+len(line) > DefaultBuffer {
-		s.lost++
+		s.overflowed++
 		return
 	}
 	s.buf = append(s.buf, line...)
@@ -136,65 +136,67 @@
 	}
 }
 
-// newSecond begins to count anew, and tells what was dropped in the second before.
-func (s *Sink) newSecond(now int64) {
+// startSecond resets the counts if a new second has begun, and logs how many lines were dropped
+// before.
+func (s *Sink) startSecond(now int64) {
 	if now == s.second {
 		return
 	}
 	s.second = now
-	for name, k := range s.kinds {
+	for name, k := range s.countsByKind {
 		if k.dropped > 0 {
-			s.put(droppedLine(now, name, k.dropped))
+			s.enqueue(droppedLine(now, name, k.dropped))
 		}
-		*k = kind{}
+		*k = lineCounts{}
 	}
-	if s.lost > 0 {
-		lost := s.lost
-		s.lost = 0
-		s.put(droppedLine(now, "any", lost))
+	if s.overflowed > 0 {
+		lost := s.overflowed
+		s.overflowed = 0
+		s.enqueue(droppedLine(now, "any", lost))
 	}
 }
 
 func droppedLine(now int64, name string, count int) []byte {
-	l := Line{b: appendHead(nil, time.Unix(now, 0), "log_dropped")}
+	l := Line{b: appendPrefix(nil, time.Unix(now, 0), "log_dropped")}
 	l.Str("kind", name).Int("lines", int64(count))
 	return append(l.b, '\n')
 }
 
-// Line is one line under way.
+// Line is a log line that is being built.
 type Line struct {
 	sink *Sink
 	kind string
 	b    []byte
 }
 
-var lines = sync.Pool{New: func() any { return &Line{b: make([]byte, 0, 512)} }}
+var linePool = sync.Pool{New: func() any { return &Line{b: make([]byte, 0, 512)} }}
 
-// Event begins a line of a kind; End writes it. A nil sink writes nothing.
+// Event starts a line of the given kind; Line.End writes it. A nil sink writes nothing.
 func (s *Sink) Event(kind string) *Line {
 	if s == nil {
 		return nil
 	}
-	l := lines.Get().(*Line)
+	l := linePool.Get().(*Line)
 	l.sink, l.kind = s, kind
-	l.b = appendHead(l.b[:0], time.Now(), kind)
+	l.b = appendPrefix(l.b[:0], time.Now(), kind)
 	return l
 }
 
-func appendHead(b []byte, at time.Time, kind string) []byte {
+func appendPrefix(b []byte, at time.Time, kind string) []byte {
 	b = append(b, "time="...)
 	b = at.UTC().AppendFormat(b, "2006-01-02T15:04:05.000Z")
 	b = append(b, " event="...)
 	return append(b, kind...)
 }
 
-// Str adds a pair. A value that would break the line or the pair is quoted.
+// Str adds a key=value pair. The value is quoted if it is empty or has characters that would make
+// the line ambiguous.
 func (l *Line) Str(key, value string) *Line {
 	if l == nil {
 		return nil
 	}
 	l.b = append(append(append(l.b, ' '), key...), '=')
-	if plain(value) {
+	if isUnquoted(value) {
 		l.b = append(l.b, value...)
 	} else {
 		l.b = strconv.AppendQuote(l.b, value)
@@ -202,7 +204,7 @@
 	return l
 }
 
-func plain(s string) bool {
+func isUnquoted(s string) bool {
 	for i := range len(s) {
 		if c := s[i]; c <= ' ' || c == '=' || c == '"' || c == '\\' || c >= 0x7f {
 			return false
@@ -211,7 +213,7 @@
 	return s != ""
 }
 
-// Bytes adds a pair.
+// Bytes adds a pair with a value as for Str.
 func (l *Line) Bytes(key string, value []byte) *Line {
 	if l == nil {
 		return nil
@@ -219,7 +221,7 @@
 	return l.Str(key, string(value))
 }
 
-// Int adds a pair.
+// Int adds a pair with an integer value.
 func (l *Line) Int(key string, value int64) *Line {
 	if l == nil {
 		return nil
@@ -229,7 +231,7 @@
 	return l
 }
 
-// Float adds a pair.
+// Float adds a pair with a floating-point value.
 func (l *Line) Float(key string, value float64) *Line {
 	if l == nil {
 		return nil
@@ -239,13 +241,13 @@
 	return l
 }
 
-// Bool adds a pair.
+// Bool adds a pair with the value true or false.
 func (l *Line) Bool(key string, value bool) *Line { return l.Str(key, strconv.FormatBool(value)) }
 
-// MS adds a duration in milliseconds.
+// MS adds a pair with a duration in whole milliseconds.
 func (l *Line) MS(key string, d time.Duration) *Line { return l.Int(key, d.Milliseconds()) }
 
-// Err adds the failure, if there is one.
+// Err adds the pair error=err unless err is nil.
 func (l *Line) Err(err error) *Line {
 	if l == nil || err == nil {
 		return l
@@ -253,7 +255,7 @@
 	return l.Str("error", err.Error())
 }
 
-// End writes the line.
+// End hands the line to the sink. The line must not be used afterwards.
 func (l *Line) End() {
 	if l == nil {
 		return
@@ -261,5 +263,5 @@
 	l.b = append(l.b, '\n')
 	l.sink.append(l.kind, l.b)
 	l.sink = nil
-	lines.Put(l)
+	linePool.Put(l)
 }
--- a/instance/eventlog/eventlog_test.go
+++ b/instance/eventlog/eventlog_test.go
@@ -13,18 +13,18 @@
 	"github.com/comfreyladder/comfreyladder/instance/eventlog"
 )
 
-type buffer struct {
+type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *lockedBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.Write(p)
 }
 
-func (b *buffer) String() string {
+func (b *lockedBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.String()
@@ -32,18 +32,18 @@
 
 func TestLinesAreKeyValuePairs(t *testing.T) {
 	g := NewWithT(t)
-	out := &buffer{}
+	out := &lockedBuffer{}
 	s := eventlog.New(out, nil)
 	s.Event("request_done").Str("request", "a").Str("caller", "x y\nz").Int("status", 200).MS("took", 1500*time.Millisecond).End()
 	s.Close(time.Second)
 	g.Expect(out.String()).To(MatchRegexp(`^time=\S+ event=request_done request=a caller="x y\\nz" status=200 took=1500\n$`))
 }
 
-// A burst of requests writes more lines than anybody reads. The excess of each kind
-// is dropped and told, and the kinds that are rare come through.
+// Guards against a frequent kind of line crowding out rare ones: the lines beyond the rate limit
+// of a kind are dropped and counted, and lines of other kinds are written.
 func TestRatesBoundEachKind(t *testing.T) {
 	g := NewWithT(t)
-	out := &buffer{}
+	out := &lockedBuffer{}
 	s := eventlog.New(out, map[string]int{"a": 3})
 	for range 100 {
 		s.Event("a").End()
@@ -57,23 +57,23 @@
 	g.Expect(out.String()).To(MatchRegexp(`event=log_dropped kind=a lines=9\d`))
 }
 
-// Nobody reads the pipe that the log goes to. Requests must go on as if nothing
-// were: a line is dropped, and its writer is never made to wait.
+// Guards against requests that block because nobody reads the pipe to which the log is written:
+// lines are dropped instead.
 func TestBlockedWriterDoesNotBlockTheCallers(t *testing.T) {
 	r, w := io.Pipe()
 	defer func() { _ = r.Close() }()
 	s := eventlog.New(w, map[string]int{"a": 1 << 30})
-	begun := time.Now()
+	start := time.Now()
 	for range 20000 {
 		s.Event("a").Str("k", "0123456789").End()
 	}
-	if d := time.Since(begun); d > 2*time.Second {
+	if d := time.Since(start); d > 2*time.Second {
 		t.Fatalf("20,000 lines took %v while nobody read", d)
 	}
 	s.Close(10 * time.Millisecond)
 }
 
-// The reader of the pipe is gone. Writes fail, and the process lives on.
+// Guards against a crash when the reader of the pipe has closed it and writes fail.
 func TestClosedWriterIsHarmless(t *testing.T) {
 	r, w := io.Pipe()
 	_ = r.Close()
@@ -82,25 +82,25 @@
 	s.Close(time.Second)
 }
 
-// slow takes its time for each write, as a collector that is behind does.
-type slow struct{ buffer }
+// slowWriter delays each write, like a log collector that cannot keep up.
+type slowWriter struct{ lockedBuffer }
 
-func (s *slow) Write(p []byte) (int, error) {
+func (s *slowWriter) Write(p []byte) (int, error) {
 	time.Sleep(50 * time.Millisecond)
-	return s.buffer.Write(p)
+	return s.lockedBuffer.Write(p)
 }
 
-// The reader of the pipe is slower than the lines come. Callers don't notice; what
-// did not fit is told, and the lines that come through are whole.
+// Guards against callers that block, and against partial lines, when lines are logged faster than
+// they are read: lines that do not fit are dropped and counted, and the others are complete.
 func TestSlowWriterDoesNotBlockTheCallers(t *testing.T) {
 	g := NewWithT(t)
-	out := &slow{}
+	out := &slowWriter{}
 	s := eventlog.New(out, map[string]int{"a": 1 << 30})
-	begun := time.Now()
+	start := time.Now()
 	for range 20000 {
 		s.Event("a").Str("k", "0123456789").End()
 	}
-	g.Expect(time.Since(begun)).To(BeNumerically("<", 2*time.Second))
+	g.Expect(time.Since(start)).To(BeNumerically("<", 2*time.Second))
 	time.Sleep(1200 * time.Millisecond)
 	s.Event("b").End()
 	s.Close(2 * time.Second)
