--- a/operator/commands/explain.go
+++ b/operator/commands/explain.go
@@ -51,7 +51,7 @@
 	}
 	found := logs.Explain(lines, c.Args.ID, c.Context)
 	if len(found) == 0 {
-		tellEnded(w, logs.EndedWithoutAWord(lines))
+		tellEnded(w, logs.UncleanExits(lines))
 		return fault.New(fault.NotFound, "no line names the request %q; look for event=log_dropped, or at the logs of other instances", c.Args.ID)
 	}
 	for _, l := range found {
--- a/operator/logs/logs.go
+++ b/operator/logs/logs.go
@@ -217,9 +217,9 @@
 // count as ended: a calm process may write nothing for some seconds.
 const silence = 30 * time.Second
 
-// EndedWithoutAWord returns the processes that ended so, in order of time. A request that
+// UncleanExits returns the processes that ended so, in order of time. A request that
 // no line names may have been at one of them.
-func EndedWithoutAWord(lines []*Line) []Ended {
+func UncleanExits(lines []*Line) []Ended {
 	last := map[string]*Line{}
 	var ended []Ended
 	var end time.Time
--- a/operator/logs/logs_test.go
+++ b/operator/logs/logs_test.go
@@ -57,7 +57,7 @@
 		read("killed", "time=2026-01-01T00:01:00Z event=request_done request=d\n"),
 		read("stopped", "time=2026-01-01T00:01:00Z event=request_done request=e\n"),
 	)
-	ended := logs.EndedWithoutAWord(lines)
+	ended := logs.UncleanExits(lines)
 	g.Expect(ended).To(HaveLen(2))
 	g.Expect(ended[0].Source).To(Equal("killed"))
 	g.Expect(ended[0].Started.Sub(ended[0].Last)).To(Equal(2 * time.Second))
