--- a/operator/commands/explain.go
+++ b/operator/commands/explain.go
@@ -77,7 +77,7 @@
 }
 
 // tellEnded prints the processes that ended without a word.
-func tellEnded(w io.Writer, ended []logs.Ended) {
+func tellEnded(w io.Writer, ended []logs.UncleanExit) {
 	for _, e := range ended {
 		again := "has not started since"
 		if !e.Started.IsZero() {
--- a/operator/logs/logs.go
+++ b/operator/logs/logs.go
@@ -204,9 +204,9 @@
 	return s.sources[l.Source] || strings.HasPrefix(l.Event(), "member_") || slices.Contains(everywhere, l.Event())
 }
 
-// Ended is a process that ended without a word: it started anew, and no line of a stop
+// UncleanExit is a process that ended without a word: it started anew, and no line of a stop
 // stands before that. What it had under way has no line anywhere.
-type Ended struct {
+type UncleanExit struct {
 	// Source is the log, Last the time of its last line before, Started when it began anew;
 	// zero where its log just ends.
 	Source        string
@@ -219,9 +219,9 @@
 
 // UncleanExits returns the processes that ended so, in order of time. A request that
 // no line names may have been at one of them.
-func UncleanExits(lines []*Line) []Ended {
+func UncleanExits(lines []*Line) []UncleanExit {
 	last := map[string]*Line{}
-	var ended []Ended
+	var ended []UncleanExit
 	var end time.Time
 	ordered := slices.Clone(lines)
 	slices.SortStableFunc(ordered, func(a, b *Line) int { return a.At.Compare(b.At) })
@@ -231,16 +231,16 @@
 			continue
 		}
 		if before := last[l.Source]; l.Event() == "start" && before != nil && !isStop(before) {
-			ended = append(ended, Ended{l.Source, before.At, l.At})
+			ended = append(ended, UncleanExit{l.Source, before.At, l.At})
 		}
 		last[l.Source], end = l, l.At
 	}
 	for source, l := range last {
 		if !isStop(l) && end.Sub(l.At) > silence {
-			ended = append(ended, Ended{Source: source, Last: l.At})
+			ended = append(ended, UncleanExit{Source: source, Last: l.At})
 		}
 	}
-	slices.SortStableFunc(ended, func(a, b Ended) int { return a.Last.Compare(b.Last) })
+	slices.SortStableFunc(ended, func(a, b UncleanExit) int { return a.Last.Compare(b.Last) })
 	return ended
 }
 
