--- a/operator/logs/logs_test.go
+++ b/operator/logs/logs_test.go
@@ -23,7 +23,7 @@
   12.6 core-1 level=info event=upstream_announced upstream=u1 time=2026-01-01T00:00:09.000Z message=x
 `
 
-func TestOneRequestsLinesOfAllProcesses(t *testing.T) {
+func TestExplainCollectsLinesOfAllProcesses(t *testing.T) {
 	g := NewWithT(t)
 	lines, err := logs.Read(strings.NewReader(edge), "edge-1.log")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -40,9 +40,9 @@
 	g.Expect(logs.Explain(lines, "none", time.Second)).To(BeEmpty())
 }
 
-// A caller's connection broke and no line anywhere names its request: the instance that had
-// it was killed. On-call must be told which ones ended so, and not those that were stopped.
-func TestProcessesThatWereKilledAreTold(t *testing.T) {
+// No line names a request whose instance was killed while it was in flight. UncleanExits must
+// report the killed instances, and not those that were stopped.
+func TestUncleanExitsReportsKilledProcesses(t *testing.T) {
 	g := NewWithT(t)
 	read := func(source, text string) []*logs.Line {
 		lines, err := logs.Read(strings.NewReader(text), source)
@@ -65,9 +65,9 @@
 	g.Expect(ended[1].Started).To(BeZero())
 }
 
-// A bill is disputed. The lines of its window tell when it was closed, who sent it and who
-// took over meanwhile, and nothing of other windows.
-func TestOneWindowsLines(t *testing.T) {
+// The lines of a window show when it was closed, which member sent its report and which members
+// held the duties meanwhile, as needed for a disputed bill. Lines of other windows are left out.
+func TestWindowCollectsReportAndDutyLines(t *testing.T) {
 	g := NewWithT(t)
 	lines, err := logs.Read(strings.NewReader(`time=2026-01-01T00:00:01Z event=duties_held fence=3
 time=2026-01-01T00:00:05Z event=usage_window_closed window=42 requests=7
