--- a/operator/client/client.go
+++ b/operator/client/client.go
@@ -81,8 +81,8 @@
 	return c.do(fasthttp.MethodPost, admin.PathResolve, r, &admin.Resolution{})
 }
 
-// Group lists the members of the control group.
-func (c *Client) Group() ([]admin.Member, error) {
+// Members lists the members of the control group.
+func (c *Client) Members() ([]admin.Member, error) {
 	var out []admin.Member
 	err := c.do(fasthttp.MethodGet, admin.PathMembers, nil, &out)
 	return out, err
--- a/operator/commands/member.go
+++ b/operator/commands/member.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	list, err := cl.Group()
+	list, err := cl.Members()
 	if err != nil {
 		return err
 	}
--- a/proof/system/operate_test.go
+++ b/proof/system/operate_test.go
@@ -58,7 +58,7 @@
 		leader := s.leader()
 		gone := s.other(leader)
 		op := leader.operator("alice")
-		list, err := op.Group()
+		list, err := op.Members()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(list).To(HaveLen(3))
 		var id string
