--- a/operator/client/client.go
+++ b/operator/client/client.go
@@ -1,4 +1,5 @@
-// Package client talks to the administration API of an instance.
+// Package client is a client of the administration API of an instance, and of the status pages
+// that members of the control group serve.
 package client
 
 import (
@@ -19,21 +20,21 @@
 )
 
 const (
-	timeout     = 15 * time.Second
+	requestTimeout     = 15 * time.Second
 	maxResponse = 64 << 20
 )
 
-// Client calls one instance. It never resends: an operator who lost an answer
-// sends the same confirm again, which gets the first answer.
+// Client calls one instance. It never retries a request. An operator whose confirm got no
+// answer repeats it with the same number, and gets the answer to the first one.
 type Client struct {
-	// Address is host:port, or a URL with http or https.
+	// Address is host:port, or a base URL with http or https.
 	Address string
 	Key     string
-	// TLS is used with https; nil means the system's authorities.
+	// TLS configures https connections; nil means the certificate authorities of the system.
 	TLS *tls.Config
 }
 
-// Plan asks what a document would change.
+// Plan returns the changes that confirming a document would make.
 func (c *Client) Plan(doc *intent.Document) (*admin.Plan, error) {
 	out := &admin.Plan{}
 	return out, c.do(fasthttp.MethodPost, admin.PathPlan, admin.PlanRequest{Document: doc}, out)
@@ -45,7 +46,7 @@
 	return out, c.do(fasthttp.MethodPost, admin.PathConfirm, req, out)
 }
 
-// Status asks what the instance knows of the system.
+// Status returns the state of the system as the instance knows it.
 func (c *Client) Status() (*admin.Status, error) {
 	out := &admin.Status{}
 	return out, c.do(fasthttp.MethodGet, admin.PathStatus, nil, out)
@@ -63,7 +64,7 @@
 	return out, c.do(fasthttp.MethodGet, admin.PathIntent, nil, out)
 }
 
-// Explain asks what became of a request.
+// Explain returns the events and the outcome of a request that the instance has recorded.
 func (c *Client) Explain(id string) (*admin.Explanation, error) {
 	out := &admin.Explanation{}
 	return out, c.do(fasthttp.MethodGet, admin.PathRequests+id, nil, out)
@@ -76,7 +77,7 @@
 	return out, err
 }
 
-// Resolve settles an unknown outcome by the operator's word.
+// Resolve sets the outcome of a call whose outcome is unknown to the one that the operator states.
 func (c *Client) Resolve(r *admin.Resolution) error {
 	return c.do(fasthttp.MethodPost, admin.PathResolve, r, &admin.Resolution{})
 }
@@ -88,27 +89,29 @@
 	return out, err
 }
 
-// RemoveMember removes a silent member from the control group for good.
+// RemoveMember permanently removes a silent member from the control group, and returns the
+// remaining ones.
 func (c *Client) RemoveMember(id string) ([]admin.Member, error) {
 	var out []admin.Member
 	err := c.do(fasthttp.MethodPost, admin.PathRemove, admin.Removal{ID: id}, &out)
 	return out, err
 }
 
-// Duties asks a member, at the address of its metrics, how the duties stand.
+// Duties returns the state of the duties as a member knows it. Address is the address of the
+// member's metrics.
 func (c *Client) Duties() (*duty.View, error) {
 	out := &duty.View{}
 	return out, c.do(fasthttp.MethodGet, duty.Path, nil, out)
 }
 
-// Quarantine asks a member, at the address of its control listener, which requests are kept
-// from upstreams.
+// Quarantine returns the quarantined and the suspected requests. Address is the address of a
+// member's control listener.
 func (c *Client) Quarantine() (*quarantine.View, error) {
 	out := &quarantine.View{}
 	return out, c.do(fasthttp.MethodGet, quarantine.Path, nil, out)
 }
 
-// ReleaseQuarantine lets a request run again.
+// ReleaseQuarantine releases the request with this fingerprint from quarantine.
 func (c *Client) ReleaseQuarantine(fingerprint string) error {
 	return c.do(fasthttp.MethodDelete, quarantine.Path+"/"+url.PathEscape(fingerprint), nil, &struct{}{})
 }
@@ -131,17 +134,17 @@
 		req.Header.SetContentType("application/json")
 		req.SetBodyRaw(data)
 	}
-	h := fasthttp.Client{
-		MaxIdemponentCallAttempts: 1, MaxResponseBodySize: maxResponse, ReadTimeout: timeout, WriteTimeout: timeout, TLSConfig: c.TLS,
+	httpClient := fasthttp.Client{
+		MaxIdemponentCallAttempts: 1, MaxResponseBodySize: maxResponse, ReadTimeout: requestTimeout, WriteTimeout: requestTimeout, TLSConfig: c.TLS,
 	}
-	defer h.CloseIdleConnections()
-	if err := h.DoTimeout(&req, &resp, timeout); err != nil {
+	defer httpClient.CloseIdleConnections()
+	if err := httpClient.DoTimeout(&req, &resp, requestTimeout); err != nil {
 		return fault.Wrap(err, fault.Unavailable, "no answer from %s", base)
 	}
-	return decode(&resp, into)
+	return decodeResponse(&resp, into)
 }
 
-func decode(resp *fasthttp.Response, into any) error {
+func decodeResponse(resp *fasthttp.Response, into any) error {
 	if resp.StatusCode() != fasthttp.StatusOK {
 		var e httpapi.ErrorBody
 		if json.Unmarshal(resp.Body(), &e) != nil || e.Error.Code == "" {
