--- a/operator/client/client.go
+++ b/operator/client/client.go
@@ -1,5 +1,5 @@
-// Package client is a client of the administration API of an instance, and of the status pages
-// that members of the control group serve.
+// Package client is a client of the administration API of an instance, and of the calls
+// that members of the control group serve at their metrics and control listeners.
 package client
 
 import (
@@ -20,8 +20,8 @@
 )
 
 const (
-	requestTimeout     = 15 * time.Second
-	maxResponse = 64 << 20
+	requestTimeout = 15 * time.Second
+	maxResponse    = 64 << 20
 )
 
 // Client calls one instance. It never retries a request. An operator whose confirm got no
--- a/operator/commands/claims.go
+++ b/operator/commands/claims.go
@@ -51,9 +51,9 @@
 // Resolve is the subcommand "resolve".
 type Resolve struct {
 	Connection
-	As   string `long:"as" required:"yes" choice:"done" choice:"not-run" choice:"rejected" description:"what became of the call"`
-	Yes  bool   `long:"i-have-proof" description:"needed with --as not-run: you have proof that the call did not run and never will"`
-	Args struct {
+	As       string `long:"as" required:"yes" choice:"done" choice:"not-run" choice:"rejected" description:"what became of the call"`
+	HasProof bool   `long:"i-have-proof" description:"needed with --as not-run: you have proof that the call did not run and never will"`
+	Args     struct {
 		Organisation string `positional-arg-name:"ORGANISATION" required:"yes"`
 		Service      string `positional-arg-name:"SERVICE" required:"yes"`
 		Key          string `positional-arg-name:"KEY" required:"yes"`
@@ -64,7 +64,7 @@
 
 // Execute implements flags.Commander.
 func (c *Resolve) Execute([]string) error {
-	if c.As == "not-run" && !c.Yes {
+	if c.As == "not-run" && !c.HasProof {
 		return fault.New(fault.Invalid, "after not-run a resend runs the call; without proof that it did not run, it may run twice: add --i-have-proof")
 	}
 	cl, err := c.client()
--- a/operator/commands/commands.go
+++ b/operator/commands/commands.go
@@ -1,4 +1,4 @@
-// Package commands holds the subcommands of comfreyladder.
+// Package commands implements the subcommands of comfreyladder.
 package commands
 
 import (
@@ -19,7 +19,7 @@
 	"github.com/comfreyladder/comfreyladder/operator/tryout"
 )
 
-// Connection holds the options by which a command reaches an instance.
+// Connection holds the options of a command that calls the administration API of an instance.
 type Connection struct {
 	Address string `short:"a" long:"address" env:"COMFREYLADDER_ADDRESS" default:"127.0.0.1:8081" description:"operators' address of any instance"`
 	KeyFile string `short:"k" long:"key-file" env:"COMFREYLADDER_KEY_FILE" description:"file with the operator's key"`
@@ -27,7 +27,7 @@
 	Printing
 }
 
-// Printing says how a command prints.
+// Printing holds the options for the output format of a command.
 type Printing struct {
 	JSON bool `long:"json" description:"print JSON"`
 }
--- a/operator/commands/duties.go
+++ b/operator/commands/duties.go
@@ -45,7 +45,7 @@
 	return c.print(os.Stdout, &v.Windows[i], func(w io.Writer) { show.Window(w, &v.Windows[i]) })
 }
 
-// fromLogs prints what the members did about a window, in order of time.
+// fromLogs prints the members' log lines about a window, in order of time.
 func (c *Duties) fromLogs(w io.Writer) error {
 	if c.Window == 0 {
 		return fault.New(fault.Invalid, "--log needs --window NUMBER: the window that is asked about")
--- a/operator/commands/explain.go
+++ b/operator/commands/explain.go
@@ -43,7 +43,8 @@
 	return c.print(os.Stdout, e, func(w io.Writer) { show.Explanation(w, e) })
 }
 
-// fromLogs prints the request's lines of all processes in order of time.
+// fromLogs prints the request's lines in all logs and the state changes around it, in order of
+// time. It marks the request's own lines with ">".
 func (c *Explain) fromLogs(w io.Writer) error {
 	lines, err := readLogs(c.Logs)
 	if err != nil {
@@ -51,7 +52,7 @@
 	}
 	found := logs.Explain(lines, c.Args.ID, c.Context)
 	if len(found) == 0 {
-		tellEnded(w, logs.UncleanExits(lines))
+		printUncleanExits(w, logs.UncleanExits(lines))
 		return fault.New(fault.NotFound, "no line names the request %q; look for event=log_dropped, or at the logs of other instances", c.Args.ID)
 	}
 	for _, l := range found {
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// readLogs reads several logs.
+// readLogs parses the named logs and returns their lines, one log after the other.
 func readLogs(names []string) (lines []*logs.Line, err error) {
 	for _, name := range names {
 		more, err := readLog(name)
@@ -76,14 +77,14 @@
 	return lines, nil
 }
 
-// tellEnded prints the processes that ended without a word.
-func tellEnded(w io.Writer, ended []logs.UncleanExit) {
+// printUncleanExits prints the processes that exited without logging a stop.
+func printUncleanExits(w io.Writer, ended []logs.UncleanExit) {
 	for _, e := range ended {
-		again := "has not started since"
+		restart := "has not started since"
 		if !e.Started.IsZero() {
-			again = "started anew at " + e.Started.Format(time.RFC3339Nano)
+			restart = "started anew at " + e.Started.Format(time.RFC3339Nano)
 		}
-		fmt.Fprintf(w, "! %s ended after %s without a stop and %s: what it had under way then has no line\n", e.Source, e.Last.Format(time.RFC3339Nano), again)
+		fmt.Fprintf(w, "! %s ended after %s without a stop and %s: what it had under way then has no line\n", e.Source, e.Last.Format(time.RFC3339Nano), restart)
 	}
 }
 
--- a/operator/commands/intent.go
+++ b/operator/commands/intent.go
@@ -51,11 +51,11 @@
 	if err != nil {
 		return err
 	}
-	done, err := cl.Confirm(&admin.ConfirmRequest{Number: c.Number, Base: c.Base, Document: doc})
+	confirmation, err := cl.Confirm(&admin.ConfirmRequest{Number: c.Number, Base: c.Base, Document: doc})
 	if err != nil {
 		return err
 	}
-	return c.print(os.Stdout, done, func(w io.Writer) {
-		fmt.Fprintf(w, "Accepted as revision %d (intent %d of %s).\n", done.Revision, done.Number, done.Operator)
+	return c.print(os.Stdout, confirmation, func(w io.Writer) {
+		fmt.Fprintf(w, "Accepted as revision %d (intent %d of %s).\n", confirmation.Revision, confirmation.Number, confirmation.Operator)
 	})
 }
--- a/operator/commands/quarantine.go
+++ b/operator/commands/quarantine.go
@@ -18,7 +18,7 @@
 	Release QuarantineRelease `command:"release" description:"let a request run again, as after a new version of the engine"`
 }
 
-// ControlListener says where a member of the control group takes operators' calls.
+// ControlListener holds the option for the address of a control group member's control listener.
 type ControlListener struct {
 	Control string `short:"c" long:"control" env:"COMFREYLADDER_CONTROL" default:"127.0.0.1:8229" description:"address at which any member of the control group takes calls"`
 }
