--- a/operator/client/client.go
+++ b/operator/client/client.go
@@ -90,7 +90,7 @@
 }
 
 // RemoveMember permanently removes a silent member from the control group, and returns the
-// remaining ones.
+// list of its members.
 func (c *Client) RemoveMember(id string) ([]admin.Member, error) {
 	var out []admin.Member
 	err := c.do(fasthttp.MethodPost, admin.PathRemove, admin.Removal{ID: id}, &out)
