--- a/operator/router/layout.go
+++ b/operator/router/layout.go
@@ -22,13 +22,14 @@
 const (
 	intentFile  = "intent.ini"
 	peerKeyFile = "peer.key"
-	// operatorName is an operator that only reads, to look into the instances.
+	// operatorName names the read-only operator whose key the load tool uses for its calls to the
+	// instances.
 	operatorName = "bench"
 )
 
-// lay writes the files of all instances: the first one of each domain has a disk
-// and founds the control group with the others.
-func (s *System) lay() error {
+// writeFiles writes the files of all instances. The first instance of each domain has a data
+// folder; these instances found the control group.
+func (s *System) writeFiles() error {
 	if err := s.write(peerKeyFile, rand.Text()); err != nil {
 		return err
 	}
@@ -36,22 +37,22 @@
 	sum := sha256.Sum256([]byte(s.key))
 	doc.Operators = append(doc.Operators[:len(doc.Operators):len(doc.Operators)],
 		intent.Operator{Name: operatorName, KeyHash: hex.EncodeToString(sum[:]), ReadOnly: true})
-	if err := s.write(intentFile, format(&doc)); err != nil {
+	if err := s.write(intentFile, formatIntent(&doc)); err != nil {
 		return err
 	}
-	peers, err := freePorts(perDomain * len(s.experiment.Engines.Domains))
+	peers, err := freePorts(instancesPerDomain * len(s.experiment.Engines.Domains))
 	if err != nil {
 		return err
 	}
 	var founders []string
 	for i, domain := range s.experiment.Engines.Domains {
-		founders = append(founders, fmt.Sprintf("%s-1@%s", domain, peers[i*perDomain]))
+		founders = append(founders, fmt.Sprintf("%s-1@%s", domain, peers[i*instancesPerDomain]))
 	}
 	for i, domain := range s.experiment.Engines.Domains {
-		for n := range perDomain {
-			in := &instance{name: fmt.Sprintf("%s-%d", domain, n+1), domain: domain, key: s.key, upstreams: s.upstreams(i)}
-			in.settings = filepath.Join(s.dir, in.name+".ini")
-			if err := s.write(in.name+".ini", in.ini(peers[i*perDomain+n], founders, n == 0)); err != nil {
+		for n := range instancesPerDomain {
+			in := &instance{name: fmt.Sprintf("%s-%d", domain, n+1), domain: domain, key: s.key, expectedUpstreams: s.upstreamCount(i)}
+			in.settingsFile = filepath.Join(s.dir, in.name+".ini")
+			if err := s.write(in.name+".ini", in.settingsText(peers[i*instancesPerDomain+n], founders, n == 0)); err != nil {
 				return err
 			}
 			s.instances = append(s.instances, in)
@@ -60,8 +61,8 @@
 	return nil
 }
 
-// upstreams is how many stand-ins the fleet puts into a domain.
-func (s *System) upstreams(domain int) int {
+// upstreamCount returns the number of stand-ins that the fleet starts in a domain.
+func (s *System) upstreamCount(domain int) int {
 	domains := len(s.experiment.Engines.Domains)
 	share := func(count int) int { return (count - domain + domains - 1) / domains }
 	sum := share(s.experiment.Engines.Count)
@@ -78,7 +79,7 @@
 	return nil
 }
 
-func (in *instance) ini(peer string, founders []string, disk bool) string {
+func (in *instance) settingsText(peer string, founders []string, disk bool) string {
 	var seeds []string
 	for _, f := range founders {
 		_, address, _ := strings.Cut(f, "@")
@@ -99,7 +100,7 @@
 }
 
 func (in *instance) start(ctx context.Context) error {
-	cfg, err := settings.Load(in.settings)
+	cfg, err := settings.Load(in.settingsFile)
 	if err != nil {
 		return err
 	}
@@ -113,8 +114,8 @@
 	return in.daemon.Start(ctx)
 }
 
-// freePorts returns loopback addresses that were free a moment ago. Peers must
-// know each other's addresses before any of them listens.
+// freePorts returns loopback addresses whose ports were free when it probed them. Peers must know
+// each other's addresses before any of them listens.
 func freePorts(n int) ([]string, error) {
 	var out []string
 	for range n {
@@ -128,7 +129,7 @@
 	return out, nil
 }
 
-func lines(e *admin.Explanation) (out []string) {
+func eventLines(e *admin.Explanation) (out []string) {
 	for _, ev := range e.Events {
 		out = append(out, fmt.Sprintf("%8.0f ms  %s", ev.AtMillis, ev.Text))
 	}
--- a/operator/router/router_test.go
+++ b/operator/router/router_test.go
@@ -23,7 +23,7 @@
 		for _, file := range []string{"../load/samples/bagmati.ini", "../load/samples/lanyang.ini"} {
 			x, err := load.Load(file)
 			Expect(err).NotTo(HaveOccurred())
-			doc, err := intentfile.Parse("formatted", []byte(format(x.Intent)))
+			doc, err := intentfile.Parse("formatted", []byte(formatIntent(x.Intent)))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(doc).To(Equal(x.Intent))
 		}
@@ -39,7 +39,7 @@
 		sys := New(x, 1).(*System)
 		run := &load.Run{Experiment: x, Policy: "router", Seed: 1, System: sys}
 		run.StartFleet = func(ctx context.Context, announce load.Announce) (load.Fleet, error) {
-			Expect(announce.To("north")).To(HaveLen(perDomain))
+			Expect(announce.To("north")).To(HaveLen(instancesPerDomain))
 			Expect(announce.To("south")).NotTo(ContainElements(announce.To("north")))
 			return fleet.Start(ctx, x, 1, announce)
 		}
@@ -47,15 +47,15 @@
 		defer cancel()
 		res, err := run.Do(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		whole := 0
+		complete := 0
 		for i := range res.Records {
 			Expect(res.Records[i].Outcome.Verdict).NotTo(BeElementOf(load.Wrong, load.Verdict("")))
 			if res.Records[i].Outcome.Verdict == load.Complete {
-				whole++
+				complete++
 				Expect(res.Records[i].Outcome.ID).NotTo(BeEmpty())
 			}
 		}
-		Expect(whole).NotTo(BeZero())
+		Expect(complete).NotTo(BeZero())
 		for _, m := range res.Missed {
 			if m.Record.Outcome.ID != "" && m.Record.Outcome.Verdict == load.Complete {
 				Expect(m.Events).NotTo(BeEmpty())
