--- a/operator/tryout/caller.go
+++ b/operator/tryout/caller.go
@@ -14,7 +14,7 @@
 	"github.com/comfreyladder/comfreyladder/instance/httpapi"
 )
 
-// answerTokens is the length of the demo's answer.
+// answerTokens is the max_tokens of the demo's question.
 const answerTokens = 24
 
 type answer struct {
@@ -36,8 +36,9 @@
 	Content string `json:"content"`
 }
 
-// stream sends the scene's question and calls show with each piece of the answer.
-func (st *stage) stream(s scene, show func(string)) (*answer, error) {
+// streamAnswer sends the scenario's question and calls show with the content of each chunk of the
+// answer.
+func (st *environment) streamAnswer(s scenario, show func(string)) (*answer, error) {
 	start := time.Now()
 	resp, err := st.post(gateway.PathChat, chatBody{
 		Model: s.model, ServiceTier: s.class, Stream: true, MaxTokens: answerTokens,
@@ -77,8 +78,8 @@
 	return nil, fault.New(fault.StreamBroken, "the answer ended without its end marker")
 }
 
-// book calls the plain service under the same key each time.
-func (st *stage) book(s scene) (int, string, error) {
+// callService calls the scenario's plain service, with the same idempotency key each time.
+func (st *environment) callService(s scenario) (int, string, error) {
 	resp, err := st.post(gateway.PathServices+s.service+"/bookings", map[string]string{"customer": "4711"}, "demo-booking-1")
 	if err != nil {
 		return 0, "", err
@@ -91,7 +92,7 @@
 	return resp.StatusCode, string(bytes.TrimSpace(body)), nil
 }
 
-func (st *stage) post(path string, body any, key string) (*http.Response, error) {
+func (st *environment) post(path string, body any, key string) (*http.Response, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Internal, "encode")
@@ -100,7 +101,7 @@
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Internal, "make a request")
 	}
-	req.Header.Set("Authorization", "Bearer "+st.orgKey)
+	req.Header.Set("Authorization", "Bearer "+st.organisationKey)
 	req.Header.Set("Content-Type", "application/json")
 	if key != "" {
 		req.Header.Set(httpapi.HeaderIdempotencyKey, key)
--- a/operator/tryout/stage.go
+++ b/operator/tryout/environment.go
@@ -25,29 +25,29 @@
 )
 
 const (
-	engines = 2
-	// speed makes the stand-ins' work fast enough for a demo.
+	engineCount = 2
+	// speed shortens the stand-ins' work so that the demo doesn't take long.
 	speed = 5
 )
 
-// stage is one instance with its stand-ins, in a folder that ends with it.
-type stage struct {
-	scene   scene
-	dir     string
-	orgKey  string
-	opKey   string
-	upKey   string
-	daemon  *daemon.Daemon
-	engines []*engine.Engine
-	service *service.Service
+// environment is one instance with its stand-ins, in a temporary folder that close removes.
+type environment struct {
+	scenario        scenario
+	dir             string
+	organisationKey string
+	operatorKey     string
+	upstreamKey     string
+	daemon          *daemon.Daemon
+	engines         []*engine.Engine
+	service         *service.Service
 }
 
-func newStage(s scene) (*stage, error) {
+func newEnvironment(s scenario) (*environment, error) {
 	dir, err := os.MkdirTemp("", "comfreyladder-demo-")
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Unavailable, "make a folder for the demo")
 	}
-	st := &stage{scene: s, dir: dir, orgKey: rand.Text(), opKey: rand.Text(), upKey: rand.Text()}
+	st := &environment{scenario: s, dir: dir, organisationKey: rand.Text(), operatorKey: rand.Text(), upstreamKey: rand.Text()}
 	if err := st.prepare(); err != nil {
 		st.close()
 		return nil, err
@@ -55,8 +55,8 @@
 	return st, nil
 }
 
-func (st *stage) prepare() error {
-	text, err := samples.Intent(st.scene.user)
+func (st *environment) prepare() error {
+	text, err := samples.Intent(st.scenario.user)
 	if err != nil {
 		return err
 	}
@@ -64,19 +64,19 @@
 	if err != nil {
 		return err
 	}
-	text = samples.WithKey(text, samples.FirstOperator, config.HashKey(st.opKey))
+	text = samples.WithKey(text, samples.FirstOperator, config.HashKey(st.operatorKey))
 	for i := range doc.Upstreams {
-		text = samples.WithKey(text, samples.FirstUpstream+i, config.HashKey(st.upKey))
+		text = samples.WithKey(text, samples.FirstUpstream+i, config.HashKey(st.upstreamKey))
 	}
-	old := doc.Organisation(st.scene.organisation).KeyHashes[0]
-	text = strings.ReplaceAll(text, old, config.HashKey(st.orgKey))
+	old := doc.Organisation(st.scenario.organisation).KeyHashes[0]
+	text = strings.ReplaceAll(text, old, config.HashKey(st.organisationKey))
 	if err := st.write("intent.ini", text); err != nil {
 		return err
 	}
 	if err := st.write("peer.key", rand.Text()); err != nil {
 		return err
 	}
-	name := st.scene.domain + "-1"
+	name := st.scenario.domain + "-1"
 	ini := fmt.Sprintf(`[instance]
 name = %s
 failure_domain = %s
@@ -92,18 +92,18 @@
 founding_intent = intent.ini
 [log]
 level = error
-`, name, st.scene.domain, name)
+`, name, st.scenario.domain, name)
 	return st.write("instance.ini", ini)
 }
 
-func (st *stage) write(name, text string) error {
+func (st *environment) write(name, text string) error {
 	if err := os.WriteFile(filepath.Join(st.dir, name), []byte(text), 0o600); err != nil {
 		return fault.Wrap(err, fault.Unavailable, "write %s", name)
 	}
 	return nil
 }
 
-func (st *stage) start() error {
+func (st *environment) start() error {
 	cfg, err := settings.Load(filepath.Join(st.dir, "instance.ini"))
 	if err != nil {
 		return err
@@ -122,11 +122,11 @@
 	if err := st.startStandIns(ctx); err != nil {
 		return err
 	}
-	return st.wait("the engines to announce themselves", st.announced)
+	return st.wait("the engines to announce themselves", st.allUpstreamsLive)
 }
 
-func (st *stage) startStandIns(ctx context.Context) error {
-	common := host.Config{Announce: []string{st.daemon.CallerAddress()}, Credential: st.upKey}
+func (st *environment) startStandIns(ctx context.Context) error {
+	common := host.Config{Announce: []string{st.daemon.CallerAddress()}, Credential: st.upstreamKey}
 	doc, err := intentfile.Load(filepath.Join(st.dir, "intent.ini"))
 	if err != nil {
 		return err
@@ -134,16 +134,16 @@
 	for _, rule := range doc.Upstreams {
 		prefix := strings.TrimSuffix(rule.Name, "*")
 		if rule.Kind == "service" {
-			st.service = service.New(service.Config{Config: common, Name: prefix + "1", Domain: st.scene.domain, Service: st.scene.service})
+			st.service = service.New(service.Config{Config: common, Name: prefix + "1", Domain: st.scenario.domain, Service: st.scenario.service})
 			if err := st.service.Start(ctx); err != nil {
 				return err
 			}
 			continue
 		}
-		for i := range engines {
+		for i := range engineCount {
 			e := engine.New(engine.Config{
-				Config: common, Name: fmt.Sprintf("%s%d", prefix, i+1), Domain: st.scene.domain,
-				Models: order.Names(doc.Model(st.scene.model)), Speed: speed,
+				Config: common, Name: fmt.Sprintf("%s%d", prefix, i+1), Domain: st.scenario.domain,
+				Models: order.Names(doc.Model(st.scenario.model)), Speed: speed,
 			})
 			if err := e.Start(ctx); err != nil {
 				return err
@@ -154,8 +154,8 @@
 	return nil
 }
 
-func (st *stage) announced() bool {
-	s, err := st.operator().Status()
+func (st *environment) allUpstreamsLive() bool {
+	s, err := st.operatorClient().Status()
 	if err != nil {
 		return false
 	}
@@ -165,17 +165,17 @@
 			live++
 		}
 	}
-	return live == engines+1
+	return live == engineCount+1
 }
 
-func (st *stage) operator() *client.Client {
-	return &client.Client{Address: st.daemon.OperatorAddress(), Key: st.opKey}
+func (st *environment) operatorClient() *client.Client {
+	return &client.Client{Address: st.daemon.OperatorAddress(), Key: st.operatorKey}
 }
 
-// effects returns how often the plain service ran a call.
-func (st *stage) effects() int { return st.service.Book().Counts().Effects }
+// effects returns the number of calls that the plain service has run.
+func (st *environment) effects() int { return st.service.Book().Counts().Effects }
 
-func (st *stage) stop(w io.Writer) error {
+func (st *environment) stop(w io.Writer) error {
 	for _, e := range slices.Backward(st.engines) {
 		if err := e.Stop(context.Background()); err != nil {
 			return err
@@ -193,8 +193,8 @@
 	return nil
 }
 
-// close ends what a failure left running.
-func (st *stage) close() {
+// close kills the instance if it still runs, and removes the folder.
+func (st *environment) close() {
 	if st.daemon != nil {
 		_ = st.daemon.Kill(context.Background())
 	}
--- a/operator/tryout/tryout.go
+++ b/operator/tryout/tryout.go
@@ -1,5 +1,5 @@
-// Package tryout runs an entry instance with stand-ins of its upstreams in one
-// process and shows what it does for each of the two first users.
+// Package tryout runs an entry instance with stand-ins of its upstreams in one process, and
+// demonstrates what it does for each of the first two users.
 package tryout
 
 import (
@@ -15,29 +15,29 @@
 	"github.com/comfreyladder/comfreyladder/operator/commands/show"
 )
 
-// scene is what the demo does for one user.
-type scene struct {
+// scenario describes the demo for one user.
+type scenario struct {
 	user, domain, organisation, class, model, question, service string
-	// raise is the class whose floor the demo's intent changes.
-	raise string
-	// atMostOnce says that the service's calls may not be repeated.
+	// changedClass is the class whose floor the demo's intent changes.
+	changedClass string
+	// atMostOnce is true if a call of the service must not run more than once.
 	atMostOnce bool
 }
 
-var scenes = []scene{
+var scenarios = []scenario{
 	{
 		user: "bagmati", domain: "lalitpur-hall", organisation: "district-clinic", class: "nurse-review", model: "sleep-summary",
-		question: "Review the last month of sleep of resident 4711 before the home visit.", service: "gateway", raise: "band-status",
+		question: "Review the last month of sleep of resident 4711 before the home visit.", service: "gateway", changedClass: "band-status",
 	},
 	{
 		user: "lanyang", domain: "neihu-hall", organisation: "firm-01", class: "technician-answer", model: "dishdesk-reports",
-		question: "The dish shows 4 dB too little on the northern satellite. Which screw first?", service: "booking", raise: "report-draft", atMostOnce: true,
+		question: "The dish shows 4 dB too little on the northern satellite. Which screw first?", service: "booking", changedClass: "report-draft", atMostOnce: true,
 	},
 }
 
-// Run shows both users' scenes on w and returns the first failure.
+// Run runs the scenarios of both users, prints their course to w and returns the first failure.
 func Run(w io.Writer) error {
-	for _, s := range scenes {
+	for _, s := range scenarios {
 		if err := s.run(w); err != nil {
 			return err
 		}
@@ -46,9 +46,9 @@
 	return nil
 }
 
-func (s scene) run(w io.Writer) error {
+func (s scenario) run(w io.Writer) error {
 	fmt.Fprintf(w, "== %s: one instance in %s, two stand-in engines, one plain service, in one process\n", s.user, s.domain)
-	st, err := newStage(s)
+	st, err := newEnvironment(s)
 	if err != nil {
 		return err
 	}
@@ -56,17 +56,17 @@
 	if err := st.start(); err != nil {
 		return err
 	}
-	id, err := s.ask(w, st)
+	id, err := s.sendChat(w, st)
 	if err != nil {
 		return err
 	}
 	if err := s.callTwice(w, st); err != nil {
 		return err
 	}
-	if err := s.change(w, st); err != nil {
+	if err := s.changeIntent(w, st); err != nil {
 		return err
 	}
-	op := st.operator()
+	op := st.operatorClient()
 	e, err := op.Explain(id)
 	if err != nil {
 		return err
@@ -82,9 +82,9 @@
 	return st.stop(w)
 }
 
-func (s scene) ask(w io.Writer, st *stage) (string, error) {
+func (s scenario) sendChat(w io.Writer, st *environment) (string, error) {
 	fmt.Fprintf(w, "-- %s asks as class %s: %s\n   ", s.organisation, s.class, s.question)
-	got, err := st.stream(s, func(text string) { fmt.Fprint(w, text) })
+	got, err := st.streamAnswer(s, func(text string) { fmt.Fprint(w, text) })
 	if err != nil {
 		return "", err
 	}
@@ -93,10 +93,10 @@
 	return got.id, nil
 }
 
-func (s scene) callTwice(w io.Writer, st *stage) error {
+func (s scenario) callTwice(w io.Writer, st *environment) error {
 	fmt.Fprintf(w, "-- %s calls service %s twice under one Idempotency-Key\n", s.organisation, s.service)
 	for range 2 {
-		status, body, err := st.book(s)
+		status, body, err := st.callService(s)
 		if err != nil {
 			return err
 		}
@@ -114,8 +114,8 @@
 	return nil
 }
 
-func (s scene) change(w io.Writer, st *stage) error {
-	op := st.operator()
+func (s scenario) changeIntent(w io.Writer, st *environment) error {
+	op := st.operatorClient()
 	before, err := op.Intent()
 	if err != nil {
 		return err
@@ -123,7 +123,7 @@
 	next := *before.Document
 	next.Classes = append([]intent.Class(nil), next.Classes...)
 	for i := range next.Classes {
-		if next.Classes[i].Name == s.raise {
+		if next.Classes[i].Name == s.changedClass {
 			next.Classes[i].Floor += 0.05
 		}
 	}
@@ -141,7 +141,7 @@
 	return st.waitRevision(op, done.Revision)
 }
 
-func (st *stage) waitRevision(op *client.Client, revision uint64) error {
+func (st *environment) waitRevision(op *client.Client, revision uint64) error {
 	return st.wait("the new revision to be in force", func() bool {
 		s, err := op.Status()
 		return err == nil && s.Revision >= revision
@@ -149,18 +149,18 @@
 }
 
 const (
-	waitLimit = 20 * time.Second
-	waitStep  = 20 * time.Millisecond
+	waitTimeout  = 20 * time.Second
+	pollInterval = 20 * time.Millisecond
 )
 
-func (st *stage) wait(what string, done func() bool) error {
-	ctx, cancel := context.WithTimeout(context.Background(), waitLimit)
+func (st *environment) wait(what string, done func() bool) error {
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	for !done() {
 		select {
 		case <-ctx.Done():
-			return fault.New(fault.DeadlineExceeded, "waited %v for %s", waitLimit, what)
-		case <-time.After(waitStep):
+			return fault.New(fault.DeadlineExceeded, "waited %v for %s", waitTimeout, what)
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
--- a/operator/tryout/tryout_test.go
+++ b/operator/tryout/tryout_test.go
@@ -9,7 +9,7 @@
 	"github.com/comfreyladder/comfreyladder/operator/tryout"
 )
 
-// The README's first command shows both users' scenes and ends well.
+// The first command of the README runs the scenarios of both users without a failure.
 func TestDemo(t *testing.T) {
 	g := NewWithT(t)
 	var out bytes.Buffer
