--- a/instance/daemon/base.go
+++ b/instance/daemon/base.go
@@ -10,25 +10,25 @@
 	"github.com/comfreyladder/comfreyladder/instance/upstream"
 )
 
-// idle gives a service that owns no goroutine its Start and Stop.
-type idle struct{}
+// noLifecycle provides Start and Stop for a service that owns no goroutine.
+type noLifecycle struct{}
 
 // Start implements kernel.Service.
-func (idle) Start(context.Context) error { return nil }
+func (noLifecycle) Start(context.Context) error { return nil }
 
 // Stop implements kernel.Service.
-func (idle) Stop(context.Context) error { return nil }
+func (noLifecycle) Stop(context.Context) error { return nil }
 
-// into returns a lookup that sets to; all carries lookups out up to the first
-// that fails.
-func into[T any](k *kernel.Kernel, name string, to *T) func() error {
+// lookupInto returns a function that stores the named service in to.
+func lookupInto[T any](k *kernel.Kernel, name string, to *T) func() error {
 	return func() (err error) {
 		*to, err = kernel.Lookup[T](k, name)
 		return err
 	}
 }
 
-func all(lookups ...func() error) error {
+// runLookups runs the lookups in order and returns the first error.
+func runLookups(lookups ...func() error) error {
 	for _, lookup := range lookups {
 		if err := lookup(); err != nil {
 			return err
@@ -43,9 +43,9 @@
 	}}
 }
 
-// traceService holds what is remembered of requests.
+// traceService holds the traces of recent requests.
 type traceService struct {
-	idle
+	noLifecycle
 	*trace.Log
 }
 
@@ -70,9 +70,9 @@
 	}}
 }
 
-// clientService ends the client's connections.
+// clientService closes the upstream client's connections on Stop.
 type clientService struct {
-	idle
+	noLifecycle
 	*upstream.Client
 }
 
--- a/instance/daemon/cluster.go
+++ b/instance/daemon/cluster.go
@@ -19,7 +19,8 @@
 	"github.com/comfreyladder/comfreyladder/instance/tlsconf"
 )
 
-// addressBook finds founders by the settings until membership knows them.
+// addressBook falls back to the founders' addresses in the settings for instances
+// that membership does not know yet.
 type addressBook struct {
 	*member.Book
 	founders map[string]string
@@ -65,8 +66,8 @@
 	}}
 }
 
-// peerKey returns the credential that instances share. An instance that is on
-// its own by its settings makes one that nobody knows.
+// peerKey returns the credential that instances share. Without a key file the
+// instance runs on its own and uses a random key that no other instance has.
 func (d *Daemon) peerKey() (string, error) {
 	if d.cfg.Control.PeerKeyFile == "" {
 		return rand.Text(), nil
@@ -95,31 +96,31 @@
 		var links *link.Service
 		var members *member.Service
 		var conf *config.Service
-		err := all(into(k, nameLinks, &links), into(k, nameMembers, &members), into(k, nameConfig, &conf))
+		err := runLookups(lookupInto(k, nameLinks, &links), lookupInto(k, nameMembers, &members), lookupInto(k, nameConfig, &conf))
 		if err != nil {
 			return nil, err
 		}
 		s := spread.New(spread.Config{
 			Links: links, Layout: func() spread.Layout { return d.layout(k, members) }, MinRevision: members.RevisionSeen, Log: d.log,
-			Interval: min(spread.DefaultInterval, d.cfg.Control.Lease/questionsPerLease),
+			Interval: min(spread.DefaultInterval, d.cfg.Control.Lease/leaseRequestsPerLease),
 		})
-		s.Subscribe(func(revision uint64, data []byte) { d.takeRevision(k, conf, members, revision, data) })
+		s.Subscribe(func(revision uint64, data []byte) { d.applyRevision(k, conf, members, revision, data) })
 		return s, nil
 	}}
 }
 
-// questionsPerLease is how often an instance asks its parent within a lease: a
-// leaf of a full domain, three steps below the leader, still gets one that
-// lasts until its next question.
-const questionsPerLease = 5
+// leaseRequestsPerLease is how often an instance asks its parent for a lease
+// within one lease duration. At this rate a leaf of a full domain, three levels
+// below the leader, still receives a lease that lasts until its next request.
+const leaseRequestsPerLease = 5
 
-func (d *Daemon) takeRevision(k *kernel.Kernel, conf *config.Service, members *member.Service, revision uint64, data []byte) {
+func (d *Daemon) applyRevision(k *kernel.Kernel, conf *config.Service, members *member.Service, revision uint64, data []byte) {
 	doc, err := control.Decode(data)
 	if err == nil {
-		err = remember(k, revision, data)
+		err = saveApplied(k, revision, data)
 	}
 	if err != nil {
-		d.log.Error().Err(err).Uint64("revision", revision).Msg("revision not taken")
+		d.log.Error().Err(err).Uint64("revision", revision).Msg("failed to apply revision")
 		return
 	}
 	if conf.Apply(revision, doc) {
@@ -127,7 +128,7 @@
 	}
 }
 
-func remember(k *kernel.Kernel, revision uint64, data []byte) error {
+func saveApplied(k *kernel.Kernel, revision uint64, data []byte) error {
 	c, err := kernel.Lookup[*control.Service](k, nameControl)
 	if err != nil {
 		return err
@@ -154,7 +155,7 @@
 		var links *link.Service
 		var members *member.Service
 		var sp *spread.Service
-		err := all(into(k, nameLinks, &links), into(k, nameMembers, &members), into(k, nameSpread, &sp))
+		err := runLookups(lookupInto(k, nameLinks, &links), lookupInto(k, nameMembers, &members), lookupInto(k, nameSpread, &sp))
 		if err != nil {
 			return nil, err
 		}
@@ -187,8 +188,9 @@
 	return names
 }
 
-// controlMembers returns who may hold control state: known instances with a data
-// folder, then the seeds, of which at a start nothing but the address is known.
+// controlMembers returns the instances that may hold control state: known ones
+// with a data folder by name, then the seeds by address, which is all that is
+// known of them at startup.
 func (d *Daemon) controlMembers(members *member.Service) (names []string) {
 	for _, m := range members.Members() {
 		if m.Data && m.Name != d.cfg.Instance.Name && m.Status < coremember.Dead {
@@ -203,10 +205,10 @@
 	return names
 }
 
-// superseded ends this process when a newer one has its name.
+// superseded ends this process because a newer one runs under the same name.
 func (d *Daemon) superseded() { d.fail(errSuperseded) }
 
-// fail asks the process to end; only the first failure counts.
+// fail reports a fatal error; while one is pending, later ones are discarded.
 func (d *Daemon) fail(err error) {
 	select {
 	case d.fatal <- err:
@@ -214,7 +216,8 @@
 	}
 }
 
-// livePeers returns the names of the other usable instances of the domain.
+// livePeers returns the names of the other instances of this failure domain that
+// are alive, suspected or draining.
 func (d *Daemon) livePeers(members *member.Service) (names []string) {
 	for _, m := range members.Members() {
 		if m.Domain == d.cfg.Instance.FailureDomain && m.Name != d.cfg.Instance.Name && m.Status < coremember.Dead {
@@ -224,7 +227,7 @@
 	return names
 }
 
-// schedulePeers joins the scheduler with membership and links.
+// schedulePeers adapts membership and links to schedule.Peers.
 type schedulePeers struct {
 	*link.Service
 	d       *Daemon
--- a/instance/daemon/daemon.go
+++ b/instance/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon puts the services of an entry instance together on the
-// micro-kernel, from its settings.
+// Package daemon assembles the services of an entry instance on the micro-kernel
+// according to its settings.
 package daemon
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/comfreyladder/comfreyladder/instance/settings"
 )
 
-// The names of the services.
+// Names under which the services are registered with the kernel.
 const (
 	nameTelemetry = "telemetry"
 	nameTrace     = "trace"
@@ -32,7 +32,7 @@
 	nameOperators = "listener.operators"
 )
 
-// errSuperseded ends a process whose name a newer one has taken.
+// errSuperseded ends a process when a newer one runs under the same name.
 var errSuperseded = fault.New(fault.Conflict, "a newer process runs under this instance's name")
 
 // Daemon is one entry instance.
@@ -45,8 +45,8 @@
 	drain  chan struct{}
 }
 
-// New returns a daemon that has not started. It fails when two services have
-// the same name, which is a defect.
+// New returns a daemon that is not started yet. It fails if two services have the
+// same name, which is a programming error.
 func New(cfg *settings.Settings, log zerolog.Logger) (*Daemon, error) {
 	d := &Daemon{cfg: cfg, log: log, kernel: kernel.New(), fatal: make(chan error, 1), drain: make(chan struct{}, 1)}
 	d.book = d.addresses()
@@ -57,14 +57,15 @@
 	return d, err
 }
 
-// Fatal tells why the process has to end: its disk failed, or a newer process
-// has its name.
+// Fatal returns a channel that receives the reason why the process must end: its
+// disk failed, or a newer process runs under its name.
 func (d *Daemon) Fatal() <-chan error { return d.fatal }
 
-// DrainAsked tells that an operator wants the process to drain and stop.
+// DrainAsked returns a channel that receives a value when an operator asks the
+// process to drain and stop.
 func (d *Daemon) DrainAsked() <-chan struct{} { return d.drain }
 
-func (d *Daemon) askDrain() {
+func (d *Daemon) requestDrain() {
 	select {
 	case d.drain <- struct{}{}:
 	default:
@@ -81,21 +82,22 @@
 	return nil
 }
 
-// Stop drains and stops all services: the balancer is told first, what arrives
-// meanwhile is still served, and what is in flight finishes. ctx bounds it.
+// Stop drains and stops all services: the load balancer is told first, requests
+// that arrive meanwhile are still served, and those in flight finish. ctx bounds
+// the whole.
 func (d *Daemon) Stop(ctx context.Context) error {
 	d.log.Info().Msg("draining")
 	drain, cancel := context.WithTimeout(ctx, d.cfg.Instance.DrainTimeout)
 	defer cancel()
 	if err := d.kernel.Drain(drain); err != nil {
-		d.log.Warn().Err(err).Msg("drain did not finish")
+		d.log.Warn().Err(err).Msg("drain incomplete")
 	}
 	err := d.kernel.Stop(ctx)
 	d.log.Info().Msg("stopped")
 	return err
 }
 
-// Kill stops all services at once, without a drain.
+// Kill stops all services without draining.
 func (d *Daemon) Kill(ctx context.Context) error { return d.kernel.Stop(ctx) }
 
 // CallerAddress returns the bound address of the callers' listener.
--- a/instance/daemon/http.go
+++ b/instance/daemon/http.go
@@ -26,8 +26,8 @@
 	"github.com/comfreyladder/comfreyladder/instance/upstream"
 )
 
-// parts are the services that the HTTP modules use.
-type parts struct {
+// services holds the services that the HTTP modules use.
+type services struct {
 	config    *config.Service
 	telemetry *telemetry.Service
 	trace     *traceService
@@ -42,23 +42,24 @@
 	orders    *order.Service
 }
 
-var partNames = []string{
+var serviceNames = []string{
 	nameConfig, nameTelemetry, nameTrace, nameClient, nameRegistry, nameSchedule, namePlain, nameMembers, nameSpread, nameControl, nameLinks, nameOrders,
 }
 
-func find(k *kernel.Kernel) (p *parts, err error) {
-	p = &parts{}
-	return p, all(
-		into(k, nameConfig, &p.config), into(k, nameTelemetry, &p.telemetry), into(k, nameTrace, &p.trace),
-		into(k, nameClient, &p.client), into(k, nameRegistry, &p.registry), into(k, nameSchedule, &p.queue),
-		into(k, namePlain, &p.plain), into(k, nameMembers, &p.members), into(k, nameSpread, &p.spread),
-		into(k, nameControl, &p.control), into(k, nameLinks, &p.links), into(k, nameOrders, &p.orders),
+// lookupServices fills in all fields of services; serviceNames lists the same ones.
+func lookupServices(k *kernel.Kernel) (p *services, err error) {
+	p = &services{}
+	return p, runLookups(
+		lookupInto(k, nameConfig, &p.config), lookupInto(k, nameTelemetry, &p.telemetry), lookupInto(k, nameTrace, &p.trace),
+		lookupInto(k, nameClient, &p.client), lookupInto(k, nameRegistry, &p.registry), lookupInto(k, nameSchedule, &p.queue),
+		lookupInto(k, namePlain, &p.plain), lookupInto(k, nameMembers, &p.members), lookupInto(k, nameSpread, &p.spread),
+		lookupInto(k, nameControl, &p.control), lookupInto(k, nameLinks, &p.links), lookupInto(k, nameOrders, &p.orders),
 	)
 }
 
 func (d *Daemon) gateway() kernel.Module {
-	return kernel.Module{Name: nameGateway, Needs: partNames, New: func(k *kernel.Kernel) (kernel.Service, error) {
-		p, err := find(k)
+	return kernel.Module{Name: nameGateway, Needs: serviceNames, New: func(k *kernel.Kernel) (kernel.Service, error) {
+		p, err := lookupServices(k)
 		if err != nil {
 			return nil, err
 		}
@@ -68,9 +69,11 @@
 			Dispatcher: dispatch.New(dispatch.Config{
 				Queue: p.queue, Client: p.client.Client, Telemetry: p.telemetry, Trace: p.trace.Log, Attempts: d.cfg.Upstream.Attempts,
 			}),
-			Registry:  p.registry,
-			Plain:     p.plain,
-			Targets:   func(v *config.View, service string) (upstream.Target, error) { return target(p.registry, v, service) },
+			Registry: p.registry,
+			Plain:    p.plain,
+			Targets: func(v *config.View, service string) (upstream.Target, error) {
+				return pickTarget(p.registry, v, service)
+			},
 			Telemetry: p.telemetry,
 			Trace:     p.trace.Log,
 			Log:       d.log,
@@ -80,13 +83,13 @@
 	}}
 }
 
-// noTargetRetry is the hint with a call whose service has no upstream here; a
-// beat brings one back within about that time.
-const noTargetRetry = time.Second
+// noUpstreamRetryAfter is the retry hint for a call whose service has no upstream in this
+// failure domain: an upstream that is back is known about one heartbeat later.
+const noUpstreamRetryAfter = time.Second
 
-// target chooses one of the upstreams that run a plain service, at random: they
-// tell nothing about their load that is fresh enough to do better.
-func target(r *registry.Service, v *config.View, service string) (upstream.Target, error) {
+// pickTarget chooses one of the upstreams of a plain service at random, because
+// the load that they report is not fresh enough for a better choice.
+func pickTarget(r *registry.Service, v *config.View, service string) (upstream.Target, error) {
 	var open []upstream.Target
 	view := r.View()
 	for i := range view.Upstreams {
@@ -97,26 +100,26 @@
 		}
 	}
 	if len(open) == 0 {
-		return upstream.Target{}, fault.New(fault.NotRun, "no upstream of service %q is there", service).WithRetryAfter(noTargetRetry)
+		return upstream.Target{}, fault.New(fault.NotRun, "service %q has no available upstream", service).WithRetryAfter(noUpstreamRetryAfter)
 	}
 	return open[rand.IntN(len(open))], nil
 }
 
-// gatewayService drains the gateway; its listener is a service of its own.
+// gatewayService drains the gateway; the callers' listener is a separate service.
 type gatewayService struct {
-	idle
+	noLifecycle
 	*gateway.Gateway
 	d       *Daemon
 	kernel  *kernel.Kernel
 	members *member.Service
 }
 
-// quiet is how long nothing may be in flight before a drain counts as done: the
-// balancer may still send a last request on a connection that it keeps.
-const quiet = 300 * time.Millisecond
+// drainQuietPeriod is how long nothing must be in flight before a drain is complete:
+// the load balancer may still send a last request on a kept-alive connection.
+const drainQuietPeriod = 300 * time.Millisecond
 
-// Drain says "not ready", goes on serving for the delay, then waits until
-// nothing is in flight, queued requests and streams included.
+// Drain reports "not ready", keeps serving for the drain delay, then waits until
+// nothing is in flight, including queued requests and streams.
 func (g *gatewayService) Drain(ctx context.Context) error {
 	g.SetReady(false)
 	if err := g.members.Drain(ctx); err != nil {
@@ -133,7 +136,7 @@
 	if operators, err := kernel.Lookup[*httpserver.Server](g.kernel, nameOperators); err == nil {
 		operators.CloseAfterResponse()
 	}
-	return shutdown.AwaitQuiet(ctx, quiet, func() bool { return g.InFlight() > 0 || listener.Busy() > 0 })
+	return shutdown.AwaitQuiet(ctx, drainQuietPeriod, func() bool { return g.InFlight() > 0 || listener.Busy() > 0 })
 }
 
 func (d *Daemon) callers() kernel.Module {
@@ -153,8 +156,8 @@
 }
 
 func (d *Daemon) operators() kernel.Module {
-	return kernel.Module{Name: nameOperators, Needs: append([]string{nameGateway}, partNames...), New: func(k *kernel.Kernel) (kernel.Service, error) {
-		p, err := find(k)
+	return kernel.Module{Name: nameOperators, Needs: append([]string{nameGateway}, serviceNames...), New: func(k *kernel.Kernel) (kernel.Service, error) {
+		p, err := lookupServices(k)
 		if err != nil {
 			return nil, err
 		}
@@ -172,7 +175,7 @@
 			Config: p.config, Control: p.control, Claims: p.control, Group: p.control, Telemetry: p.telemetry, Log: d.log,
 			Status:  func() admin.Status { return d.status(p, g) },
 			Explain: e.explain,
-			Drain:   d.askDrain,
+			Drain:   d.requestDrain,
 		})
 		return httpserver.New(httpserver.Config{
 			Address: d.cfg.Listen.Operators, EventLoops: 1, Limits: d.cfg.Limits, TLS: tls, Handler: api.Handle,
--- a/instance/daemon/metrics.go
+++ b/instance/daemon/metrics.go
@@ -9,11 +9,12 @@
 	"github.com/comfreyladder/comfreyladder/instance/link"
 )
 
-// writeLinkMetrics writes what the links carried, by channel. The counts live in
-// the links, which are older than any metric, and their channels are few.
+// writeLinkMetrics writes the traffic counters of the links by channel. The link
+// service keeps the counters itself, as it does not depend on telemetry; there are
+// few channels.
 func writeLinkMetrics(w io.Writer, links *link.Service) {
 	for _, c := range links.Stats() {
-		// A peer chooses the channels' names that it sends.
+		// Quoted because a peer chooses the names of the channels that it sends on.
 		label := "{channel=" + strconv.Quote(c.Channel) + "}"
 		metrics.WriteCounterUint64(w, "link_sent_bytes_total"+label, c.SentBytes)
 		metrics.WriteCounterUint64(w, "link_received_bytes_total"+label, c.RecvBytes)
--- a/instance/daemon/orders.go
+++ b/instance/daemon/orders.go
@@ -13,8 +13,8 @@
 	"github.com/comfreyladder/comfreyladder/instance/order"
 )
 
-// channelOrders asks the instance that orders the engines how they stand.
 const (
+	// channelOrders is the link channel on which an instance returns its order status.
 	channelOrders = "orders.status"
 	ordersTimeout = time.Second
 )
@@ -22,10 +22,10 @@
 func (d *Daemon) orders() kernel.Module {
 	needs := []string{nameConfig, nameControl, nameSpread, nameMembers, nameRegistry, nameClient, nameLinks}
 	return kernel.Module{Name: nameOrders, Needs: needs, New: func(k *kernel.Kernel) (kernel.Service, error) {
-		p := &parts{}
+		p := &services{}
 		for _, get := range []func() error{
-			into(k, nameConfig, &p.config), into(k, nameControl, &p.control), into(k, nameSpread, &p.spread), into(k, nameMembers, &p.members),
-			into(k, nameRegistry, &p.registry), into(k, nameClient, &p.client), into(k, nameLinks, &p.links),
+			lookupInto(k, nameConfig, &p.config), lookupInto(k, nameControl, &p.control), lookupInto(k, nameSpread, &p.spread), lookupInto(k, nameMembers, &p.members),
+			lookupInto(k, nameRegistry, &p.registry), lookupInto(k, nameClient, &p.client), lookupInto(k, nameLinks, &p.links),
 		} {
 			if err := get(); err != nil {
 				return nil, err
@@ -35,7 +35,7 @@
 	}}
 }
 
-func (d *Daemon) newOrders(p *parts) *order.Service {
+func (d *Daemon) newOrders(p *services) *order.Service {
 	peers := &schedulePeers{d: d, members: p.members}
 	s := order.New(order.Config{
 		Domain: d.cfg.Instance.FailureDomain, Self: d.cfg.Instance.Name, Members: peers.Members, Propose: p.control.Propose,
@@ -46,22 +46,24 @@
 	return s
 }
 
-// ordersStatus asks the instance that orders the engines, if that is another one.
-func (d *Daemon) ordersStatus(p *parts) admin.OrdersStatus {
+// ordersStatus returns the status of the instance that issues orders to the
+// engines. If that is another instance which does not answer, it returns the
+// local status.
+func (d *Daemon) ordersStatus(p *services) admin.OrdersStatus {
 	st := p.orders.Status()
 	if st.Issuer == "" || st.Issuer == d.cfg.Instance.Name {
-		return showOrders(&st)
+		return toOrdersStatus(&st)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), ordersTimeout)
 	defer cancel()
 	var theirs order.Status
 	if err := p.links.Call(ctx, st.Issuer, channelOrders, struct{}{}, &theirs); err != nil {
-		return showOrders(&st)
+		return toOrdersStatus(&st)
 	}
-	return showOrders(&theirs)
+	return toOrdersStatus(&theirs)
 }
 
-func showOrders(st *order.Status) admin.OrdersStatus {
+func toOrdersStatus(st *order.Status) admin.OrdersStatus {
 	out := admin.OrdersStatus{Issuer: st.Issuer, Fence: st.Fence}
 	if st.Fence > 0 {
 		out.LeaseUntil = &st.Until
--- a/instance/daemon/status.go
+++ b/instance/daemon/status.go
@@ -11,7 +11,7 @@
 	"github.com/comfreyladder/comfreyladder/instance/link"
 )
 
-func (d *Daemon) status(p *parts, g *gatewayService) admin.Status {
+func (d *Daemon) status(p *services, g *gatewayService) admin.Status {
 	lease := p.spread.Lease()
 	queue := p.queue.Status()
 	s := admin.Status{
@@ -28,7 +28,7 @@
 	return s
 }
 
-func (d *Daemon) addInstances(s *admin.Status, p *parts) {
+func (d *Daemon) addInstances(s *admin.Status, p *services) {
 	for _, m := range p.members.Members() {
 		role := "follows"
 		switch {
@@ -46,7 +46,7 @@
 	}
 }
 
-func (d *Daemon) addDomains(s *admin.Status, p *parts) {
+func (d *Daemon) addDomains(s *admin.Status, p *services) {
 	newest := p.members.RevisionSeen()
 	own := p.members.Domain()
 	s.Domains = append(s.Domains, admin.DomainStatus{
@@ -62,7 +62,7 @@
 	}
 }
 
-func addUpstreams(s *admin.Status, p *parts) {
+func addUpstreams(s *admin.Status, p *services) {
 	v := p.registry.View()
 	now := time.Now()
 	for i := range v.Upstreams {
@@ -76,42 +76,42 @@
 
 const channelExplain = "trace.explain"
 
-// explainer finds what became of a request, at the instance that served it.
+// explainer looks up the trace of a request at the instance that served it.
 type explainer struct {
 	self string
-	p    *parts
+	p    *services
 }
 
 type explainRequest struct {
 	ID string `codec:"id"`
 }
 
-func newExplainer(self string, p *parts) *explainer {
+func newExplainer(self string, p *services) *explainer {
 	e := &explainer{self: self, p: p}
 	p.links.Handle(channelExplain, func(_ context.Context, _ string, m link.Message) (any, error) {
 		var q explainRequest
 		if err := m.Decode(&q); err != nil {
 			return nil, err
 		}
-		return e.here(q.ID)
+		return e.findLocal(q.ID)
 	})
 	return e
 }
 
-func (e *explainer) here(id string) (admin.Explanation, error) {
+func (e *explainer) findLocal(id string) (admin.Explanation, error) {
 	rec, ok := e.p.trace.Find(id)
 	if !ok {
-		return rec, fault.New(fault.NotFound, "request %q is not remembered any more, or never was", id)
+		return rec, fault.New(fault.NotFound, "request %q is unknown or its trace has been discarded", id)
 	}
 	return rec, nil
 }
 
-// explain asks the instance that the ID names: an ID is the instance's name, a
-// dash and a random part.
+// explain fetches the trace from the instance that the request ID names. An ID
+// consists of the instance's name, a dash and a random part.
 func (e *explainer) explain(ctx context.Context, id string) (admin.Explanation, error) {
 	i := strings.LastIndexByte(id, '-')
 	if i <= 0 || id[:i] == e.self {
-		return e.here(id)
+		return e.findLocal(id)
 	}
 	var rec admin.Explanation
 	err := e.p.links.Call(ctx, id[:i], channelExplain, explainRequest{ID: id}, &rec)
--- a/instance/daemon/work.go
+++ b/instance/daemon/work.go
@@ -32,24 +32,25 @@
 		var members *member.Service
 		var conf *config.Service
 		var queue *queueService
-		err := all(into(k, nameLinks, &links), into(k, nameMembers, &members), into(k, nameConfig, &conf), into(k, nameSchedule, &queue))
+		err := runLookups(lookupInto(k, nameLinks, &links), lookupInto(k, nameMembers, &members), lookupInto(k, nameConfig, &conf), lookupInto(k, nameSchedule, &queue))
 		if err != nil {
 			return nil, err
 		}
-		tell := func(v *registry.View) { queue.SetUpstreams(engines(conf, v)) }
+		updateScheduler := func(v *registry.View) { queue.SetUpstreams(trustedEngines(conf, v)) }
 		peers := &schedulePeers{Service: links, d: d, members: members}
 		r := instregistry.New(instregistry.Config{
-			Self: d.cfg.Instance.Name, Domain: d.cfg.Instance.FailureDomain, Links: links, Peers: func() []string { return d.livePeers(members) }, Log: d.log, OnChange: tell,
+			Self: d.cfg.Instance.Name, Domain: d.cfg.Instance.FailureDomain, Links: links, Peers: func() []string { return d.livePeers(members) }, Log: d.log, OnChange: updateScheduler,
 			First: func() string { return schedule.Elect(peers.Members()) },
 		})
-		// A rule that leaves the intent takes its upstreams out of use at once.
-		conf.Subscribe(func(*config.View) { tell(r.View()) })
+		// When a rule is removed from the intent, its upstreams go out of use at once.
+		conf.Subscribe(func(*config.View) { updateScheduler(r.View()) })
 		return r, nil
 	}}
 }
 
-// engines returns the model engines of a view that the intent trusts.
-func engines(conf *config.Service, v *registry.View) (list []sched.Upstream) {
+// trustedEngines returns the model engines of a view for which the intent has a
+// rule of the same kind.
+func trustedEngines(conf *config.Service, v *registry.View) (list []sched.Upstream) {
 	c, err := conf.Current()
 	if err != nil {
 		return nil
@@ -67,7 +68,7 @@
 	return list
 }
 
-// queueService joins the scheduler with the dispatcher.
+// queueService adapts the scheduler to dispatch.Queue.
 type queueService struct{ *schedule.Service }
 
 // Acquire implements dispatch.Queue.
@@ -79,7 +80,7 @@
 	return lease{g}, nil
 }
 
-// lease shows a grant under the names that the dispatcher knows.
+// lease adapts a scheduler grant to dispatch.Lease.
 type lease struct{ g *schedule.Grant }
 
 // Grant implements dispatch.Lease.
@@ -99,7 +100,7 @@
 		var links *link.Service
 		var members *member.Service
 		var conf *config.Service
-		err := all(into(k, nameLinks, &links), into(k, nameMembers, &members), into(k, nameConfig, &conf))
+		err := runLookups(lookupInto(k, nameLinks, &links), lookupInto(k, nameMembers, &members), lookupInto(k, nameConfig, &conf))
 		if err != nil {
 			return nil, err
 		}
@@ -109,9 +110,9 @@
 	}}
 }
 
-// plainService carries calls of plain services.
+// plainService forwards calls to plain services.
 type plainService struct {
-	idle
+	noLifecycle
 	*plain.Handler
 }
 
@@ -121,8 +122,9 @@
 	return nil
 }
 
-// serviceRetries is the budget for repeating reads of plain services.
-func serviceRetries() func() bool {
+// newRetryBudget returns a function that spends one retry from the shared budget
+// for reads of plain services and reports whether one was left.
+func newRetryBudget() func() bool {
 	var mu sync.Mutex
 	b := budget.New(budget.Config{})
 	return func() bool {
@@ -138,13 +140,13 @@
 		var c *control.Service
 		var client *clientService
 		var r *instregistry.Service
-		err := all(into(k, nameControl, &c), into(k, nameClient, &client), into(k, nameRegistry, &r))
+		err := runLookups(lookupInto(k, nameControl, &c), lookupInto(k, nameClient, &client), lookupInto(k, nameRegistry, &r))
 		if err != nil {
 			return nil, err
 		}
 		return &plainService{Handler: plain.New(plain.Config{
 			Ledger: plain.ProposeFunc(c.Propose), Client: client.Client, Instance: d.cfg.Instance.Name,
-			NewID: uuid.NewString, AllowRetry: serviceRetries(),
+			NewID: uuid.NewString, AllowRetry: newRetryBudget(),
 			Locate: func(name string) (upstream.Target, bool) {
 				u := r.View().Find(name)
 				if u == nil {
