--- a/instance/cmd/comfreyladderd/main.go
+++ b/instance/cmd/comfreyladderd/main.go
@@ -84,7 +84,7 @@
 	}
 	select {
 	case <-signals:
-	case <-d.DrainAsked():
+	case <-d.DrainRequested():
 	case err := <-d.Fatal():
 		// What is in flight may be lost; serving on would be worse: the disk
 		// may not keep what it promised, or two processes share a name.
--- a/instance/daemon/daemon.go
+++ b/instance/daemon/daemon.go
@@ -61,9 +61,9 @@
 // disk failed, or a newer process runs under its name.
 func (d *Daemon) Fatal() <-chan error { return d.fatal }
 
-// DrainAsked returns a channel that receives a value when an operator asks the
+// DrainRequested returns a channel that receives a value when an operator asks the
 // process to drain and stop.
-func (d *Daemon) DrainAsked() <-chan struct{} { return d.drain }
+func (d *Daemon) DrainRequested() <-chan struct{} { return d.drain }
 
 func (d *Daemon) requestDrain() {
 	select {
