--- a/instance/admin/admin.go
+++ b/instance/admin/admin.go
@@ -15,18 +15,19 @@
 	"github.com/comfreyladder/comfreyladder/instance/telemetry"
 )
 
-// controlTimeout bounds how long a confirm waits for the control group.
+// controlTimeout limits how long a request waits for the control group or for
+// another instance.
 const controlTimeout = 10 * time.Second
 
-// Control is the replicated configuration.
+// Control gives access to the replicated configuration.
 type Control interface {
-	// Latest returns the newest accepted revision, after a check that it is.
+	// Latest returns the newest accepted revision by a linearizable read.
 	Latest(ctx context.Context) (*config.View, error)
-	// Confirm makes a document the next revision.
+	// Confirm commits a document as the next revision.
 	Confirm(ctx context.Context, operator string, req *ConfirmRequest) (*Confirmation, error)
 }
 
-// Config holds what the API needs.
+// Config holds the dependencies of the API.
 type Config struct {
 	Config    *config.Service
 	Control   Control
@@ -35,23 +36,23 @@
 	Telemetry *telemetry.Service
 	Log       zerolog.Logger
 	Status    func() Status
-	// Explain finds what became of a request, also at another instance.
+	// Explain returns the trace of a request, also from another instance.
 	Explain func(ctx context.Context, id string) (Explanation, error)
-	// Drain asks this instance to drain and stop; it returns at once.
+	// Drain asks this instance to drain and stop, and returns without waiting.
 	Drain func()
 }
 
-// handler serves one request of an operator.
+// handler serves one request of an authenticated operator.
 type handler func(ctx *fasthttp.RequestCtx, op *intent.Operator) error
 
 // API is the HTTP handler of the operators' listener.
 type API struct {
 	cfg Config
-	// routes are found by method and path.
+	// routes is keyed by method and path, separated by a space.
 	routes map[string]handler
 }
 
-// New returns an API.
+// New returns an API that uses the dependencies in cfg.
 func New(cfg Config) *API {
 	a := &API{cfg: cfg}
 	a.routes = map[string]handler{
@@ -61,15 +62,15 @@
 		"GET " + PathIntent:   a.intent,
 		"GET " + PathStatus:   a.status,
 		"GET " + PathMetrics:  a.metrics,
-		"GET " + PathClaims:   a.unknowns,
+		"GET " + PathClaims:   a.listUnknownCalls,
 		"POST " + PathResolve: a.resolve,
-		"GET " + PathMembers:  a.group,
+		"GET " + PathMembers:  a.listMembers,
 		"POST " + PathRemove:  a.removeMember,
 	}
 	return a
 }
 
-// Handle serves one request.
+// Handle authenticates and serves one request, and writes errors as JSON.
 func (a *API) Handle(ctx *fasthttp.RequestCtx) {
 	if err := a.serve(ctx); err != nil {
 		httpapi.WriteError(ctx, err, "")
@@ -134,7 +135,7 @@
 
 func (a *API) confirm(ctx *fasthttp.RequestCtx, op *intent.Operator) error {
 	if op.ReadOnly {
-		return fault.New(fault.Forbidden, "operator %q may look and plan but not confirm", op.Name)
+		return fault.New(fault.Forbidden, "operator %q has read-only access and may not confirm", op.Name)
 	}
 	req := &ConfirmRequest{}
 	if err := httpapi.ReadJSON(ctx, req); err != nil {
@@ -145,21 +146,21 @@
 	}
 	c, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
-	done, err := a.cfg.Control.Confirm(c, op.Name, req)
+	confirmation, err := a.cfg.Control.Confirm(c, op.Name, req)
 	if err != nil {
 		a.cfg.Log.Warn().Err(err).Str("operator", op.Name).Uint64("number", req.Number).Msg("confirm refused")
 		return err
 	}
-	a.cfg.Log.Info().Str("operator", op.Name).Uint64("number", req.Number).Uint64("revision", done.Revision).Msg("intent confirmed")
-	httpapi.WriteJSON(ctx, fasthttp.StatusOK, done)
+	a.cfg.Log.Info().Str("operator", op.Name).Uint64("number", req.Number).Uint64("revision", confirmation.Revision).Msg("intent confirmed")
+	httpapi.WriteJSON(ctx, fasthttp.StatusOK, confirmation)
 	return nil
 }
 
 func (a *API) drain(ctx *fasthttp.RequestCtx, op *intent.Operator) error {
 	if op.ReadOnly {
-		return fault.New(fault.Forbidden, "operator %q may look and plan but not drain", op.Name)
+		return fault.New(fault.Forbidden, "operator %q has read-only access and may not drain", op.Name)
 	}
-	a.cfg.Log.Info().Str("operator", op.Name).Msg("drain asked for")
+	a.cfg.Log.Info().Str("operator", op.Name).Msg("drain requested")
 	a.cfg.Drain()
 	httpapi.WriteJSON(ctx, fasthttp.StatusOK, a.cfg.Status())
 	return nil
@@ -167,11 +168,11 @@
 
 func validate(doc *intent.Document) error {
 	if doc == nil {
-		return fault.New(fault.Invalid, "document: an intent is needed")
+		return fault.New(fault.Invalid, "document: an intent is required")
 	}
 	doc.Normalize()
 	if err := doc.Validate(); err != nil {
-		return fault.Wrap(err, fault.Invalid, "the intent is not valid")
+		return fault.Wrap(err, fault.Invalid, "invalid intent")
 	}
 	return nil
 }
--- a/instance/admin/claims.go
+++ b/instance/admin/claims.go
@@ -12,21 +12,22 @@
 	"github.com/comfreyladder/comfreyladder/instance/httpapi"
 )
 
-// Claims is what the API needs for calls with an unknown outcome.
+// Claims gives access to the calls with an unknown outcome.
 type Claims interface {
-	// Unknowns lists them, the oldest first, after a check that nothing lacks.
+	// Unknowns lists them by a linearizable read, oldest first.
 	Unknowns(ctx context.Context) ([]claim.KeyedClaim, error)
-	// Resolve settles one by an operator's word. It fails with fault.NotFound,
-	// and with fault.Conflict when the outcome is not unknown (any more).
+	// Resolve sets the outcome of one as an operator states it. It fails with
+	// fault.NotFound if no call with that key is claimed, and with fault.Conflict if
+	// the outcome is not unknown, or no longer.
 	Resolve(ctx context.Context, operator string, key claim.Key, as claim.Outcome) error
 }
 
-// Group is what the API needs of the control group.
+// Group gives access to the membership of the control group.
 type Group interface {
-	// Group returns the members as their leader knows them.
+	// Group returns the members according to their leader.
 	Group(ctx context.Context) ([]Member, error)
-	// RemoveMember removes a member for good and returns the rest. It refuses
-	// one that is heard, with fault.Conflict.
+	// RemoveMember removes a member permanently and returns the remaining ones. It
+	// fails with fault.Conflict if the leader heard from the member recently.
 	RemoveMember(ctx context.Context, id string) ([]Member, error)
 }
 
@@ -36,15 +37,15 @@
 	Service      string `json:"service"`
 	// Key is the caller's Idempotency-Key.
 	Key string `json:"key"`
-	// Request is the ID under which the service knows the call.
+	// Request is the ID that identifies the call to the service.
 	Request  string `json:"request"`
 	Upstream string `json:"upstream"`
-	// Instance made the call, at the time At.
+	// Instance is the instance that made the call at time At.
 	Instance string    `json:"instance"`
 	At       time.Time `json:"at"`
 }
 
-// Resolution is an operator's word on what became of a call.
+// Resolution states the outcome of a call as an operator found it.
 type Resolution struct {
 	Organisation string `json:"organisation"`
 	Service      string `json:"service"`
@@ -55,21 +56,22 @@
 
 // Member is one member of the control group.
 type Member struct {
-	// ID names the disk; a replaced disk has another one under the same name.
+	// ID identifies the member's disk: after a disk is replaced, the member has a new
+	// ID under the same name.
 	ID     string `json:"id" codec:"i"`
 	Name   string `json:"name" codec:"n"`
 	Voter  bool   `json:"voter" codec:"v"`
 	Leader bool   `json:"leader" codec:"l"`
-	// SilentMS is for how long the leader has not heard it, in milliseconds.
+	// SilentMS is the time since the leader last heard from the member, in milliseconds.
 	SilentMS int64 `json:"silent_ms" codec:"s"`
 }
 
-// Removal names the member that is to leave the control group.
+// Removal identifies the member to remove from the control group.
 type Removal struct {
 	ID string `json:"id"`
 }
 
-func (a *API) unknowns(ctx *fasthttp.RequestCtx, _ *intent.Operator) error {
+func (a *API) listUnknownCalls(ctx *fasthttp.RequestCtx, _ *intent.Operator) error {
 	c, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
 	list, err := a.cfg.Claims.Unknowns(c)
@@ -88,7 +90,7 @@
 }
 
 func (a *API) resolve(ctx *fasthttp.RequestCtx, op *intent.Operator) error {
-	if err := mayChange(op); err != nil {
+	if err := requireWriteAccess(op); err != nil {
 		return err
 	}
 	r := &Resolution{}
@@ -96,7 +98,7 @@
 		return err
 	}
 	if r.As != claim.Done && r.As != claim.Rejected && r.As != claim.NotRun {
-		return fault.New(fault.Invalid, "as: one of done, rejected and not_run is needed")
+		return fault.New(fault.Invalid, "as: must be done, rejected or not_run")
 	}
 	c, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
@@ -109,7 +111,7 @@
 	return nil
 }
 
-func (a *API) group(ctx *fasthttp.RequestCtx, _ *intent.Operator) error {
+func (a *API) listMembers(ctx *fasthttp.RequestCtx, _ *intent.Operator) error {
 	c, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
 	list, err := a.cfg.Group.Group(c)
@@ -121,7 +123,7 @@
 }
 
 func (a *API) removeMember(ctx *fasthttp.RequestCtx, op *intent.Operator) error {
-	if err := mayChange(op); err != nil {
+	if err := requireWriteAccess(op); err != nil {
 		return err
 	}
 	r := &Removal{}
@@ -138,9 +140,9 @@
 	return nil
 }
 
-func mayChange(op *intent.Operator) error {
+func requireWriteAccess(op *intent.Operator) error {
 	if op.ReadOnly {
-		return fault.New(fault.Forbidden, "operator %q may look but not change anything", op.Name)
+		return fault.New(fault.Forbidden, "operator %q has read-only access", op.Name)
 	}
 	return nil
 }
--- a/instance/admin/types.go
+++ b/instance/admin/types.go
@@ -1,5 +1,5 @@
-// Package admin serves the administration API: plan, confirm, status, explain
-// and metrics. Operators reach it with a credential of their own.
+// Package admin serves the administration API: plan, confirm, status, explain and
+// metrics, among others. Each operator authenticates with their own credential.
 package admin
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/comfreyladder/comfreyladder/instance/trace"
 )
 
-// The paths of the administration API.
+// URL paths of the administration API.
 const (
 	PathPlan     = "/v1/operator/plan"
 	PathConfirm  = "/v1/operator/confirm"
@@ -24,29 +24,29 @@
 	PathMetrics  = "/metrics"
 )
 
-// PlanRequest asks what a document would change.
+// PlanRequest asks which changes a document would make.
 type PlanRequest struct {
 	Document *intent.Document `json:"document"`
 }
 
-// Plan says what a document would change, seen from one revision.
+// Plan lists the changes that a document would make to a revision.
 type Plan struct {
-	// Base is the revision that the plan was made from; a confirm must name it.
+	// Base is the revision that the plan is based on; a confirm must name it.
 	Base    uint64          `json:"base"`
 	Changes []intent.Change `json:"changes"`
 }
 
-// ConfirmRequest asks for a document to become the next revision.
+// ConfirmRequest asks to make a document the next revision.
 type ConfirmRequest struct {
-	// Number is the operator's own number of the intent. Resending the same
-	// number with the same content gets the first answer again.
+	// Number is the operator's own number for the intent. A request that repeats a
+	// number with the same content receives the first response again.
 	Number uint64 `json:"number"`
-	// Base is the revision that the plan was made from.
+	// Base is the revision that the plan was based on.
 	Base     uint64           `json:"base"`
 	Document *intent.Document `json:"document"`
 }
 
-// Confirmation says what was accepted.
+// Confirmation describes the accepted revision.
 type Confirmation struct {
 	Revision uint64    `json:"revision"`
 	Number   uint64    `json:"number"`
@@ -54,33 +54,33 @@
 	At       time.Time `json:"at"`
 }
 
-// Intent is the document in force at the instance that was asked.
+// Intent is the document in force at the instance that serves the request.
 type Intent struct {
 	Revision uint64           `json:"revision"`
 	Document *intent.Document `json:"document"`
 }
 
-// Status is what one instance knows about the system.
+// Status is one instance's view of the system.
 type Status struct {
 	Instance string `json:"instance"`
 	Domain   string `json:"domain"`
-	// Revision is what this instance acts on.
+	// Revision is the configuration revision that this instance applies.
 	Revision uint64 `json:"revision"`
-	// Leader is the instance that leads the control group, empty if unknown.
+	// Leader is the leader of the control group, empty if unknown.
 	Leader string `json:"leader"`
-	// Members lists the control group as "name role", as its leader knows it;
+	// Members lists the control group as "name role" according to its leader; it is
 	// empty on an instance that holds no control state.
 	Members []string `json:"members,omitempty"`
-	// LeaseValid says whether the revision is known to be the newest.
+	// LeaseValid reports whether the revision is known to be the newest.
 	LeaseValid bool `json:"lease_valid"`
-	// LeaseUntil is when the lease ran out, if it did.
+	// LeaseUntil is when the lease expired, if it did.
 	LeaseUntil *time.Time `json:"lease_until,omitempty"`
-	// Scheduler is the instance that schedules for this failure domain.
+	// Scheduler is the instance that runs the scheduler of this failure domain.
 	Scheduler string `json:"scheduler"`
 	// SchedulesAs is this instance's own role: "scheduler", "follower", or "alone"
 	// while the scheduler does not answer.
 	SchedulesAs string `json:"schedules_as"`
-	// Orders tells how this failure domain's engines stand to the intent.
+	// Orders shows which models this failure domain's engines hold and should hold.
 	Orders    OrdersStatus     `json:"orders"`
 	Draining  bool             `json:"draining"`
 	InFlight  int64            `json:"in_flight"`
@@ -89,19 +89,19 @@
 	Upstreams []UpstreamStatus `json:"upstreams"`
 }
 
-// DomainStatus is the digest of one failure domain.
+// DomainStatus summarizes one failure domain.
 type DomainStatus struct {
 	Name string `json:"name"`
 	Live int    `json:"live"`
-	// Revision is the oldest that a live instance there acts on; Lag is how
-	// many revisions that is behind.
+	// Revision is the oldest one that a live instance there applies; Lag is how many
+	// revisions it is behind the newest one known.
 	Revision uint64 `json:"revision"`
 	Lag      uint64 `json:"lag"`
-	// SilentSince is set while nothing is heard from the domain.
+	// SilentSince is set while nothing is received from the domain.
 	SilentSince *time.Time `json:"silent_since,omitempty"`
 }
 
-// InstanceStatus is one instance of this failure domain or control group.
+// InstanceStatus describes one instance of this failure domain or control group.
 type InstanceStatus struct {
 	Name     string `json:"name"`
 	Domain   string `json:"domain"`
@@ -110,7 +110,7 @@
 	Revision uint64 `json:"revision"`
 }
 
-// UpstreamStatus is one upstream of this failure domain.
+// UpstreamStatus describes one upstream of this failure domain.
 type UpstreamStatus struct {
 	Name     string   `json:"name"`
 	Kind     string   `json:"kind"`
@@ -122,47 +122,51 @@
 	AgeMS    int64    `json:"age_ms"`
 }
 
-// OrdersStatus is what the engines of this failure domain are ordered to hold, by
-// the word of the instance that orders them; its name alone while that is silent.
+// OrdersStatus lists the models that this failure domain's engines are ordered to
+// hold, as reported by the instance that issues the orders. While that instance
+// does not answer, its name may be all that is known.
 type OrdersStatus struct {
-	// Issuer is the instance that orders the engines.
+	// Issuer is the instance that issues orders to the engines.
 	Issuer string `json:"issuer"`
-	// Fence is the fencing number of its lease, 0 while there is nothing to order.
+	// Fence is the fencing number of the issuer's lease, 0 while there is nothing to
+	// order.
 	Fence uint64 `json:"fence,omitempty"`
-	// LeaseUntil is the end of that lease; SettledAt is when engines that ignore
-	// the number may be ordered, set while that is still to come.
+	// LeaseUntil is the end of that lease. SettledAt is when engines that ignore the
+	// fencing number may receive orders; it is set only while it is in the future.
 	LeaseUntil *time.Time     `json:"lease_until,omitempty"`
 	SettledAt  *time.Time     `json:"settled_at,omitempty"`
 	Models     []ModelStatus  `json:"models,omitempty"`
 	Engines    []EngineOrders `json:"engines,omitempty"`
 }
 
-// ModelStatus says how far a model is from what the intent asks for.
+// ModelStatus compares a model's placement with the intent.
 type ModelStatus struct {
 	// Name is "model@version".
 	Name string `json:"name"`
-	// Wanted engines should hold it at least; Holding ones do, Loading ones will;
-	// Serving ones serve it in whatever version.
+	// Wanted is the minimum number of engines that should hold the model. Holding
+	// engines do, Loading ones are about to, and Serving ones announce it in any
+	// version.
 	Wanted  int `json:"wanted"`
 	Holding int `json:"holding"`
 	Loading int `json:"loading"`
 	Serving int `json:"serving"`
-	// Note says why it is not as wanted.
+	// Note explains why the placement differs from the intent.
 	Note string `json:"note,omitempty"`
 }
 
-// EngineOrders is the wanted end of one engine.
+// EngineOrders shows the models that one engine should hold and does hold.
 type EngineOrders struct {
 	Name string `json:"name"`
-	// Standing is such as "as wanted", "loading" or "ordered".
+	// Standing is the state of the engine, such as "as wanted", "loading" or
+	// "ordered".
 	Standing string   `json:"standing"`
 	Wanted   []string `json:"wanted"`
 	Held     []string `json:"held"`
-	// Fence is the highest fencing number that the engine has seen; Checks says
-	// that it refuses an order with a lower one.
+	// Fence is the highest fencing number that the engine has seen. Checks reports
+	// whether the engine refuses orders with a lower number.
 	Fence  uint64 `json:"fence"`
 	Checks bool   `json:"checks"`
 }
 
-// Explanation tells what became of one request.
+// Explanation is the trace of one request.
 type Explanation = trace.Record
