--- a/instance/admin/types.go
+++ b/instance/admin/types.go
@@ -157,9 +157,9 @@
 // EngineOrders shows the models that one engine should hold and does hold.
 type EngineOrders struct {
 	Name string `json:"name"`
-	// Standing is the state of the engine, such as "as wanted", "loading" or
+	// Condition is the state of the engine, such as "as wanted", "loading" or
 	// "ordered".
-	Standing string   `json:"standing"`
+	Condition string   `json:"standing"`
 	Wanted   []string `json:"wanted"`
 	Held     []string `json:"held"`
 	// Fence is the highest fencing number that the engine has seen. Checks reports
--- a/operator/commands/show/show.go
+++ b/operator/commands/show/show.go
@@ -81,7 +81,7 @@
 		if !e.Checks {
 			seen += " (ignores it)"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", e.Name, e.Standing, seen, strings.Join(e.Wanted, " "))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", e.Name, e.Condition, seen, strings.Join(e.Wanted, " "))
 	}
 }
 
--- a/proof/system/order_test.go
+++ b/proof/system/order_test.go
@@ -246,7 +246,7 @@
 		Eventually(func() bool {
 			o := list[0].orders()
 			issuer = s.instances[o.Issuer]
-			return len(o.Engines) == 1 && o.Engines[0].Standing == "as wanted"
+			return len(o.Engines) == 1 && o.Engines[0].Condition == "as wanted"
 		}, patience, poll).Should(BeTrue())
 		elsewhere := s.instances["south-1"]
 		way.close()
@@ -261,7 +261,7 @@
 			if len(o.Engines) != 1 {
 				return ""
 			}
-			return o.Engines[0].Standing
+			return o.Engines[0].Condition
 		}, patience, poll).Should(Equal("ordered"))
 		issuer.process.signal(syscall.SIGSTOP)
 		way.open()
