--- a/instance/admin/types.go
+++ b/instance/admin/types.go
@@ -160,12 +160,12 @@
 	// Condition is the state of the engine, such as "as wanted", "loading" or
 	// "ordered".
 	Condition string   `json:"standing"`
-	Wanted   []string `json:"wanted"`
-	Held     []string `json:"held"`
+	Wanted    []string `json:"wanted"`
+	Held      []string `json:"held"`
 	// Fence is the highest fencing number that the engine has seen. Checks reports
 	// whether the engine refuses orders with a lower number.
-	Fence  uint64 `json:"fence"`
-	Checks bool   `json:"checks"`
+	Fence       uint64 `json:"fence"`
+	ChecksFence bool   `json:"checks"`
 }
 
 // Explanation is the trace of one request.
--- a/instance/daemon/orders.go
+++ b/instance/daemon/orders.go
@@ -76,7 +76,7 @@
 	}
 	for _, e := range st.Engines {
 		out.Engines = append(out.Engines, admin.EngineOrders{
-			Name: e.Name, Condition: string(e.Condition), Wanted: e.Wanted, Held: e.Held, Fence: e.Fence, Checks: e.ChecksFence,
+			Name: e.Name, Condition: string(e.Condition), Wanted: e.Wanted, Held: e.Held, Fence: e.Fence, ChecksFence: e.ChecksFence,
 		})
 	}
 	return out
--- a/operator/commands/show/show.go
+++ b/operator/commands/show/show.go
@@ -78,7 +78,7 @@
 	fmt.Fprintln(w, "\nENGINE\tSTANDING\tFENCE\tWANTED")
 	for _, e := range o.Engines {
 		seen := strconv.FormatUint(e.Fence, 10)
-		if !e.Checks {
+		if !e.ChecksFence {
 			seen += " (ignores it)"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", e.Name, e.Condition, seen, strings.Join(e.Wanted, " "))
