--- a/instance/cmd/comfreyladderd/main.go
+++ b/instance/cmd/comfreyladderd/main.go
@@ -1,4 +1,4 @@
-// Command comfreyladderd is the daemon of an entry instance.
+// Command comfreyladderd runs an entry instance as a daemon.
 package main
 
 import (
@@ -20,10 +20,10 @@
 type options struct {
 	Settings string `short:"s" long:"settings" value-name:"FILE" description:"the settings file (INI)"`
 	Check    bool   `long:"check" description:"check the settings and exit"`
-	Platform bool   `long:"platform" description:"run as a member of the users' platform, which names the settings file; see docs/PLATFORM.md"`
-	Metrics  int    `long:"metrics-port" value-name:"PORT" description:"with --platform: the port of the metrics"`
-	Scaling  string `long:"scaling" value-name:"FILE" description:"with --platform: the settings of autoscaling (INI); without it the defaults hold"`
-	Describe bool   `long:"help-settings" description:"print all settings with their defaults and exit; with --platform those of its file"`
+	Platform bool   `long:"platform" description:"run as a member of the users' platform, which gives the path of the settings file; see docs/PLATFORM.md"`
+	Metrics  int    `long:"metrics-port" value-name:"PORT" description:"with --platform: port of the metrics listener"`
+	Scaling  string `long:"scaling" value-name:"FILE" description:"with --platform: autoscaling settings file (INI); the defaults apply without it"`
+	Describe bool   `long:"help-settings" description:"print all settings with their defaults and exit; with --platform those of the platform's settings file"`
 }
 
 const (
@@ -34,8 +34,8 @@
 func main() {
 	var opts options
 	p := flags.NewParser(&opts, flags.Default)
-	p.LongDescription = "Runs one entry instance of the router until it gets SIGTERM or SIGINT or an operator asks for it, then drains and stops.\n" +
-		"A second signal stops at once. Example:\n  comfreyladderd --settings operator/samples/bagmati/lalitpur-hall-1.ini"
+	p.LongDescription = "Runs one entry instance of the router until it receives SIGTERM or SIGINT or an operator asks it to drain, then drains and stops.\n" +
+		"A second signal stops it immediately. Example:\n  comfreyladderd --settings operator/samples/bagmati/lalitpur-hall-1.ini"
 	if _, err := p.Parse(); err != nil {
 		if flags.WroteHelp(err) {
 			return
@@ -52,7 +52,7 @@
 	switch {
 	case opts.Describe && opts.Platform:
 		platform.DescribeSettings(os.Stdout)
-		fmt.Println("\nThe file of --scaling, with its defaults:")
+		fmt.Println("\nSettings of the --scaling file with their defaults:")
 		settings.DescribeScaling(os.Stdout)
 		return nil
 	case opts.Describe:
@@ -63,7 +63,7 @@
 		return runOnPlatform(opts)
 	}
 	if opts.Settings == "" {
-		return fault.New(fault.Invalid, "--settings FILE is needed; --help tells more")
+		return fault.New(fault.Invalid, "--settings FILE is required; see --help")
 	}
 	cfg, err := settings.Load(opts.Settings)
 	if err != nil || opts.Check {
@@ -86,8 +86,9 @@
 	case <-signals:
 	case <-d.DrainRequested():
 	case err := <-d.Fatal():
-		// What is in flight may be lost; serving on would be worse: the disk
-		// may not keep what it promised, or two processes share a name.
+		// Stops without draining, which may lose requests in flight. Continuing
+		// to serve would be worse: the disk may lose acknowledged writes, or two
+		// processes run under one name.
 		_ = d.Kill(context.Background())
 		return err
 	}
--- a/instance/cmd/comfreyladderd/platform.go
+++ b/instance/cmd/comfreyladderd/platform.go
@@ -20,20 +20,20 @@
 )
 
 const (
-	// logClose bounds the wait for the last lines at the end.
-	logClose = 200 * time.Millisecond
-	// settingsEvery is how often the settings file is looked at: it may change
-	// without a signal.
-	settingsEvery = 2 * time.Second
+	// logCloseTimeout limits the wait at exit until the last log lines are written.
+	logCloseTimeout = 200 * time.Millisecond
+	// settingsPollInterval is how often the settings file is checked for changes,
+	// since it may change without a SIGHUP.
+	settingsPollInterval = 2 * time.Second
 )
 
-// rates bounds the lines a second of the kinds that come with each request; failures
-// may write more than successes.
-var rates = map[string]int{"request_done": 10, "request_failed": 40, "attempt": 40}
+// maxLinesPerSecond limits, by kind, the log lines that are written with each request.
+// Failures may write more than successes.
+var maxLinesPerSecond = map[string]int{"request_done": 10, "request_failed": 40, "attempt": 40}
 
 // runOnPlatform runs the process that the platform's settings file describes.
 func runOnPlatform(opts options) error {
-	// A closed log must not end the process, nor a signal that comes while it starts.
+	// Neither a closed log pipe nor a signal during startup may end the process.
 	signal.Ignore(syscall.SIGPIPE)
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -58,8 +58,8 @@
 	if err != nil || opts.Check {
 		return err
 	}
-	events := eventlog.New(os.Stdout, rates)
-	defer events.Close(logClose)
+	events := eventlog.New(os.Stdout, maxLinesPerSecond)
+	defer events.Close(logCloseTimeout)
 	log, err := logline.New(events, "info")
 	if err != nil {
 		return err
@@ -80,8 +80,8 @@
 	return supervise(p, path, signals)
 }
 
-// loadScaling fills in an operator's settings of the autoscaling. They are checked also where
-// there is none.
+// loadScaling loads the operator's autoscaling settings into cfg. The file is also checked if
+// the process does no autoscaling.
 func loadScaling(cfg *roles.Config, path string) error {
 	if path == "" {
 		return nil
@@ -94,11 +94,12 @@
 	return nil
 }
 
-// supervise runs until the process is told to end.
+// supervise handles signals and changes of the settings file until the process is told to end
+// or fails.
 func supervise(p *roles.Process, path string, signals <-chan os.Signal) error {
 	last, _ := os.ReadFile(path)
-	look := time.NewTicker(settingsEvery)
-	defer look.Stop()
+	poll := time.NewTicker(settingsPollInterval)
+	defer poll.Stop()
 	for {
 		select {
 		case sig := <-signals:
@@ -106,7 +107,7 @@
 				return p.Stop()
 			}
 			p.Reload("signal")
-		case <-look.C:
+		case <-poll.C:
 			if b, err := os.ReadFile(path); err == nil && !bytes.Equal(b, last) {
 				last = b
 				p.Reload("file")
