--- a/instance/plain/handler.go
+++ b/instance/plain/handler.go
@@ -67,7 +67,8 @@
 	work pendingWork
 }
 
-// New returns a Handler. Zero values of cfg are replaced by the defaults.
+// New returns a Handler. Durations and limits of cfg that are zero or negative are replaced by the
+// defaults.
 func New(cfg Config) *Handler {
 	setDefault(&cfg.LedgerTimeout, DefaultLedgerTimeout)
 	setDefault(&cfg.RetryAfter, DefaultRetryAfter)
