--- a/instance/consensus/calls.go
+++ b/instance/consensus/calls.go
@@ -144,14 +144,14 @@
 		return replyAfterStop(c)
 	case <-ctx.Done():
 	}
-	kept := time.NewTimer(replyGrace)
-	defer kept.Stop()
+	grace := time.NewTimer(replyGrace)
+	defer grace.Stop()
 	select {
 	case r := <-c.reply:
 		return r
 	case <-s.done:
 		return replyAfterStop(c)
-	case <-kept.C:
+	case <-grace.C:
 	}
 	if c.kind == callRead {
 		return reply{err: fault.New(fault.Unavailable, "a disk write blocks the control member")}
