--- a/instance/control/control.go
+++ b/instance/control/control.go
@@ -41,7 +41,7 @@
 	channelJoin     = "control.join"
 	channelPropose  = "control.propose"
 	channelRead     = "control.read"
-	channelForce    = "control.force"
+	channelInForce  = "control.force"
 	channelUnknowns = "control.unknowns"
 	channelGroup    = "control.group"
 )
@@ -145,7 +145,7 @@
 	cfg.Links.Handle(channelJoin, s.receiveJoin)
 	cfg.Links.Handle(channelPropose, s.receivePropose)
 	cfg.Links.Handle(channelRead, s.receiveRead)
-	cfg.Links.Handle(channelForce, s.receiveForce)
+	cfg.Links.Handle(channelInForce, s.receiveInForce)
 	cfg.Links.Handle(channelUnknowns, s.receiveUnknowns, link.Bulk())
 	cfg.Links.Handle(channelGroup, s.receiveGroup)
 	return s
