--- a/instance/follow/quarantine_test.go
+++ b/instance/follow/quarantine_test.go
@@ -16,12 +16,12 @@
 	RegisterTestingT(t)
 	a, b := quarantine.Fingerprint{1}, quarantine.Fingerprint{2}
 	g := &group{members: map[string]*member{}}
-	told := func(c *state.Changes) {
+	setQuarantine := func(c *state.Changes) {
 		next := answer(1, 1, true, "m")
 		next.Quarantine = c
 		g.set("m", next)
 	}
-	told(nil)
+	setQuarantine(nil)
 	f := start(t, g, "m")
 	Eventually(version(f)).Should(Equal(uint64(1)))
 	Expect(f.View().Quarantine.Empty()).To(BeTrue())
@@ -29,18 +29,18 @@
 	held := func(x quarantine.Fingerprint) func() bool {
 		return func() bool { _, held := f.View().Quarantine.Held(x); return held }
 	}
-	told(&state.Changes{Index: 5, Entries: []state.EntryStatus{{Fingerprint: a, Trial: true}}, Suspects: []quarantine.Fingerprint{b}})
+	setQuarantine(&state.Changes{Index: 5, Entries: []state.EntryStatus{{Fingerprint: a, Trial: true}}, Suspects: []quarantine.Fingerprint{b}})
 	Eventually(held(a)).Should(BeTrue())
 	Expect(f.View().Quarantine.Suspects(b)).To(BeTrue())
-	told(&state.Changes{Index: 6, Entries: []state.EntryStatus{{Fingerprint: b}}})
+	setQuarantine(&state.Changes{Index: 6, Entries: []state.EntryStatus{{Fingerprint: b}}})
 	Eventually(held(b)).Should(BeTrue())
 	Expect(held(a)()).To(BeTrue(), "a partial update keeps the other entries")
 	Expect(f.View().Quarantine.Suspects(b)).To(BeFalse())
-	told(&state.Changes{Index: 7, Entries: []state.EntryStatus{{Fingerprint: a, Released: true}}})
+	setQuarantine(&state.Changes{Index: 7, Entries: []state.EntryStatus{{Fingerprint: a, Released: true}}})
 	Eventually(held(a)).Should(BeFalse())
-	told(&state.Changes{Index: 5, Entries: []state.EntryStatus{{Fingerprint: a}}})
+	setQuarantine(&state.Changes{Index: 5, Entries: []state.EntryStatus{{Fingerprint: a}}})
 	Consistently(held(a), 100*time.Millisecond).Should(BeFalse(), "an update from a lagging member is ignored")
-	told(&state.Changes{Index: 8, Full: true})
+	setQuarantine(&state.Changes{Index: 8, Full: true})
 	Eventually(held(b)).Should(BeFalse())
 	Expect(f.View().Quarantine.Empty()).To(BeTrue())
 }
