--- a/instance/spread/spread.go
+++ b/instance/spread/spread.go
@@ -246,8 +246,8 @@
 // the newest. In a failure domain that is cut off there is no lease: after startupPhase
 // the known configuration is used without one.
 func (s *Service) ready() bool {
-	proved := s.state.HadLease() || time.Since(s.started) > startupPhase
-	return proved && s.state.Ready()
+	leaseSeenOrWaived := s.state.HadLease() || time.Since(s.started) > startupPhase
+	return leaseSeenOrWaived && s.state.Ready()
 }
 
 // Revision returns the revision in force; zero when there is none.
--- a/instance/spread/spread_test.go
+++ b/instance/spread/spread_test.go
@@ -39,10 +39,10 @@
 }
 
 type cluster struct {
-	book      addressBook
-	mu        sync.Mutex
-	instances []tree.Instance
-	floor     atomic.Uint64
+	book        addressBook
+	mu          sync.Mutex
+	instances   []tree.Instance
+	minRevision atomic.Uint64
 }
 
 func (w *cluster) layout(self tree.Instance) func() spread.Layout {
@@ -62,7 +62,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	n := &instance{links: links}
 	n.spread = spread.New(spread.Config{
-		Links: links, Layout: w.layout(self), Log: zerolog.Nop(), Interval: 100 * time.Millisecond, MinRevision: w.floor.Load,
+		Links: links, Layout: w.layout(self), Log: zerolog.Nop(), Interval: 100 * time.Millisecond, MinRevision: w.minRevision.Load,
 	})
 	n.spread.Subscribe(func(revision uint64, data []byte) {
 		n.data.Store(string(data))
@@ -96,23 +96,23 @@
 		w.instances = append(w.instances, tree.Instance{Name: fmt.Sprintf("i%d", i), Domain: "hall"})
 	}
 	leader := w.start(t, w.instances[0])
-	var nodes []*instance
+	var instances []*instance
 	for i := range size {
-		nodes = append(nodes, w.start(t, w.instances[i+1]))
+		instances = append(instances, w.start(t, w.instances[i+1]))
 	}
 	leader.spread.Renew(time.Now(), time.Hour)
 	g.Expect(leader.spread.Publish(1, []byte("one"))).To(Succeed())
-	for _, n := range nodes {
+	for _, n := range instances {
 		g.Eventually(n.received.Load, testTimeout).Should(BeEquivalentTo(1))
 		g.Eventually(func() bool { return n.spread.Lease().Valid }, testTimeout).Should(BeTrue())
 	}
 	g.Expect(fault.CodeOf(leader.spread.Publish(0, nil))).To(Equal(fault.Conflict))
-	g.Eventually(nodes[8].spread.Parent, testTimeout).Should(Equal("i1"))
+	g.Eventually(instances[8].spread.Parent, testTimeout).Should(Equal("i1"))
 
-	nodes[0].stop(t) // the delegate
-	nodes[1].stop(t) // the parent of i5 to i8
+	instances[0].stop(t) // the delegate
+	instances[1].stop(t) // the parent of i5 to i8
 	g.Expect(leader.spread.Publish(2, []byte("two"))).To(Succeed())
-	for _, n := range nodes[2:] {
+	for _, n := range instances[2:] {
 		g.Eventually(n.received.Load, testTimeout).Should(BeEquivalentTo(2))
 		g.Expect(n.data.Load()).To(Equal("two"))
 		g.Expect(n.wentBack.Load()).To(BeFalse())
@@ -138,7 +138,7 @@
 
 	// An instance that starts meanwhile must not serve the revision of the others,
 	// since a newer revision is known to have been applied.
-	w.floor.Store(2)
+	w.minRevision.Store(2)
 	w.mu.Lock()
 	w.instances = append(w.instances, tree.Instance{Name: "i2", Domain: "hall"})
 	w.mu.Unlock()
