--- a/instance/link/wellformed.go
+++ b/instance/link/wellformed.go
@@ -11,8 +11,9 @@
 	majorTag   = 6
 )
 
-// Values of the five low bits of an initial byte: the first and the last that
-// stand for an argument in the bytes that follow, of 1 and 8 bytes.
+// Values of the five low bits of an initial byte. From argumentOneByte to
+// argumentEightBytes they mean that the argument is in the 1, 2, 4 or 8 bytes that follow;
+// smaller values are the argument themselves.
 const (
 	argumentOneByte    = 24
 	argumentEightBytes = 27
