--- a/instance/schedule/pack_test.go
+++ b/instance/schedule/pack_test.go
@@ -13,8 +13,8 @@
 	"github.com/comfreyladder/comfreyladder/instance/link"
 )
 
-// held returns the estimated cached share of a prompt: that of the longest prefix found.
-func held(longestFirst []uint64, cached map[uint64]bool) float64 {
+// cachedShare returns the estimated cached share of a prompt: that of the longest prefix found.
+func cachedShare(longestFirst []uint64, cached map[uint64]bool) float64 {
 	i := slices.IndexFunc(longestFirst, func(h uint64) bool { return cached[h] })
 	if i < 0 {
 		return 0
@@ -40,7 +40,7 @@
 		for n := range rapid.IntRange(0, blocks).Draw(t, "cached") {
 			cached[uint64(n+1)<<32] = true
 		}
-		truth, seen := held(all, cached), held(back, cached)
+		truth, seen := cachedShare(all, cached), cachedShare(back, cached)
 		g.Expect(seen).To(BeNumerically("<=", truth))
 		if truth == 1 {
 			g.Expect(seen).To(Equal(truth))
--- a/instance/schedule/service.go
+++ b/instance/schedule/service.go
@@ -31,7 +31,7 @@
 	DefaultTick = 100 * time.Millisecond
 	// DefaultBeat is the interval of heartbeats to the scheduler.
 	DefaultBeat = 500 * time.Millisecond
-	// DefaultSchedulerTimeout is slightly longer than three heartbeat intervals.
+	// DefaultSchedulerTimeout allows for three missed heartbeats and some delay.
 	DefaultSchedulerTimeout = 2 * time.Second
 	// DefaultHandOver gives the instances time to send one message after they have
 	// detected a change of scheduler.
