--- a/instance/dispatch/hedge_test.go
+++ b/instance/dispatch/hedge_test.go
@@ -45,10 +45,10 @@
 		text, err := b.run(ctx, b.job(hedged))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(text).To(Equal("good1 good2 good3 "))
-		Eventually(slow.requests, limit).Should(Equal("POST r4-1, DELETE r4-1"))
+		Eventually(slow.requests, testTimeout).Should(Equal("POST r4-1, DELETE r4-1"))
 		Expect(good.requests()).To(Equal("POST r4-2"))
 		Expect(b.metric(`hedges_total{class="urgent",outcome="won"}`)).To(Equal("1"))
-		Eventually(func() string { return b.metric(`wasted_attempts_total{class="urgent",cause="hedge_lost"}`) }, limit).Should(Equal("1"))
+		Eventually(func() string { return b.metric(`wasted_attempts_total{class="urgent",cause="hedge_lost"}`) }, testTimeout).Should(Equal("1"))
 	})
 
 	It("is cancelled if the first attempt produces an event first", func() {
@@ -56,13 +56,13 @@
 		b := newTrainedHarness(dispatch.Config{}, slow, other)
 		go func() {
 			defer GinkgoRecover()
-			Eventually(other.requests, limit).ShouldNot(BeEmpty())
+			Eventually(other.requests, testTimeout).ShouldNot(BeEmpty())
 			close(slow.release)
 		}()
 		text, err := b.run(ctx, b.job(hedged))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(text).To(Equal("slow1 slow2 slow3 "))
-		Eventually(other.requests, limit).Should(Equal("POST r4-2, DELETE r4-2"))
+		Eventually(other.requests, testTimeout).Should(Equal("POST r4-2, DELETE r4-2"))
 		Expect(b.metric(`hedges_total{class="urgent",outcome="lost"}`)).To(Equal("1"))
 	})
 
@@ -73,7 +73,7 @@
 		b := newTrainedHarness(dispatch.Config{}, slow, other)
 		go func() {
 			defer GinkgoRecover()
-			Eventually(other.requests, limit).ShouldNot(BeEmpty())
+			Eventually(other.requests, testTimeout).ShouldNot(BeEmpty())
 			slow.ln.Close()
 			close(other.release)
 		}()
@@ -161,12 +161,12 @@
 		gone, hangUp := context.WithCancel(ctx)
 		go func() {
 			defer GinkgoRecover()
-			Eventually(e.requests, limit).ShouldNot(BeEmpty())
+			Eventually(e.requests, testTimeout).ShouldNot(BeEmpty())
 			hangUp()
 		}()
 		_, err := b.run(gone, b.job(class))
 		Expect(fault.CodeOf(err)).To(Equal(fault.Canceled))
-		Eventually(e.requests, limit).Should(Equal("POST r1-1, DELETE r1-1"))
+		Eventually(e.requests, testTimeout).Should(Equal("POST r1-1, DELETE r1-1"))
 		Expect(b.metric(`wasted_attempts_total{class="bulk",cause="caller_hung_up"}`)).To(Equal("1"))
 	})
 })
--- a/instance/dispatch/suite_test.go
+++ b/instance/dispatch/suite_test.go
@@ -32,7 +32,7 @@
 	RunSpecs(t, "dispatch")
 }
 
-const limit = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 // behaviour selects how a fake engine handles a request.
 type behaviour int
@@ -190,20 +190,20 @@
 	before := goleak.IgnoreCurrent()
 	q := &queue{engines: engines}
 	tel := telemetry.New()
-	client := upstream.New(upstream.Config{ReadTimeout: limit, FirstByte: limit})
+	client := upstream.New(upstream.Config{ReadTimeout: testTimeout, FirstByte: testTimeout})
 	cfg.Queue, cfg.Client, cfg.Telemetry, cfg.Trace = q, client, tel, trace.New()
 	if cfg.Attempts == 0 {
 		cfg.Attempts = 3
 	}
 	DeferCleanup(func() {
-		Eventually(q.leases, limit).Should(BeZero(), "leases have not ended")
-		ctx, done := context.WithTimeout(context.Background(), limit)
+		Eventually(q.leases, testTimeout).Should(BeZero(), "leases have not ended")
+		ctx, done := context.WithTimeout(context.Background(), testTimeout)
 		defer done()
 		Expect(client.Close(ctx)).To(Succeed())
 		for _, e := range engines {
 			_ = e.ln.Close()
 		}
-		Eventually(func() error { return goleak.Find(before) }, limit).Should(Succeed())
+		Eventually(func() error { return goleak.Find(before) }, testTimeout).Should(Succeed())
 	})
 	return &harness{Dispatcher: dispatch.New(cfg), q: q, tel: tel}
 }
