--- a/instance/gateway/bad_test.go
+++ b/instance/gateway/bad_test.go
@@ -100,14 +100,14 @@
 					}
 				}
 				_, err := io.Copy(io.Discard, c)
-				_ = err // closed or reset, both are a cut
+				_ = err // the server may close or reset the connection
 			})
 		}
 		for range 20 {
 			Expect(p.send(request(goodKey, chatBody("quick", false))).StatusCode()).To(Equal(200))
 		}
 		wg.Wait()
-		Eventually(p.Busy, limit).Should(BeZero())
+		Eventually(p.Busy, testTimeout).Should(BeZero())
 	})
 
 	// A caller requests a long stream and does not read it. Its connection is closed after
@@ -121,9 +121,9 @@
 			_, err := io.WriteString(p.dial(), request(goodKey, chatBody(strings.Repeat("x", 500), true)))
 			Expect(err).NotTo(HaveOccurred())
 		}
-		Eventually(p.queue.leases, limit).Should(Equal(5))
+		Eventually(p.queue.leases, testTimeout).Should(Equal(5))
 		Expect(p.send("GET /v1/models HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + goodKey + "\r\n\r\n").StatusCode()).To(Equal(200))
-		Eventually(p.queue.leases, limit).Should(BeZero())
+		Eventually(p.queue.leases, testTimeout).Should(BeZero())
 	})
 
 	It("in large numbers does not flood the log", func() {
@@ -165,10 +165,10 @@
 				return false
 			}
 			defer c.Close()
-			_ = c.SetDeadline(time.Now().Add(limit))
+			_ = c.SetDeadline(time.Now().Add(testTimeout))
 			_, _ = io.WriteString(c, "GET /livez HTTP/1.1\r\nHost: x\r\n\r\n")
 			n, _ := c.Read(make([]byte, 1))
 			return n == 1
-		}, limit).Should(BeTrue())
+		}, testTimeout).Should(BeTrue())
 	})
 })
--- a/instance/gateway/suite_test.go
+++ b/instance/gateway/suite_test.go
@@ -38,9 +38,9 @@
 }
 
 const (
-	limit   = 20 * time.Second
-	goodKey = "a-key-of-the-ward-1"
-	oldKey  = "a-key-of-the-ward-0"
+	testTimeout = 20 * time.Second
+	goodKey     = "a-key-of-the-ward-1"
+	oldKey      = "a-key-of-the-ward-0"
 )
 
 // engine answers each request with the request's prompt, in the given number of events.
@@ -180,10 +180,10 @@
 	Expect(p.Start(context.Background())).To(Succeed())
 	p.address = p.Address().String()
 	DeferCleanup(func() {
-		ctx, done := context.WithTimeout(context.Background(), limit)
+		ctx, done := context.WithTimeout(context.Background(), testTimeout)
 		defer done()
 		Expect(p.Stop(ctx)).To(Succeed())
-		Eventually(p.queue.leases, limit).Should(BeZero(), "leases")
+		Eventually(p.queue.leases, testTimeout).Should(BeZero(), "leases")
 		Expect(client.Close(ctx)).To(Succeed())
 		_ = e.ln.Close()
 		Expect(p.gateway.InFlight()).To(BeZero())
@@ -192,19 +192,19 @@
 		Eventually(func() error {
 			return goleak.Find(before, goleak.IgnoreAnyFunction("github.com/panjf2000/ants/v2.(*poolCommon).purgeStaleWorkers"),
 				goleak.IgnoreAnyFunction("github.com/panjf2000/ants/v2.(*poolCommon).ticktock"), goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"))
-		}, limit).Should(Succeed())
+		}, testTimeout).Should(Succeed())
 	})
 	return p
 }
 
 func defaultLimits() settings.Limits {
-	return settings.Limits{MaxHeader: 4096, MaxBody: 64 << 10, MaxConnections: 500, IdleTimeout: limit, ReadTimeout: limit, WriteTimeout: limit}
+	return settings.Limits{MaxHeader: 4096, MaxBody: 64 << 10, MaxConnections: 500, IdleTimeout: testTimeout, ReadTimeout: testTimeout, WriteTimeout: testTimeout}
 }
 
 func (p *testGateway) dial() net.Conn {
 	c, err := net.Dial("tcp", p.address)
 	Expect(err).NotTo(HaveOccurred())
-	Expect(c.SetDeadline(time.Now().Add(limit))).To(Succeed())
+	Expect(c.SetDeadline(time.Now().Add(testTimeout))).To(Succeed())
 	DeferCleanup(func() { _ = c.Close() })
 	return c
 }
--- a/instance/gateway/tls_test.go
+++ b/instance/gateway/tls_test.go
@@ -46,10 +46,10 @@
 		Expect(line).To(ContainSubstring("200 OK"))
 		Expect(p.queue.leases()).To(Equal(1))
 		Expect(secure.Close()).To(Succeed())
-		Eventually(p.queue.leases, limit).Should(BeZero())
+		Eventually(p.queue.leases, testTimeout).Should(BeZero())
 		for _, c := range []net.Conn{mute, plain} {
 			_, err := io.Copy(io.Discard, c)
-			_ = err // closed or reset, both are a cut
+			_ = err // the server may close or reset the connection
 		}
 	})
 })
