--- a/instance/gnetconn/listener.go
+++ b/instance/gnetconn/listener.go
@@ -164,8 +164,8 @@
 // finish has to drain them before it calls Close.
 func (l *Listener) Close(ctx context.Context) error {
 	l.closeOnce.Do(func() { close(l.closing) })
-	// With a live context, Stop polls for the cancel of the event loops only every
-	// half second; with a cancelled one, it only signals them to cancel.
+	// With a live context, Stop also waits for the event loops, and checks only every half
+	// second whether they have ended. With a cancelled one, it only tells them to end.
 	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
 	_ = l.engine.Stop(canceled)
