--- a/instance/registry/registry.go
+++ b/instance/registry/registry.go
@@ -23,8 +23,8 @@
 
 const (
 	// DefaultInterval is how long accepted beats are batched before they are relayed to the
-	// scheduler. Its peers get them at every fourth interval, or at the next one when an upstream
-	// came or went. The interval adds to the age of what a peer knows.
+	// scheduler. The other peers get them at every fourth interval, or at the next one when an
+	// upstream came or went. The interval adds to the age of what a peer knows.
 	DefaultInterval = 100 * time.Millisecond
 	// relayIntervals is the number of intervals between relays to the other peers. An
 	// upstream's next beat still arrives 2 s before the lifetime of 3 s of the last one ends,
--- a/instance/registry/registry_test.go
+++ b/instance/registry/registry_test.go
@@ -17,11 +17,11 @@
 	"github.com/comfreyladder/comfreyladder/instance/registry"
 )
 
-const limit = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-type book struct{ sync.Map }
+type addressBook struct{ sync.Map }
 
-func (b *book) Address(name string) (string, bool) {
+func (b *addressBook) Address(name string) (string, bool) {
 	v, ok := b.Load(name)
 	if !ok {
 		return "", false
@@ -29,7 +29,7 @@
 	return v.(string), true
 }
 
-func start(t *testing.T, name string, b *book, peers ...string) *registry.Service {
+func start(t *testing.T, name string, b *addressBook, peers ...string) *registry.Service {
 	g := NewWithT(t)
 	links, err := link.New(link.Config{
 		Self: name, Listen: "127.0.0.1:0", Credential: "secret", Book: b, Log: zerolog.Nop(),
@@ -41,7 +41,7 @@
 	b.Store(name, links.Addr().String())
 	g.Expect(s.Start(context.Background())).To(Succeed())
 	t.Cleanup(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), limit)
+		ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 		defer cancel()
 		g.Expect(s.Stop(ctx)).To(Succeed())
 		g.Expect(links.Stop(ctx)).To(Succeed())
@@ -54,7 +54,7 @@
 // beats would still allow it.
 func TestLeavesAreRelayed(t *testing.T) {
 	g := NewWithT(t)
-	b := &book{}
+	b := &addressBook{}
 	one, three := start(t, "one", b, "two"), start(t, "three", b)
 	start(t, "two", b, "three")
 	beat := announce.Heartbeat{
@@ -71,14 +71,14 @@
 		beat.Sequence++
 		g.Expect(three.Announce(beat)).To(Succeed())
 		return three.View().Find("e1")
-	}, limit).Should(BeNil())
+	}, testTimeout).Should(BeNil())
 }
 
 // An upstream's announcements reach one instance of its failure domain. The other one learns of
 // the upstream too, and drops it when it leaves or dies without a leave.
 func TestUpstreamsAreKnownInTheWholeDomain(t *testing.T) {
 	g := NewWithT(t)
-	b := &book{}
+	b := &addressBook{}
 	one, two := start(t, "one", b, "two"), start(t, "two", b, "one", "three")
 	beat := announce.Heartbeat{
 		Name: "e1", Domain: "hall", Kind: intent.KindEngine, Address: "127.0.0.1:1", Slots: 4,
@@ -100,18 +100,18 @@
 		beat.Sequence++
 		g.Expect(one.Announce(beat)).To(Succeed())
 		return names(two)()
-	}, limit, "100ms").Should(Equal([]string{"e1", "e2"}))
+	}, testTimeout, "100ms").Should(Equal([]string{"e1", "e2"}))
 	g.Eventually(func() []string {
 		beat.Sequence++
 		g.Expect(two.Announce(beat)).To(Succeed())
 		return append(names(one)(), names(two)()...)
-	}, limit, "100ms").Should(Equal([]string{"e1", "e1"}), "the dead upstream is dropped")
+	}, testTimeout, "100ms").Should(Equal([]string{"e1", "e1"}), "the dead upstream is dropped")
 
 	beat.Sequence++
 	beat.Leave = true
 	g.Expect(two.Announce(beat)).To(Succeed())
 	g.Expect(names(two)()).To(BeEmpty())
-	g.Eventually(names(one), limit).Should(BeEmpty())
+	g.Eventually(names(one), testTimeout).Should(BeEmpty())
 
 	beat.Domain = "elsewhere"
 	g.Expect(fault.CodeOf(one.Announce(beat))).To(Equal(fault.Invalid))
--- a/instance/registry/relay_test.go
+++ b/instance/registry/relay_test.go
@@ -81,7 +81,7 @@
 	announced := func() {
 		beat.Sequence++
 		g.Expect(s.Announce(beat)).To(Succeed())
-		g.Eventually(p.has(scheduler.Load().(string), beat.Sequence), limit, "1ms").Should(BeTrue())
+		g.Eventually(p.has(scheduler.Load().(string), beat.Sequence), testTimeout, "1ms").Should(BeTrue())
 	}
 	const beats = 40
 	for range beats {
@@ -102,7 +102,7 @@
 	}
 	for _, peer := range []string{"two", "three", "four"} {
 		for n := uint64(1); n <= 2*beats; n++ {
-			g.Eventually(p.has(peer, n), limit).Should(BeTrue(), "%s lacks beat %d", peer, n)
+			g.Eventually(p.has(peer, n), testTimeout).Should(BeTrue(), "%s lacks beat %d", peer, n)
 		}
 	}
 }
