--- a/instance/member/member_test.go
+++ b/instance/member/member_test.go
@@ -65,13 +65,13 @@
 	g := NewWithT(t)
 	first := start(t, "i0", "hall", 1)
 	seed := first.links.Addr().String()
-	nodes := []*instance{first}
+	instances := []*instance{first}
 	for i := 1; i < 5; i++ {
-		nodes = append(nodes, start(t, fmt.Sprintf("i%d", i), "hall", 1, seed))
+		instances = append(instances, start(t, fmt.Sprintf("i%d", i), "hall", 1, seed))
 	}
 	far := start(t, "x0", "far", 1, seed)
-	for _, n := range nodes {
-		for i := range nodes {
+	for _, n := range instances {
+		for i := range instances {
 			g.Eventually(n.status(fmt.Sprintf("i%d", i)), testTimeout).Should(Equal("alive"))
 		}
 		g.Eventually(func() bool { return n.members.DomainSilent("far") }, testTimeout).Should(BeFalse())
@@ -83,17 +83,17 @@
 		return 0
 	}, testTimeout).Should(Equal(5))
 
-	nodes[2].members.SetRevision(7)
-	g.Eventually(nodes[1].members.RevisionSeen, testTimeout).Should(BeEquivalentTo(7))
-	g.Expect(nodes[2].members.Drain(context.Background())).To(Succeed())
-	g.Eventually(nodes[1].status("i2"), testTimeout).Should(Equal("draining"))
-	g.Expect(nodes[2].members.Stop(context.Background())).To(Succeed())
-	g.Eventually(nodes[1].status("i2"), testTimeout).Should(Equal("left"))
-	nodes[3].kill(t)
-	g.Eventually(nodes[1].status("i3"), testTimeout).Should(Equal("dead"))
+	instances[2].members.SetRevision(7)
+	g.Eventually(instances[1].members.RevisionSeen, testTimeout).Should(BeEquivalentTo(7))
+	g.Expect(instances[2].members.Drain(context.Background())).To(Succeed())
+	g.Eventually(instances[1].status("i2"), testTimeout).Should(Equal("draining"))
+	g.Expect(instances[2].members.Stop(context.Background())).To(Succeed())
+	g.Eventually(instances[1].status("i2"), testTimeout).Should(Equal("left"))
+	instances[3].kill(t)
+	g.Eventually(instances[1].status("i3"), testTimeout).Should(Equal("dead"))
 
 	again := start(t, "i2", "hall", 2, seed)
-	g.Eventually(nodes[1].status("i2"), testTimeout).Should(Equal("alive"))
+	g.Eventually(instances[1].status("i2"), testTimeout).Should(Equal("alive"))
 	g.Eventually(again.status("i4"), testTimeout).Should(Equal("alive"))
 	g.Eventually(again.members.RevisionSeen, testTimeout).Should(BeEquivalentTo(7), "the revision it applied before the restart")
 }
