--- a/instance/daemon/cluster.go
+++ b/instance/daemon/cluster.go
@@ -167,7 +167,7 @@
 			Current: conf.Current,
 			Name:    d.cfg.Instance.Name, DataFolder: d.cfg.Instance.DataFolder, Links: links, Spread: sp,
 			Members: func() []string { return d.controlMembers(members) },
-			Lease:   d.cfg.Control.Lease, Log: d.log, OnFatal: d.fail,
+			Lease:   d.cfg.Control.Lease, Log: d.log, OnFatal: d.reportFatal,
 		}
 		if cfg.Founders = d.founderNames(); len(cfg.Founders) > 0 {
 			cfg.Bootstrap = true
@@ -206,10 +206,10 @@
 }
 
 // superseded ends this process because a newer one runs under the same name.
-func (d *Daemon) superseded() { d.fail(errSuperseded) }
+func (d *Daemon) superseded() { d.reportFatal(errSuperseded) }
 
-// fail reports a fatal error; while one is pending, later ones are discarded.
-func (d *Daemon) fail(err error) {
+// reportFatal reports a fatal error; while one is pending, later ones are discarded.
+func (d *Daemon) reportFatal(err error) {
 	select {
 	case d.fatal <- err:
 	default:
