--- a/instance/control/force.go
+++ b/instance/control/inforce.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	// forcePoll is the interval at which the leader checks whether a revision is in
+	// inForcePollInterval is the interval at which the leader checks whether a revision is in
 	// force. A check reads memory only.
-	forcePoll = 2 * time.Millisecond
-	// forceHold is how long a request is held before it is answered with "not yet",
-	// and forceMargin how long the call may take in addition.
-	forceHold   = time.Second
-	forceMargin = time.Second
-	// forceRetry is the pause after a failed request.
-	forceRetry = 20 * time.Millisecond
+	inForcePollInterval = 2 * time.Millisecond
+	// inForceMaxWait is how long a request is held before it is answered with "not yet",
+	// and inForceCallMargin how long the call may take in addition.
+	inForceMaxWait    = time.Second
+	inForceCallMargin = time.Second
+	// inForceRetryPause is the pause after a failed request.
+	inForceRetryPause = 20 * time.Millisecond
 )
 
-// forceRequest asks the leader whether a revision is in force everywhere. While it is
-// not, the leader holds the request for up to forceHold.
-type forceRequest struct {
+// inForceRequest asks the leader whether a revision is in force everywhere. While it is
+// not, the leader holds the request for up to inForceMaxWait.
+type inForceRequest struct {
 	Revision uint64 `codec:"r"`
 	// Relayed is set by a member that forwards the request to the leader.
 	Relayed bool `codec:"y,omitempty"`
 }
 
-type forceAnswer struct {
+type inForceAnswer struct {
 	InForce bool `codec:"f"`
 }
 
@@ -45,27 +45,27 @@
 	ctx, cancel := context.WithTimeout(ctx, s.cfg.Lease)
 	defer cancel()
 	for ctx.Err() == nil {
-		inForce, err := s.askInForce(ctx, forceRequest{Revision: number})
+		inForce, err := s.askInForce(ctx, inForceRequest{Revision: number})
 		if inForce {
 			break
 		}
 		if err != nil {
-			clock.Sleep(ctx, forceRetry)
+			clock.Sleep(ctx, inForceRetryPause)
 		}
 	}
 	for ctx.Err() == nil && !s.cfg.Spread.HasApplied(number) {
-		clock.Sleep(ctx, forcePoll)
+		clock.Sleep(ctx, inForcePollInterval)
 	}
 }
 
 // askInForce asks the leader, through a member if this instance holds no control state.
-func (s *Service) askInForce(ctx context.Context, q forceRequest) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, forceHold+forceMargin)
+func (s *Service) askInForce(ctx context.Context, q inForceRequest) (bool, error) {
+	ctx, cancel := context.WithTimeout(ctx, inForceMaxWait+inForceCallMargin)
 	defer cancel()
 	g := s.group.Load()
-	var a forceAnswer
+	var a inForceAnswer
 	if g == nil {
-		err := s.ask(ctx, channelForce, q, &a)
+		err := s.ask(ctx, channelInForce, q, &a)
 		return a.InForce, err
 	}
 	st := g.Status()
@@ -76,13 +76,13 @@
 		return false, fault.New(fault.NotRun, "this member is not the leader")
 	}
 	q.Relayed = true
-	err := s.cfg.Links.Call(ctx, s.Leader(), channelForce, q, &a)
+	err := s.cfg.Links.Call(ctx, s.Leader(), channelInForce, q, &a)
 	return a.InForce, err
 }
 
-// awaitInForceOnLeader waits on the leader until the revision is in force, for up to forceHold.
+// awaitInForceOnLeader waits on the leader until the revision is in force, for up to inForceMaxWait.
 func (s *Service) awaitInForceOnLeader(ctx context.Context, g *consensus.Service, number uint64) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, forceHold)
+	ctx, cancel := context.WithTimeout(ctx, inForceMaxWait)
 	defer cancel()
 	for ctx.Err() == nil {
 		st := g.Status()
@@ -92,13 +92,13 @@
 		if s.ledTerm.Load() == st.Term && s.cfg.Spread.InForce(number) {
 			return true, nil
 		}
-		clock.Sleep(ctx, forcePoll)
+		clock.Sleep(ctx, inForcePollInterval)
 	}
 	return false, nil
 }
 
-func (s *Service) receiveForce(ctx context.Context, _ string, m link.Message) (any, error) {
-	var q forceRequest
+func (s *Service) receiveInForce(ctx context.Context, _ string, m link.Message) (any, error) {
+	var q inForceRequest
 	if err := m.Decode(&q); err != nil {
 		return nil, err
 	}
@@ -106,7 +106,7 @@
 		return nil, fault.New(fault.NotRun, "this instance holds no control state")
 	}
 	inForce, err := s.askInForce(ctx, q)
-	return forceAnswer{InForce: inForce}, err
+	return inForceAnswer{InForce: inForce}, err
 }
 
 // becomeTreeRoot makes this instance the root of the distribution tree for a term that it
