--- a/instance/duty/duty.go
+++ b/instance/duty/duty.go
@@ -194,7 +194,7 @@
 func (s *Service) Stop(context.Context) error {
 	s.cancel()
 	if s.started.Load() {
-		<-s.loop.Ended()
+		<-s.loop.Done()
 	}
 	s.calls.Wait()
 	return nil
--- a/instance/loop/loop.go
+++ b/instance/loop/loop.go
@@ -47,5 +47,5 @@
 	}
 }
 
-// Ended is closed when Run has returned.
-func (l *Loop) Ended() <-chan struct{} { return l.ended }
+// Done is closed when Run has returned.
+func (l *Loop) Done() <-chan struct{} { return l.ended }
--- a/instance/loop/loop_test.go
+++ b/instance/loop/loop_test.go
@@ -29,7 +29,7 @@
 		g.Expect(did).To(Equal([]int{0, 1, 2, 3, 4, 5, 6, 7, 8, 9}))
 		g.Expect(steps).To(Equal(3))
 		cancel()
-		<-l.Ended()
+		<-l.Done()
 		for range 5 {
 			l.Post(func(time.Time) { t.Error("done after the end") })
 		}
--- a/instance/order/order.go
+++ b/instance/order/order.go
@@ -172,7 +172,7 @@
 		return nil
 	}
 	s.cancel()
-	<-s.loop.Ended()
+	<-s.loop.Done()
 	s.calls.Wait()
 	// A request that was in flight may have acquired the lease, or failed to release it.
 	if (s.lease.Number > 0 || s.requestPending) && !s.orderMayArrive(s.cfg.Now()) {
