--- a/instance/daemon/base.go
+++ b/instance/daemon/base.go
@@ -63,7 +63,7 @@
 		}
 		c := config.New()
 		c.Subscribe(func(v *config.View) {
-			tel.Keep(v.Document)
+			tel.RetainOrganisations(v.Document)
 			d.log.Info().Uint64("revision", v.Revision).Msg("revision in force")
 		})
 		return c, nil
--- a/instance/telemetry/telemetry.go
+++ b/instance/telemetry/telemetry.go
@@ -158,8 +158,8 @@
 	s.counter(fmt.Sprintf(`refused_total{code=%q}`, code)).Inc()
 }
 
-// Keep drops the series of organisations that are not in the document.
-func (s *Service) Keep(doc *intent.Document) {
+// RetainOrganisations drops the series of organisations that are not in the document.
+func (s *Service) RetainOrganisations(doc *intent.Document) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := make(map[string]bool, len(doc.Organisations))
