--- a/instance/dispatch/attempt.go
+++ b/instance/dispatch/attempt.go
@@ -78,7 +78,7 @@
 	if a.onGrant != nil {
 		a.onGrant()
 	}
-	a.d.cfg.Telemetry.Attempt(a.job.Class.Name, a.kind())
+	a.d.cfg.Telemetry.RecordAttempt(a.job.Class.Name, a.kind())
 	g := lease.Grant()
 	a.trace("attempt %d goes to %s: score %.2f of %d candidates, %d of %d slots, prefix cached %.0f%%, floor %t",
 		a.number, g.Upstream, g.Explain.Score, g.Explain.Candidates, g.Explain.InFlight, g.Explain.Slots, 100*g.Explain.CachedPrefix, g.Explain.BelowFloor)
--- a/instance/telemetry/telemetry.go
+++ b/instance/telemetry/telemetry.go
@@ -131,8 +131,8 @@
 	s.counter(fmt.Sprintf(`missed_total{class=%q}`, class)).Inc()
 }
 
-// Attempt counts a request that was granted an upstream.
-func (s *Service) Attempt(class string, kind AttemptKind) {
+// RecordAttempt counts a request that was granted an upstream.
+func (s *Service) RecordAttempt(class string, kind AttemptKind) {
 	s.counter(fmt.Sprintf(`attempts_total{class=%q,kind=%q}`, class, kind)).Inc()
 }
 
