--- a/instance/dispatch/resume.go
+++ b/instance/dispatch/resume.go
@@ -24,7 +24,7 @@
 		s, err := a.d.cfg.Client.Resume(a.ctx, target(a.lease.Grant()), a.id, last)
 		if err == nil {
 			a.trace("attempt %d is resumed after event %d: %v", a.number, last, cause)
-			a.d.cfg.Telemetry.Resumed(a.job.Class.Name)
+			a.d.cfg.Telemetry.RecordResume(a.job.Class.Name)
 			_ = a.stream.Close()
 			a.stream = s
 			return true
--- a/instance/telemetry/telemetry.go
+++ b/instance/telemetry/telemetry.go
@@ -136,8 +136,8 @@
 	s.counter(fmt.Sprintf(`attempts_total{class=%q,kind=%q}`, class, kind)).Inc()
 }
 
-// Resumed counts a stream that broke and was continued.
-func (s *Service) Resumed(class string) {
+// RecordResume counts a stream that broke and was continued.
+func (s *Service) RecordResume(class string) {
 	s.counter(fmt.Sprintf(`resumed_total{class=%q}`, class)).Inc()
 }
 
