--- a/instance/dispatch/hedge.go
+++ b/instance/dispatch/hedge.go
@@ -175,7 +175,7 @@
 			return r.finishRace(first, second)
 		case <-second.readyChan():
 			if second.hasAnswer() {
-				r.d.cfg.Telemetry.Hedge(r.job.Class.Name, telemetry.HedgeWon)
+				r.d.cfg.Telemetry.RecordHedge(r.job.Class.Name, telemetry.HedgeWon)
 				return r.finishRace(second, first)
 			}
 			r.endHedge(second)
@@ -215,7 +215,7 @@
 
 // endHedge ends a second attempt that failed while the first one is still running.
 func (r *Run) endHedge(e *racer) {
-	r.d.cfg.Telemetry.Hedge(r.job.Class.Name, telemetry.HedgeFailed)
+	r.d.cfg.Telemetry.RecordHedge(r.job.Class.Name, telemetry.HedgeFailed)
 	if e.lease == nil {
 		e.cancel()
 		r.d.refund(r.job.Class.Name)
@@ -232,7 +232,7 @@
 	case other == nil:
 	case done.hasAnswer():
 		if other.hedge {
-			r.d.cfg.Telemetry.Hedge(r.job.Class.Name, telemetry.HedgeLost)
+			r.d.cfg.Telemetry.RecordHedge(r.job.Class.Name, telemetry.HedgeLost)
 		}
 		other.discard(telemetry.CauseHedge)
 	default:
@@ -262,7 +262,7 @@
 	if other.hasAnswer() {
 		outcome = telemetry.HedgeWon
 	}
-	r.d.cfg.Telemetry.Hedge(r.job.Class.Name, outcome)
+	r.d.cfg.Telemetry.RecordHedge(r.job.Class.Name, outcome)
 	return r.finishRace(other, nil)
 }
 
--- a/instance/telemetry/telemetry.go
+++ b/instance/telemetry/telemetry.go
@@ -141,8 +141,8 @@
 	s.counter(fmt.Sprintf(`resumed_total{class=%q}`, class)).Inc()
 }
 
-// Hedge counts the end of a hedge.
-func (s *Service) Hedge(class string, o HedgeOutcome) {
+// RecordHedge counts the end of a hedge.
+func (s *Service) RecordHedge(class string, o HedgeOutcome) {
 	s.counter(fmt.Sprintf(`hedges_total{class=%q,outcome=%q}`, class, o)).Inc()
 }
 
