--- a/instance/dispatch/attempt.go
+++ b/instance/dispatch/attempt.go
@@ -175,7 +175,7 @@
 }
 
 func (a *attempt) recordWaste(cause telemetry.Cause) {
-	a.d.cfg.Telemetry.Wasted(a.job.Class.Name, cause, a.tokens)
+	a.d.cfg.Telemetry.RecordWaste(a.job.Class.Name, cause, a.tokens)
 }
 
 func (a *attempt) trace(format string, args ...any) { a.d.cfg.Trace.Add(a.job.ID, format, args...) }
--- a/instance/telemetry/telemetry.go
+++ b/instance/telemetry/telemetry.go
@@ -146,9 +146,9 @@
 	s.counter(fmt.Sprintf(`hedges_total{class=%q,outcome=%q}`, class, o)).Inc()
 }
 
-// Wasted counts an attempt that was of no use, with the tokens that it generated
+// RecordWaste counts an attempt that was of no use, with the tokens that it generated
 // and that reached no caller.
-func (s *Service) Wasted(class string, cause Cause, tokens int) {
+func (s *Service) RecordWaste(class string, cause Cause, tokens int) {
 	s.counter(fmt.Sprintf(`wasted_attempts_total{class=%q,cause=%q}`, class, cause)).Inc()
 	s.counter(fmt.Sprintf(`wasted_tokens_total{class=%q,cause=%q}`, class, cause)).Add(tokens)
 }
