--- a/instance/gateway/gateway.go
+++ b/instance/gateway/gateway.go
@@ -110,7 +110,7 @@
 	g.inFlight.Add(1)
 	streaming, err := g.route(ctx, path, id)
 	if err != nil {
-		g.cfg.Telemetry.Refused(string(fault.CodeOf(err)))
+		g.cfg.Telemetry.RecordRefused(string(fault.CodeOf(err)))
 		httpapi.WriteError(ctx, err, id)
 	}
 	if !streaming {
--- a/instance/telemetry/telemetry.go
+++ b/instance/telemetry/telemetry.go
@@ -153,8 +153,8 @@
 	s.counter(fmt.Sprintf(`wasted_tokens_total{class=%q,cause=%q}`, class, cause)).Add(tokens)
 }
 
-// Refused counts a request that ended before it had a class, by failure code.
-func (s *Service) Refused(code string) {
+// RecordRefused counts a request that ended before it had a class, by failure code.
+func (s *Service) RecordRefused(code string) {
 	s.counter(fmt.Sprintf(`refused_total{code=%q}`, code)).Inc()
 }
 
