--- a/instance/dispatch/attempt.go
+++ b/instance/dispatch/attempt.go
@@ -143,7 +143,7 @@
 // endFailed ends an attempt that failed. A failure on a reused connection before the first
 // event is not attributed to the upstream.
 func (a *attempt) endFailed(evidence upstream.Evidence, reused bool) {
-	cause := telemetry.CauseBroken
+	cause := telemetry.CauseStreamBroken
 	if a.removed {
 		cause = telemetry.CausePreempted
 	}
--- a/instance/gateway/stream.go
+++ b/instance/gateway/stream.go
@@ -25,7 +25,7 @@
 func (x *exchange) serveStream(ctx *fasthttp.RequestCtx) (streaming bool, err error) {
 	ev, err := x.next()
 	if err != nil && !errors.Is(err, io.EOF) {
-		x.finish(err, telemetry.CauseBroken)
+		x.finish(err, telemetry.CauseStreamBroken)
 		return false, err
 	}
 	ctx.SetContentType("text/event-stream")
--- a/instance/telemetry/telemetry.go
+++ b/instance/telemetry/telemetry.go
@@ -25,7 +25,7 @@
 const (
 	CauseHangUp   Cause = "caller_hung_up"
 	CauseDeadline Cause = "deadline"
-	CauseBroken   Cause = "stream_broken"
+	CauseStreamBroken   Cause = "stream_broken"
 	CauseHedge    Cause = "hedge_lost"
 	// CausePreempted means that the engine took the request out before its end.
 	CausePreempted Cause = "preempted"
