--- a/instance/dispatch/hedge.go
+++ b/instance/dispatch/hedge.go
@@ -234,7 +234,7 @@
 		if other.hedge {
 			r.d.cfg.Telemetry.RecordHedge(r.job.Class.Name, telemetry.HedgeLost)
 		}
-		other.discard(telemetry.CauseHedge)
+		other.discard(telemetry.CauseHedgeLost)
 	default:
 		return r.awaitOther(done, other)
 	}
--- a/instance/telemetry/telemetry.go
+++ b/instance/telemetry/telemetry.go
@@ -26,7 +26,7 @@
 	CauseHangUp   Cause = "caller_hung_up"
 	CauseDeadline Cause = "deadline"
 	CauseStreamBroken   Cause = "stream_broken"
-	CauseHedge    Cause = "hedge_lost"
+	CauseHedgeLost    Cause = "hedge_lost"
 	// CausePreempted means that the engine took the request out before its end.
 	CausePreempted Cause = "preempted"
 )
