--- a/instance/inifile/inifile.go
+++ b/instance/inifile/inifile.go
@@ -94,8 +94,8 @@
 	return names
 }
 
-// Add records a fault found by the caller.
-func (f *File) Add(section, key, value, allowed string) {
+// AddFault records a fault found by the caller.
+func (f *File) AddFault(section, key, value, allowed string) {
 	f.faults = append(f.faults, Fault{Section: section, Key: key, Value: value, Allowed: allowed})
 }
 
@@ -103,7 +103,7 @@
 func (f *File) Err() error {
 	for _, s := range f.ini.SectionStrings() {
 		if !f.used[s] && (s != ini.DefaultSection || len(f.ini.Section(s).Keys()) > 0) {
-			f.Add(s, "", "", "unknown section")
+			f.AddFault(s, "", "", "unknown section")
 			f.used[s] = true
 		}
 	}
@@ -126,7 +126,7 @@
 	}
 	for _, k := range s.Keys() {
 		if !known[k.Name()] {
-			f.Add(name, k.Name(), k.Value(), "unknown key, known are: "+list(known))
+			f.AddFault(name, k.Name(), k.Value(), "unknown key, known are: "+list(known))
 		}
 	}
 }
@@ -139,16 +139,16 @@
 	}
 	if text == "" {
 		if allow == "required" || strings.HasPrefix(allow, "required ") {
-			f.Add(section, key, "", "a value is required")
+			f.AddFault(section, key, "", "a value is required")
 		}
 		return
 	}
 	if why := set(v, text); why != "" {
-		f.Add(section, key, text, why)
+		f.AddFault(section, key, text, why)
 		return
 	}
 	if why := check(v, text, strings.TrimPrefix(strings.TrimPrefix(allow, "required"), " ")); why != "" {
-		f.Add(section, key, text, why)
+		f.AddFault(section, key, text, why)
 	}
 }
 
--- a/instance/settings/settings.go
+++ b/instance/settings/settings.go
@@ -154,17 +154,17 @@
 // checkCombinations checks the rules that concern several keys, and the format of founders.
 func (s *Settings) checkCombinations(f *inifile.File) {
 	if (s.TLS.Certificate == "") != (s.TLS.Key == "") {
-		f.Add("tls", "key", s.TLS.Key, "certificate and key must be set together")
+		f.AddFault("tls", "key", s.TLS.Key, "certificate and key must be set together")
 	}
 	if len(s.Control.Seeds) > 0 && s.Control.PeerKeyFile == "" {
-		f.Add("control", "peer_key_file", "", "required with seeds: connections to peers need a credential")
+		f.AddFault("control", "peer_key_file", "", "required with seeds: connections to peers need a credential")
 	}
 	if len(s.Control.Founders) > 0 && s.Instance.DataFolder == "" {
-		f.Add("instance", "data_folder", "", "required with founders: a founder stores control state")
+		f.AddFault("instance", "data_folder", "", "required with founders: a founder stores control state")
 	}
 	for _, founder := range s.Control.Founders {
 		if _, err := ParseFounder(founder); err != nil {
-			f.Add("control", "founders", founder, "name@address is needed, such as a1@127.0.0.1:8082")
+			f.AddFault("control", "founders", founder, "name@address is needed, such as a1@127.0.0.1:8082")
 		}
 	}
 }
--- a/operator/load/calls.go
+++ b/operator/load/calls.go
@@ -131,7 +131,7 @@
 			return
 		}
 	}
-	p.file.Add(section, "", c.Service, "no organisation of the intent may call this service")
+	p.file.AddFault(section, "", c.Service, "no organisation of the intent may call this service")
 }
 
 // addCalls counts the calls of one run by what the service's book says.
--- a/operator/load/parse.go
+++ b/operator/load/parse.go
@@ -70,7 +70,7 @@
 	}
 	d, err := intentfile.Load(filepath.Join(dir, path))
 	if err != nil {
-		p.file.Add("experiment", "intent", path, err.Error())
+		p.file.AddFault("experiment", "intent", path, err.Error())
 		return
 	}
 	p.x.Intent = d
@@ -80,11 +80,11 @@
 	x := p.x
 	for _, s := range x.Settings.Seeds {
 		if _, err := strconv.ParseUint(s, 10, 64); err != nil {
-			p.file.Add("experiment", "seeds", s, "a whole number from 0 on is needed")
+			p.file.AddFault("experiment", "seeds", s, "a whole number from 0 on is needed")
 		}
 	}
 	if len(x.Traffic) == 0 {
-		p.file.Add("traffic", "", "", "at least one section [traffic.CLASS] is needed")
+		p.file.AddFault("traffic", "", "", "at least one section [traffic.CLASS] is needed")
 	}
 	for i := range x.Traffic {
 		p.traffic(&x.Traffic[i])
@@ -96,7 +96,7 @@
 		p.fault(a)
 	}
 	if x.Intent != nil && x.Engines.Prefix != "" && x.Intent.UpstreamRule(x.Engines.Prefix+"1") == nil {
-		p.file.Add("engines", "prefix", x.Engines.Prefix, "no trust rule of the intent covers these names")
+		p.file.AddFault("engines", "prefix", x.Engines.Prefix, "no trust rule of the intent covers these names")
 	}
 }
 
@@ -112,10 +112,10 @@
 		}
 	}
 	if last := a.Engine + a.Count - 1; last > count {
-		p.file.Add(section, "engine", strconv.Itoa(last), "the numbers end at "+strconv.Itoa(count))
+		p.file.AddFault(section, "engine", strconv.Itoa(last), "the numbers end at "+strconv.Itoa(count))
 	}
 	if a.Kind != "" && !slices.Contains(kinds, a.Kind) {
-		p.file.Add(section, "kind", a.Kind, "possible here is one of "+strings.Join(kinds, ", "))
+		p.file.AddFault(section, "kind", a.Kind, "possible here is one of "+strings.Join(kinds, ", "))
 	}
 }
 
@@ -124,7 +124,7 @@
 	for _, text := range list {
 		b, ok := parseBurst(text)
 		if !ok {
-			p.file.Add(section, "bursts", text, "a burst is start+length x factor, such as 20s+10s x3")
+			p.file.AddFault(section, "bursts", text, "a burst is start+length x factor, such as 20s+10s x3")
 		}
 		out = append(out, b)
 	}
@@ -140,7 +140,7 @@
 		return
 	}
 	if p.x.Intent.Class(t.Class) == nil {
-		p.file.Add(section, "", t.Class, "the intent has no such class")
+		p.file.AddFault(section, "", t.Class, "the intent has no such class")
 		return
 	}
 	p.organisations(section, t)
@@ -153,7 +153,7 @@
 		t.Model = models[0].Name
 	}
 	if p.x.Intent.Model(t.Model) == nil {
-		p.file.Add(section, "model", t.Model, "a model of the intent is needed")
+		p.file.AddFault(section, "model", t.Model, "a model of the intent is needed")
 	}
 }
 
@@ -163,7 +163,7 @@
 		s, err := strconv.ParseFloat(share, 64)
 		o := p.x.Intent.Organisation(name)
 		if err != nil || s <= 0 || o == nil || !slices.Contains(o.Classes, t.Class) {
-			p.file.Add(section, "organisations", text, "name:share is needed, of an organisation that may use the class")
+			p.file.AddFault(section, "organisations", text, "name:share is needed, of an organisation that may use the class")
 			continue
 		}
 		t.Organisations = append(t.Organisations, Participant{Name: name, Share: s})
@@ -177,14 +177,14 @@
 		}
 	}
 	if len(t.Organisations) == 0 {
-		p.file.Add(section, "organisations", "", "no organisation of the intent may use the class")
+		p.file.AddFault(section, "organisations", "", "no organisation of the intent may use the class")
 	}
 }
 
 func (p *parser) distribution(section, key, text string) Distribution {
 	d, ok := parseDistribution(text)
 	if !ok && text != "" {
-		p.file.Add(section, key, text, "one of fixed(n), lognormal(median, sigma), pareto(least, alpha) is needed")
+		p.file.AddFault(section, key, text, "one of fixed(n), lognormal(median, sigma), pareto(least, alpha) is needed")
 	}
 	return d
 }
