--- a/instance/inifile/inifile.go
+++ b/instance/inifile/inifile.go
@@ -82,8 +82,8 @@
 	f.decode(section, f.ini.Section(section), reflect.ValueOf(into).Elem())
 }
 
-// Names returns the sorted names of the sections "prefix.name".
-func (f *File) Names(prefix string) []string {
+// SectionNames returns the sorted names of the sections "prefix.name".
+func (f *File) SectionNames(prefix string) []string {
 	var names []string
 	for _, s := range f.ini.SectionStrings() {
 		if name, ok := strings.CutPrefix(s, prefix+"."); ok {
--- a/instance/intentfile/intentfile.go
+++ b/instance/intentfile/intentfile.go
@@ -58,7 +58,7 @@
 
 func entries[T any](f *inifile.File, kind string, defaults func(*T, string)) []T {
 	var list []T
-	for _, name := range f.Names(kind) {
+	for _, name := range f.SectionNames(kind) {
 		var v T
 		defaults(&v, name)
 		f.Decode(kind+"."+name, &v)
--- a/operator/load/parse.go
+++ b/operator/load/parse.go
@@ -41,22 +41,22 @@
 	x := p.x
 	p.file.Decode("experiment", &x.Settings)
 	p.file.Decode("engines", &x.Engines)
-	for _, name := range p.file.Names("service") {
+	for _, name := range p.file.SectionNames("service") {
 		r := Runners{Service: name}
 		p.file.Decode("service."+name, &r)
 		x.Runners = append(x.Runners, r)
 	}
-	for _, name := range p.file.Names("traffic") {
+	for _, name := range p.file.SectionNames("traffic") {
 		t := Traffic{Class: name}
 		p.file.Decode("traffic."+name, &t)
 		x.Traffic = append(x.Traffic, t)
 	}
-	for _, name := range p.file.Names("calls") {
+	for _, name := range p.file.SectionNames("calls") {
 		c := Calls{Service: name}
 		p.file.Decode("calls."+name, &c)
 		x.Calls = append(x.Calls, c)
 	}
-	for _, name := range p.file.Names("fault") {
+	for _, name := range p.file.SectionNames("fault") {
 		a := FaultAt{Name: name}
 		p.file.Decode("fault."+name, &a)
 		x.Faults = append(x.Faults, a)
