--- a/instance/inifile/inifile.go
+++ b/instance/inifile/inifile.go
@@ -26,13 +26,13 @@
 // Fault is one thing that is wrong with a file.
 type Fault struct {
 	Section, Key, Value string
-	// Allowed says what would be right.
-	Allowed string
+	// Expected says what would be right.
+	Expected string
 }
 
 // String formats the fault on one line.
 func (f Fault) String() string {
-	return fmt.Sprintf("[%s] %s = %q: %s", f.Section, f.Key, f.Value, f.Allowed)
+	return fmt.Sprintf("[%s] %s = %q: %s", f.Section, f.Key, f.Value, f.Expected)
 }
 
 // FaultsError lists all that is wrong with a file.
@@ -96,7 +96,7 @@
 
 // AddFault records a fault found by the caller.
 func (f *File) AddFault(section, key, value, allowed string) {
-	f.faults = append(f.faults, Fault{Section: section, Key: key, Value: value, Allowed: allowed})
+	f.faults = append(f.faults, Fault{Section: section, Key: key, Value: value, Expected: allowed})
 }
 
 // Err returns a *FaultsError with all faults found, or nil.
