--- a/instance/telemetry/telemetry.go
+++ b/instance/telemetry/telemetry.go
@@ -23,9 +23,9 @@
 
 // The causes of wasted work.
 const (
-	CauseHangUp   Cause = "caller_hung_up"
-	CauseDeadline Cause = "deadline"
-	CauseStreamBroken   Cause = "stream_broken"
+	CauseHangUp       Cause = "caller_hung_up"
+	CauseDeadline     Cause = "deadline"
+	CauseStreamBroken Cause = "stream_broken"
 	CauseHedgeLost    Cause = "hedge_lost"
 	// CausePreempted means that the engine took the request out before its end.
 	CausePreempted Cause = "preempted"
