--- a/instance/config/config.go
+++ b/instance/config/config.go
@@ -1,5 +1,5 @@
-// Package config holds the configuration that this instance acts on: one
-// immutable view that is swapped as a whole when a newer revision arrives.
+// Package config holds the configuration in force on this instance: an immutable view that is
+// replaced atomically when a newer revision arrives.
 package config
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/comfreyladder/comfreyladder/core/intent"
 )
 
-// View is one revision with its indexes. It is never changed.
+// View is a revision of the intent with indexes for key look-ups. It is immutable.
 type View struct {
 	Revision  uint64
 	Document  *intent.Document
@@ -29,7 +29,7 @@
 	expires time.Time
 }
 
-// NewView indexes a document.
+// NewView returns an indexed view of a document.
 func NewView(revision uint64, doc *intent.Document) *View {
 	v := &View{Revision: revision, Document: doc, orgKeys: map[string]keyOwner{}, operators: map[string]string{}}
 	for _, o := range doc.Organisations {
@@ -44,8 +44,8 @@
 	return v
 }
 
-// Organisation returns whose API key this is. The key is compared by its
-// SHA-256 digest, so that the time a comparison takes tells nothing about keys.
+// Organisation returns the organisation that an API key belongs to. Keys are looked up by SHA-256
+// digest, so that timing reveals nothing about them.
 func (v *View) Organisation(key string, now time.Time) (*intent.Organisation, error) {
 	owner, ok := v.orgKeys[HashKey(key)]
 	if !ok {
@@ -57,7 +57,7 @@
 	return v.Document.Organisation(owner.name), nil
 }
 
-// Operator returns whose operator key this is.
+// Operator returns the operator that a key belongs to.
 func (v *View) Operator(key string) (*intent.Operator, error) {
 	name, ok := v.operators[HashKey(key)]
 	if !ok {
@@ -71,7 +71,7 @@
 	return nil, fault.New(fault.Internal, "operator %q is not in its own revision", name)
 }
 
-// Upstream checks an upstream's credential and returns the rule that trusts it.
+// Upstream verifies an upstream's credential and returns the rule that admits it.
 func (v *View) Upstream(name, key string) (*intent.Upstream, error) {
 	rule := v.Document.UpstreamRule(name)
 	if rule == nil || subtle.ConstantTimeCompare([]byte(rule.KeyHash), []byte(HashKey(key))) != 1 {
@@ -86,7 +86,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Bearer returns the credential of an Authorization header.
+// Bearer returns the bearer credential of an Authorization header.
 func Bearer(header string) (string, error) {
 	scheme, key, ok := strings.Cut(header, " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") || key == "" {
@@ -95,7 +95,7 @@
 	return key, nil
 }
 
-// Service holds the current view and tells subscribers about newer ones.
+// Service holds the current view and notifies subscribers of newer ones.
 type Service struct {
 	current atomic.Pointer[View]
 	mu      sync.Mutex
@@ -111,7 +111,7 @@
 // Stop implements kernel.Service.
 func (s *Service) Stop(context.Context) error { return nil }
 
-// Current returns the view to act on, or a failure while no revision is known.
+// Current returns the view in force, or fault.Unavailable before the first revision.
 func (s *Service) Current() (*View, error) {
 	if v := s.current.Load(); v != nil {
 		return v, nil
@@ -119,9 +119,9 @@
 	return nil, fault.New(fault.Unavailable, "this instance has not learned a configuration yet").WithRetryAfter(time.Second)
 }
 
-// Apply puts a revision in force and reports whether it did. An older revision
-// is refused: it can arrive late over another path, and acting on it would undo
-// what operators were told is accepted.
+// Apply puts a revision in force if it is newer than the current one, and reports whether it did.
+// An older revision can arrive late over another path; applying it would undo a change that was
+// reported to operators as accepted.
 func (s *Service) Apply(revision uint64, doc *intent.Document) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,8 +136,7 @@
 	return true
 }
 
-// Subscribe calls f with the current view, if there is one, and then with every
-// newer one, in order.
+// Subscribe calls f with the current view, if any, and then with every newer view in order.
 func (s *Service) Subscribe(f func(*View)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/instance/config/config_test.go
+++ b/instance/config/config_test.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// An operator's change is in force; then an older revision arrives late over
-// another path. Acting on it would undo the change without anybody's intent.
-func TestOlderRevisionIsNeverActedOnAfterANewerOne(t *testing.T) {
+// An older revision arrives late over another path while a newer one is in force. Applying it
+// would silently undo an operator's change.
+func TestOlderRevisionIsNeverAppliedAfterNewer(t *testing.T) {
 	g := NewWithT(t)
 	s := config.New()
 	var seen []uint64
--- a/instance/inifile/describe.go
+++ b/instance/inifile/describe.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Describe writes the keys of a section with their defaults and what is allowed,
-// as a file that could be loaded.
+// Describe writes the keys of a section with their types, allowed values and defaults, as INI that
+// can be loaded.
 func Describe(w io.Writer, section string, of any) {
 	t := reflect.TypeOf(of)
 	fmt.Fprintf(w, "[%s]\n", section)
--- a/instance/inifile/inifile.go
+++ b/instance/inifile/inifile.go
@@ -1,15 +1,16 @@
-// Package inifile decodes sections of an INI file into structs and reports
-// every fault at once: unknown sections and keys, missing values, and values
-// outside of what is allowed.
+// Package inifile decodes sections of an INI file into structs and reports all faults together:
+// unknown sections and keys, missing values and values that are not allowed.
 //
-// A field's key is its `ini` tag or, without one, its `json` tag (but "name",
-// which stands in the title of the section). The tag
-// `default` gives the value of a missing key, and `allow` what a value must be:
+// A field's key is its `ini` tag or else its `json` tag. A field with the json tag "name" is
+// skipped: the section title holds the name. The tag `default` gives the value of a missing key,
+// and `allow` restricts the value:
 //
-//	required      the key must be there
+//	required      the key must be present
 //	a|b|c         one of these words
-//	1..10         a number or a duration within these bounds
-//	address       an IP number with a port
+//	1..10         a number or a duration within these bounds, inclusive
+//	address       an IP address with a port
+//
+// "required" may precede one of the others, separated by a space.
 package inifile
 
 import (
@@ -23,10 +24,10 @@
 	"github.com/comfreyladder/comfreyladder/core/fault"
 )
 
-// Fault is one thing that is wrong with a file.
+// Fault is one error in a file.
 type Fault struct {
 	Section, Key, Value string
-	// Expected says what would be right.
+	// Expected describes what is expected in place of Value.
 	Expected string
 }
 
@@ -35,13 +36,13 @@
 	return fmt.Sprintf("[%s] %s = %q: %s", f.Section, f.Key, f.Value, f.Expected)
 }
 
-// FaultsError lists all that is wrong with a file.
+// FaultsError lists all errors in a file.
 type FaultsError struct {
 	File   string
 	Faults []Fault
 }
 
-// Error implements error; it lists one fault a line.
+// Error implements error. It lists one fault per line.
 func (e *FaultsError) Error() string {
 	lines := make([]string, 0, len(e.Faults)+1)
 	lines = append(lines, fmt.Sprintf("%s: %d faults", e.File, len(e.Faults)))
@@ -51,7 +52,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// File is an INI file that is being decoded. Sections that nobody decodes are
+// File is an INI file that is being decoded. Sections that are never decoded are reported as
 // faults.
 type File struct {
 	name   string
@@ -60,10 +61,10 @@
 	faults []Fault
 }
 
-// Load reads a file. The failure has code Invalid when it is no INI at all.
+// Load reads a file. It fails with fault.Invalid if the file can't be read or is not valid INI.
 func Load(name string) (*File, error) { return open(name, name) }
 
-// Parse reads INI from data; name is used in messages.
+// Parse reads INI from data. The name is used in error messages.
 func Parse(name string, data []byte) (*File, error) { return open(name, data) }
 
 func open(name string, source any) (*File, error) {
@@ -75,14 +76,14 @@
 	return &File{name: name, ini: f, used: map[string]bool{}}, nil
 }
 
-// Decode fills the struct that into points to from one section. A missing
-// section is as an empty one.
+// Decode decodes a section into the struct that into points to. A missing section is treated as
+// empty.
 func (f *File) Decode(section string, into any) {
 	f.used[section] = true
 	f.decode(section, f.ini.Section(section), reflect.ValueOf(into).Elem())
 }
 
-// SectionNames returns the sorted names of the sections "prefix.name".
+// SectionNames returns the sorted names of all sections titled "prefix.name", without the prefix.
 func (f *File) SectionNames(prefix string) []string {
 	var names []string
 	for _, s := range f.ini.SectionStrings() {
@@ -94,12 +95,12 @@
 	return names
 }
 
-// AddFault records a fault found by the caller.
+// AddFault adds a fault found by the caller.
 func (f *File) AddFault(section, key, value, allowed string) {
 	f.faults = append(f.faults, Fault{Section: section, Key: key, Value: value, Expected: allowed})
 }
 
-// Err returns a *FaultsError with all faults found, or nil.
+// Err returns a *FaultsError with all faults found so far and all unknown sections, or nil.
 func (f *File) Err() error {
 	for _, s := range f.ini.SectionStrings() {
 		if !f.used[s] && (s != ini.DefaultSection || len(f.ini.Section(s).Keys()) > 0) {
@@ -122,16 +123,16 @@
 			continue
 		}
 		known[key] = true
-		f.field(name, key, s, field, v.Field(i))
+		f.decodeField(name, key, s, field, v.Field(i))
 	}
 	for _, k := range s.Keys() {
 		if !known[k.Name()] {
-			f.AddFault(name, k.Name(), k.Value(), "unknown key, known are: "+list(known))
+			f.AddFault(name, k.Name(), k.Value(), "unknown key, known are: "+joinSorted(known))
 		}
 	}
 }
 
-func (f *File) field(section, key string, s *ini.Section, field reflect.StructField, v reflect.Value) {
+func (f *File) decodeField(section, key string, s *ini.Section, field reflect.StructField, v reflect.Value) {
 	allow := field.Tag.Get("allow")
 	text := field.Tag.Get("default")
 	if s.HasKey(key) {
@@ -143,11 +144,11 @@
 		}
 		return
 	}
-	if why := set(v, text); why != "" {
+	if why := setValue(v, text); why != "" {
 		f.AddFault(section, key, text, why)
 		return
 	}
-	if why := check(v, text, strings.TrimPrefix(strings.TrimPrefix(allow, "required"), " ")); why != "" {
+	if why := validate(v, text, strings.TrimPrefix(strings.TrimPrefix(allow, "required"), " ")); why != "" {
 		f.AddFault(section, key, text, why)
 	}
 }
@@ -164,7 +165,7 @@
 	return key
 }
 
-func list(set map[string]bool) string {
+func joinSorted(set map[string]bool) string {
 	names := make([]string, 0, len(set))
 	for n := range set {
 		names = append(names, n)
--- a/instance/inifile/value.go
+++ b/instance/inifile/value.go
@@ -10,8 +10,8 @@
 
 var durationType = reflect.TypeFor[time.Duration]()
 
-// set parses text into v and returns what would be right, or "" on success.
-func set(v reflect.Value, text string) string {
+// setValue parses text into v. It returns what is expected instead, or "" on success.
+func setValue(v reflect.Value, text string) string {
 	if v.Type() == durationType {
 		d, err := time.ParseDuration(text)
 		if err != nil {
@@ -85,8 +85,8 @@
 	return out
 }
 
-// check returns what would be right, or "" when the value is allowed.
-func check(v reflect.Value, text, allow string) string {
+// validate returns what is expected instead, or "" if the value is allowed.
+func validate(v reflect.Value, text, allow string) string {
 	switch {
 	case allow == "":
 		return ""
@@ -94,7 +94,7 @@
 		return checkAddresses(v, text)
 	case strings.Contains(allow, ".."):
 		low, high, _ := strings.Cut(allow, "..")
-		if !within(v, low, high) {
+		if !inRange(v, low, high) {
 			return "allowed is " + low + " to " + high
 		}
 		return ""
@@ -126,14 +126,14 @@
 	return err == nil && n >= 0 && n <= 65535
 }
 
-func within(v reflect.Value, low, high string) bool {
+func inRange(v reflect.Value, low, high string) bool {
 	bound := reflect.New(v.Type()).Elem()
 	return compareWith(v, bound, low) >= 0 && compareWith(v, bound, high) <= 0
 }
 
 func compareWith(v, bound reflect.Value, text string) int {
-	set(bound, text)
-	x, y := number(v), number(bound)
+	setValue(bound, text)
+	x, y := toFloat(v), toFloat(bound)
 	switch {
 	case x < y:
 		return -1
@@ -143,7 +143,7 @@
 	return 0
 }
 
-func number(v reflect.Value) float64 {
+func toFloat(v reflect.Value) float64 {
 	switch {
 	case v.CanInt():
 		return float64(v.Int())
--- a/instance/intentfile/intentfile.go
+++ b/instance/intentfile/intentfile.go
@@ -1,5 +1,5 @@
-// Package intentfile reads an intent from an INI file: one section per entry,
-// such as [class.nurse-review] or [organisation.ward-3].
+// Package intentfile reads an intent from an INI file with one section per entry, such as
+// [class.nurse-review] or [organisation.ward-3].
 package intentfile
 
 import (
@@ -7,8 +7,8 @@
 	"github.com/comfreyladder/comfreyladder/instance/inifile"
 )
 
-// Load reads and validates an intent file. It returns *inifile.FaultsError for
-// faults of form and *intent.ProblemsError for faults of content.
+// Load reads and validates an intent file. It returns *inifile.FaultsError if sections, keys or
+// values are malformed, and *intent.ProblemsError if the decoded intent is invalid.
 func Load(path string) (*intent.Document, error) {
 	f, err := inifile.Load(path)
 	if err != nil {
@@ -17,7 +17,7 @@
 	return decode(f)
 }
 
-// Parse is Load for data that is already read.
+// Parse is like Load, but takes the file's content.
 func Parse(name string, data []byte) (*intent.Document, error) {
 	f, err := inifile.Parse(name, data)
 	if err != nil {
@@ -52,8 +52,8 @@
 	return d, nil
 }
 
-// defaultAttainment is the share of requests that must meet their targets when
-// a class does not say: the 95 in 100 that the sizes to design for ask.
+// defaultAttainment is the share of requests that must meet their targets if the class sets none:
+// the design target of 95 in 100.
 const defaultAttainment = 0.95
 
 func entries[T any](f *inifile.File, kind string, defaults func(*T, string)) []T {
--- a/instance/logline/logline.go
+++ b/instance/logline/logline.go
@@ -1,5 +1,4 @@
-// Package logline makes zerolog write one line of key=value pairs per event in
-// place of JSON.
+// Package logline makes zerolog write each event as a line of key=value pairs instead of JSON.
 package logline
 
 import (
@@ -28,8 +27,8 @@
 	return zerolog.New(&writer{out: w}).Level(l).With().Timestamp().Logger(), nil
 }
 
-// writer turns each JSON event into one key=value line, keeping the order of
-// the fields. The mutex keeps lines whole.
+// writer converts each JSON event to a line of key=value pairs in the same order. The mutex
+// prevents lines from interleaving.
 type writer struct {
 	mu  sync.Mutex
 	out io.Writer
@@ -54,16 +53,16 @@
 	dec := json.NewDecoder(bytes.NewReader(event))
 	dec.UseNumber()
 	if _, err := dec.Token(); err != nil {
-		return fault.Wrap(err, fault.Corrupt, "log event is no JSON object")
+		return fault.Wrap(err, fault.Corrupt, "log event is not a JSON object")
 	}
 	for dec.More() {
 		key, err := dec.Token()
 		if err != nil {
-			return fault.Wrap(err, fault.Corrupt, "log event key")
+			return fault.Wrap(err, fault.Corrupt, "read log event key")
 		}
 		var val json.RawMessage
 		if err := dec.Decode(&val); err != nil {
-			return fault.Wrap(err, fault.Corrupt, "log event value")
+			return fault.Wrap(err, fault.Corrupt, "read log event value")
 		}
 		if buf.Len() > 0 {
 			buf.WriteByte(' ')
@@ -71,13 +70,13 @@
 		name, _ := key.(string)
 		buf.WriteString(name)
 		buf.WriteByte('=')
-		buf.WriteString(text(name, val))
+		buf.WriteString(formatValue(name, val))
 	}
 	buf.WriteByte('\n')
 	return nil
 }
 
-func text(key string, raw json.RawMessage) string {
+func formatValue(key string, raw json.RawMessage) string {
 	var s string
 	if json.Unmarshal(raw, &s) != nil {
 		return quote(string(raw))
@@ -90,8 +89,8 @@
 	return quote(s)
 }
 
-// quote quotes values that would break a line or a pair: a caller could
-// otherwise forge log lines with a newline in a header.
+// quote quotes values that contain separators or control characters. Otherwise a caller could
+// forge log lines with a newline in a header.
 func quote(s string) string {
 	if s == "" || strings.ContainsAny(s, " =\"\\") || strings.ContainsFunc(s, func(r rune) bool { return r < ' ' || r == 0x7f }) {
 		return strconv.Quote(s)
--- a/instance/telemetry/telemetry.go
+++ b/instance/telemetry/telemetry.go
@@ -1,9 +1,8 @@
-// Package telemetry counts what the router does: histograms per class, counters
-// per organisation, attainment of service levels, goodput and wasted work.
+// Package telemetry collects the router's metrics: histograms per class, counters per
+// organisation, attainment of service levels, goodput and wasted work.
 //
-// The number of series is bounded by the configuration: labels are taken only
-// from classes and organisations of the current intent, and the series of those
-// that leave it are dropped.
+// The configuration limits the number of series: labels come only from classes and organisations
+// of the current intent, and the series of removed organisations are dropped.
 package telemetry
 
 import (
@@ -18,7 +17,7 @@
 	"github.com/comfreyladder/comfreyladder/core/intent"
 )
 
-// Cause says why generated tokens reached nobody.
+// Cause is the reason why generated tokens did not reach the caller.
 type Cause string
 
 // The causes of wasted work.
@@ -27,11 +26,11 @@
 	CauseDeadline     Cause = "deadline"
 	CauseStreamBroken Cause = "stream_broken"
 	CauseHedgeLost    Cause = "hedge_lost"
-	// CausePreempted means that the engine took the request out before its end.
+	// CausePreempted means that the engine preempted the request before it was complete.
 	CausePreempted Cause = "preempted"
 )
 
-// AttemptKind tells first attempts from second ones.
+// AttemptKind distinguishes first attempts from retries and hedges.
 type AttemptKind string
 
 // The kinds of attempts.
@@ -41,7 +40,7 @@
 	AttemptHedge AttemptKind = "hedge"
 )
 
-// HedgeOutcome says what became of a hedge.
+// HedgeOutcome is the result of a hedge.
 type HedgeOutcome string
 
 // The outcomes of hedges.
@@ -51,19 +50,20 @@
 	HedgeFailed HedgeOutcome = "failed"
 )
 
-// Observation is one finished request.
+// Observation describes a finished request.
 type Observation struct {
 	Organisation string
 	Class        *intent.Class
-	// Code is the failure's code, empty on success.
+	// Code is the error code, empty on success.
 	Code string
-	// Queue, FirstToken and Total count from the request's arrival; FirstToken
-	// is 0 when there was none.
+	// Queue, FirstToken and Total are measured from the request's arrival; FirstToken is 0 if
+	// there was no token.
 	Queue, FirstToken, Total time.Duration
 	Tokens                   int
 }
 
-// BetweenTokens returns the mean gap between the tokens of the answer.
+// BetweenTokens returns the mean interval between the tokens of the answer, or 0 for fewer than
+// two tokens.
 func (o *Observation) BetweenTokens() time.Duration {
 	if o.Tokens < 2 {
 		return 0
@@ -75,22 +75,22 @@
 func (o *Observation) Attained() bool {
 	c := o.Class
 	return o.Code == "" &&
-		within(o.FirstToken, c.FirstToken) &&
-		within(o.BetweenTokens(), c.BetweenTokens) &&
-		within(o.Total, c.Total)
+		meetsTarget(o.FirstToken, c.FirstToken) &&
+		meetsTarget(o.BetweenTokens(), c.BetweenTokens) &&
+		meetsTarget(o.Total, c.Total)
 }
 
-func within(d, target time.Duration) bool { return target == 0 || d <= target }
+func meetsTarget(d, target time.Duration) bool { return target == 0 || d <= target }
 
 // Service holds the process's metrics.
 type Service struct {
-	set   *metrics.Set
-	mu    sync.Mutex
-	known map[string]bool
+	set           *metrics.Set
+	mu            sync.Mutex
+	organisations map[string]bool
 }
 
 // New returns a service without observations.
-func New() *Service { return &Service{set: metrics.NewSet(), known: map[string]bool{}} }
+func New() *Service { return &Service{set: metrics.NewSet(), organisations: map[string]bool{}} }
 
 // Start implements kernel.Service.
 func (s *Service) Start(context.Context) error { return nil }
@@ -107,18 +107,18 @@
 // Observe records a finished request.
 func (s *Service) Observe(o *Observation) {
 	class := o.Class.Name
-	s.hist("queue_wait_seconds", class).Update(o.Queue.Seconds())
-	s.hist("total_seconds", class).Update(o.Total.Seconds())
+	s.histogram("queue_wait_seconds", class).Update(o.Queue.Seconds())
+	s.histogram("total_seconds", class).Update(o.Total.Seconds())
 	if o.FirstToken > 0 {
-		s.hist("first_token_seconds", class).Update(o.FirstToken.Seconds())
+		s.histogram("first_token_seconds", class).Update(o.FirstToken.Seconds())
 	}
 	if gap := o.BetweenTokens(); gap > 0 {
-		s.hist("between_tokens_seconds", class).Update(gap.Seconds())
+		s.histogram("between_tokens_seconds", class).Update(gap.Seconds())
 	}
-	s.count(o, class)
+	s.countRequest(o, class)
 }
 
-func (s *Service) count(o *Observation, class string) {
+func (s *Service) countRequest(o *Observation, class string) {
 	s.counter(fmt.Sprintf(`requests_total{class=%q,code=%q}`, class, o.Code)).Inc()
 	org := fmt.Sprintf(`organisation=%q`, o.Organisation)
 	s.counter(`organisation_requests_total{` + org + `}`).Inc()
@@ -136,29 +136,29 @@
 	s.counter(fmt.Sprintf(`attempts_total{class=%q,kind=%q}`, class, kind)).Inc()
 }
 
-// RecordResume counts a stream that broke and was continued.
+// RecordResume counts a stream that was resumed after it broke.
 func (s *Service) RecordResume(class string) {
 	s.counter(fmt.Sprintf(`resumed_total{class=%q}`, class)).Inc()
 }
 
-// RecordHedge counts the end of a hedge.
+// RecordHedge counts a finished hedge by its outcome.
 func (s *Service) RecordHedge(class string, o HedgeOutcome) {
 	s.counter(fmt.Sprintf(`hedges_total{class=%q,outcome=%q}`, class, o)).Inc()
 }
 
-// RecordWaste counts an attempt that was of no use, with the tokens that it generated
-// and that reached no caller.
+// RecordWaste counts an attempt whose work was wasted, and the tokens that it generated but that
+// did not reach the caller.
 func (s *Service) RecordWaste(class string, cause Cause, tokens int) {
 	s.counter(fmt.Sprintf(`wasted_attempts_total{class=%q,cause=%q}`, class, cause)).Inc()
 	s.counter(fmt.Sprintf(`wasted_tokens_total{class=%q,cause=%q}`, class, cause)).Add(tokens)
 }
 
-// RecordRefused counts a request that ended before it had a class, by failure code.
+// RecordRefused counts a request that failed before its class was known, by error code.
 func (s *Service) RecordRefused(code string) {
 	s.counter(fmt.Sprintf(`refused_total{code=%q}`, code)).Inc()
 }
 
-// RetainOrganisations drops the series of organisations that are not in the document.
+// RetainOrganisations drops the series of organisations that are no longer in the document.
 func (s *Service) RetainOrganisations(doc *intent.Document) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,13 +166,13 @@
 	for _, o := range doc.Organisations {
 		next[o.Name] = true
 	}
-	for name := range s.known {
+	for name := range s.organisations {
 		if !next[name] {
 			s.set.UnregisterMetric(fmt.Sprintf(`organisation_requests_total{organisation=%q}`, name))
 			s.set.UnregisterMetric(fmt.Sprintf(`organisation_tokens_total{organisation=%q}`, name))
 		}
 	}
-	s.known = next
+	s.organisations = next
 }
 
 // Write writes all series in the Prometheus text format.
@@ -181,7 +181,7 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-func (s *Service) hist(name, class string) *metrics.Histogram {
+func (s *Service) histogram(name, class string) *metrics.Histogram {
 	return s.set.GetOrCreateHistogram(fmt.Sprintf(`%s{class=%q}`, name, class))
 }
 
