--- a/instance/config/config_test.go
+++ b/instance/config/config_test.go
@@ -40,7 +40,7 @@
 func TestKeys(t *testing.T) {
 	g := NewWithT(t)
 	v := config.NewView(1, document(0))
-	day := func(s string) time.Time {
+	parseTime := func(s string) time.Time {
 		d, err := time.Parse(time.DateTime, s)
 		g.Expect(err).NotTo(HaveOccurred())
 		return d
@@ -50,11 +50,11 @@
 		at   time.Time
 		code fault.Code
 	}{
-		{"k1", day("2030-01-01 00:00:00"), ""},
-		{"k2", day("2027-01-31 23:59:59"), ""},
-		{"k2", day("2027-02-01 00:00:01"), fault.Unauthenticated},
-		{"other", day("2027-01-01 00:00:00"), fault.Unauthenticated},
-		{"", day("2027-01-01 00:00:00"), fault.Unauthenticated},
+		{"k1", parseTime("2030-01-01 00:00:00"), ""},
+		{"k2", parseTime("2027-01-31 23:59:59"), ""},
+		{"k2", parseTime("2027-02-01 00:00:01"), fault.Unauthenticated},
+		{"other", parseTime("2027-01-01 00:00:00"), fault.Unauthenticated},
+		{"", parseTime("2027-01-01 00:00:00"), fault.Unauthenticated},
 	} {
 		_, err := v.Organisation(c.key, c.at)
 		g.Expect(fault.CodeOf(err)).To(Equal(c.code), c.key)
--- a/instance/inifile/describe.go
+++ b/instance/inifile/describe.go
@@ -18,13 +18,13 @@
 		if key == "" {
 			continue
 		}
-		fmt.Fprintf(w, "; %s\n", kindOf(field))
+		fmt.Fprintf(w, "; %s\n", describeType(field))
 		fmt.Fprintf(w, "%s = %s\n", key, field.Tag.Get("default"))
 	}
 	fmt.Fprintln(w)
 }
 
-func kindOf(field reflect.StructField) string {
+func describeType(field reflect.StructField) string {
 	kind := field.Type.String()
 	switch {
 	case field.Type == durationType:
--- a/instance/inifile/inifile.go
+++ b/instance/inifile/inifile.go
@@ -144,12 +144,12 @@
 		}
 		return
 	}
-	if why := setValue(v, text); why != "" {
-		f.AddFault(section, key, text, why)
+	if expected := setValue(v, text); expected != "" {
+		f.AddFault(section, key, text, expected)
 		return
 	}
-	if why := validate(v, text, strings.TrimPrefix(strings.TrimPrefix(allow, "required"), " ")); why != "" {
-		f.AddFault(section, key, text, why)
+	if expected := validate(v, text, strings.TrimPrefix(strings.TrimPrefix(allow, "required"), " ")); expected != "" {
+		f.AddFault(section, key, text, expected)
 	}
 }
 
--- a/instance/intentfile/intentfile.go
+++ b/instance/intentfile/intentfile.go
@@ -28,19 +28,19 @@
 
 func decode(f *inifile.File) (*intent.Document, error) {
 	d := &intent.Document{}
-	d.Classes = entries(f, "class", func(v *intent.Class, name string) {
+	d.Classes = decodeEntries(f, "class", func(v *intent.Class, name string) {
 		v.Name = name
 		v.Attainment = defaultAttainment
 	})
-	d.Organisations = entries(f, "organisation", func(v *intent.Organisation, name string) {
+	d.Organisations = decodeEntries(f, "organisation", func(v *intent.Organisation, name string) {
 		v.Name = name
 		v.Weight = 1
 		v.ServeWhenCutOff = true
 	})
-	d.Upstreams = entries(f, "upstream", func(v *intent.Upstream, name string) { v.Name = name })
-	d.Models = entries(f, "model", func(v *intent.Model, name string) { v.Name = name })
-	d.Services = entries(f, "service", func(v *intent.Service, name string) { v.Name = name })
-	d.Operators = entries(f, "operator", func(v *intent.Operator, name string) { v.Name = name })
+	d.Upstreams = decodeEntries(f, "upstream", func(v *intent.Upstream, name string) { v.Name = name })
+	d.Models = decodeEntries(f, "model", func(v *intent.Model, name string) { v.Name = name })
+	d.Services = decodeEntries(f, "service", func(v *intent.Service, name string) { v.Name = name })
+	d.Operators = decodeEntries(f, "operator", func(v *intent.Operator, name string) { v.Name = name })
 	f.Decode("weights", &d.Weights)
 	if err := f.Err(); err != nil {
 		return nil, err
@@ -56,7 +56,7 @@
 // the design target of 95 in 100.
 const defaultAttainment = 0.95
 
-func entries[T any](f *inifile.File, kind string, defaults func(*T, string)) []T {
+func decodeEntries[T any](f *inifile.File, kind string, defaults func(*T, string)) []T {
 	var list []T
 	for _, name := range f.SectionNames(kind) {
 		var v T
--- a/instance/telemetry/telemetry.go
+++ b/instance/telemetry/telemetry.go
@@ -112,8 +112,8 @@
 	if o.FirstToken > 0 {
 		s.histogram("first_token_seconds", class).Update(o.FirstToken.Seconds())
 	}
-	if gap := o.BetweenTokens(); gap > 0 {
-		s.histogram("between_tokens_seconds", class).Update(gap.Seconds())
+	if interval := o.BetweenTokens(); interval > 0 {
+		s.histogram("between_tokens_seconds", class).Update(interval.Seconds())
 	}
 	s.countRequest(o, class)
 }
