--- a/operator/cmd/comfreyladder/main.go
+++ b/operator/cmd/comfreyladder/main.go
@@ -1,4 +1,4 @@
-// Command comfreyladder is the operators' command.
+// Command comfreyladder is the command-line tool for operators.
 package main
 
 import (
--- a/operator/commands/show/duties.go
+++ b/operator/commands/show/duties.go
@@ -12,7 +12,8 @@
 	"github.com/comfreyladder/comfreyladder/instance/duty"
 )
 
-// Duties prints how the duties stand.
+// Duties prints the status of the duties: their holder, the usage windows and the orders of
+// upstreams.
 func Duties(w io.Writer, v *duty.View) {
 	fmt.Fprintf(w, "%s: the duties are held by %s.", v.Instance, orNone(v.Holder))
 	if v.Number > 0 {
@@ -29,7 +30,7 @@
 	fmt.Fprintln(t, "WINDOW\tBEGINS\tREPORT\tREQUESTS\tORGANISATIONS\tINSTANCES\tNOT HEARD\tTOO LATE")
 	for i := range v.Windows {
 		x := &v.Windows[i]
-		fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%d\t%d\t%d\t%d\n", x.Window, x.StartsAt.Format(time.RFC3339), state(x), x.Requests,
+		fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%d\t%d\t%d\t%d\n", x.Window, x.StartsAt.Format(time.RFC3339), windowState(x), x.Requests,
 			len(x.Organisations), x.Instances, x.Missing, x.Late)
 	}
 	if len(v.Orders) > 0 {
@@ -45,8 +46,8 @@
 	_ = t.Flush()
 }
 
-// state tells how a report stands.
-func state(x *duty.WindowView) string {
+// windowState returns the state of a window's report.
+func windowState(x *duty.WindowView) string {
 	if x.Overdue {
 		return "OVERDUE"
 	}
@@ -55,7 +56,7 @@
 
 // Window prints the report of one window.
 func Window(w io.Writer, x *duty.WindowView) {
-	fmt.Fprintf(w, "window %d, from %s: %s, %d requests. %d instances told of it", x.Window, x.StartsAt.Format(time.RFC3339), state(x), x.Requests, x.Instances)
+	fmt.Fprintf(w, "window %d, from %s: %s, %d requests. %d instances told of it", x.Window, x.StartsAt.Format(time.RFC3339), windowState(x), x.Requests, x.Instances)
 	if x.Missing > 0 || x.Late > 0 {
 		fmt.Fprintf(w, "; %d had not told all when it was closed, and %d requests were told after that", x.Missing, x.Late)
 	}
--- a/operator/commands/show/quarantine.go
+++ b/operator/commands/show/quarantine.go
@@ -9,7 +9,7 @@
 	"github.com/comfreyladder/comfreyladder/instance/quarantine"
 )
 
-// Quarantine prints which requests are kept from upstreams, or suspected.
+// Quarantine prints the quarantined and suspected requests.
 func Quarantine(w io.Writer, v *quarantine.View) {
 	if len(v.Requests) == 0 {
 		fmt.Fprintln(w, "No request is quarantined or suspected.")
--- a/operator/commands/show/show.go
+++ b/operator/commands/show/show.go
@@ -1,4 +1,4 @@
-// Package show prints what the administration API answers, for people.
+// Package show formats responses of the administration API as text.
 package show
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/comfreyladder/comfreyladder/instance/admin"
 )
 
-// Plan prints a plan for people.
+// Plan prints the changes that a plan would make.
 func Plan(w io.Writer, p *admin.Plan) {
 	if len(p.Changes) == 0 {
 		fmt.Fprintf(w, "Nothing would change; revision %d is in force.\n", p.Base)
@@ -28,7 +28,7 @@
 	fmt.Fprintf(w, "Put it in force with: comfreyladder confirm --base %d --number N FILE\n", p.Base)
 }
 
-// Status prints a status for people.
+// Status prints the status of the system as seen by one instance.
 func Status(w io.Writer, s *admin.Status) {
 	lease := "known to be the newest"
 	if !s.LeaseValid {
@@ -53,12 +53,12 @@
 	for _, u := range s.Upstreams {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%d ms ago\t%s\n", u.Name, u.Kind, u.State, u.InFlight, u.Slots, u.AgeMS, strings.Join(u.Models, " "))
 	}
-	orders(t, &s.Orders)
+	printOrders(t, &s.Orders)
 	_ = t.Flush()
 }
 
-// orders prints what the engines are ordered to hold.
-func orders(w io.Writer, o *admin.OrdersStatus) {
+// printOrders prints the models that the engines are ordered to hold.
+func printOrders(w io.Writer, o *admin.OrdersStatus) {
 	if len(o.Models) == 0 {
 		fmt.Fprintf(w, "\nEngines are ordered by: %s. How they stand is not known yet, or the intent names no models.\n", orNone(o.Issuer))
 		return
@@ -77,11 +77,11 @@
 	}
 	fmt.Fprintln(w, "\nENGINE\tSTANDING\tFENCE\tWANTED")
 	for _, e := range o.Engines {
-		seen := strconv.FormatUint(e.Fence, 10)
+		fence := strconv.FormatUint(e.Fence, 10)
 		if !e.ChecksFence {
-			seen += " (ignores it)"
+			fence += " (ignores it)"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", e.Name, e.Condition, seen, strings.Join(e.Wanted, " "))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", e.Name, e.Condition, fence, strings.Join(e.Wanted, " "))
 	}
 }
 
@@ -92,7 +92,7 @@
 	return s
 }
 
-// Explanation prints what became of a request for people.
+// Explanation prints the outcome and the events of a request.
 func Explanation(w io.Writer, e *admin.Explanation) {
 	outcome := e.Outcome
 	if outcome == "" {
--- a/operator/samples/samples.go
+++ b/operator/samples/samples.go
@@ -1,5 +1,5 @@
-// Package samples holds the commented settings and intents of the two first
-// users' deployments.
+// Package samples embeds commented sample settings and intents: the deployments of the first two
+// users.
 package samples
 
 import (
@@ -13,11 +13,11 @@
 //go:embed bagmati lanyang
 var files embed.FS
 
-// Users lists whose samples there are.
+// Users returns the users that have samples.
 func Users() []string { return []string{"bagmati", "lanyang"} }
 
-// The placeholders of key digests in the sample intents: organisations count
-// from 1 in their order, operators and upstream rules from these numbers.
+// Numbers of the placeholders for key digests in the sample intents. Organisations are numbered
+// from 1 in their order, operators and upstream rules from these values.
 const (
 	FirstOperator = 800
 	FirstUpstream = 901
@@ -32,7 +32,7 @@
 	return string(data), nil
 }
 
-// WithKey replaces placeholder number n of a sample intent by a key's digest.
+// WithKey replaces placeholder number n in a sample intent with the digest of a key.
 func WithKey(intent string, n int, digest string) string {
 	return strings.ReplaceAll(intent, fmt.Sprintf("%064x", n), digest)
 }
