--- a/instance/inifile/describe.go
+++ b/instance/inifile/describe.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Describe writes the keys of a section with their defaults and what is allowed,
-// as a file that could be loaded.
+// Describe writes the keys of a section with their types, allowed values and defaults, as INI that
+// can be loaded.
 func Describe(w io.Writer, section string, of any) {
 	t := reflect.TypeOf(of)
 	fmt.Fprintf(w, "[%s]\n", section)
@@ -18,13 +18,13 @@
 		if key == "" {
 			continue
 		}
-		fmt.Fprintf(w, "; %s\n", kindOf(field))
+		fmt.Fprintf(w, "; %s\n", describeType(field))
 		fmt.Fprintf(w, "%s = %s\n", key, field.Tag.Get("default"))
 	}
 	fmt.Fprintln(w)
 }
 
-func kindOf(field reflect.StructField) string {
+func describeType(field reflect.StructField) string {
 	kind := field.Type.String()
 	switch {
 	case field.Type == durationType:
--- a/instance/intentfile/intentfile.go
+++ b/instance/intentfile/intentfile.go
@@ -1,5 +1,5 @@
-// Package intentfile reads an intent from an INI file: one section per entry,
-// such as [class.nurse-review] or [organisation.ward-3].
+// Package intentfile reads an intent from an INI file with one section per entry, such as
+// [class.nurse-review] or [organisation.ward-3].
 package intentfile
 
 import (
@@ -7,8 +7,8 @@
 	"github.com/comfreyladder/comfreyladder/instance/inifile"
 )
 
-// Load reads and validates an intent file. It returns *inifile.FaultsError for
-// faults of form and *intent.ProblemsError for faults of content.
+// Load reads and validates an intent file. It returns *inifile.FaultsError if sections, keys or
+// values are malformed, and *intent.ProblemsError if the decoded intent is invalid.
 func Load(path string) (*intent.Document, error) {
 	f, err := inifile.Load(path)
 	if err != nil {
@@ -17,7 +17,7 @@
 	return decode(f)
 }
 
-// Parse is Load for data that is already read.
+// Parse is like Load, but takes the file's content.
 func Parse(name string, data []byte) (*intent.Document, error) {
 	f, err := inifile.Parse(name, data)
 	if err != nil {
@@ -28,19 +28,19 @@
 
 func decode(f *inifile.File) (*intent.Document, error) {
 	d := &intent.Document{}
-	d.Classes = entries(f, "class", func(v *intent.Class, name string) {
+	d.Classes = decodeEntries(f, "class", func(v *intent.Class, name string) {
 		v.Name = name
 		v.Attainment = defaultAttainment
 	})
-	d.Organisations = entries(f, "organisation", func(v *intent.Organisation, name string) {
+	d.Organisations = decodeEntries(f, "organisation", func(v *intent.Organisation, name string) {
 		v.Name = name
 		v.Weight = 1
 		v.ServeWhenCutOff = true
 	})
-	d.Upstreams = entries(f, "upstream", func(v *intent.Upstream, name string) { v.Name = name })
-	d.Models = entries(f, "model", func(v *intent.Model, name string) { v.Name = name })
-	d.Services = entries(f, "service", func(v *intent.Service, name string) { v.Name = name })
-	d.Operators = entries(f, "operator", func(v *intent.Operator, name string) { v.Name = name })
+	d.Upstreams = decodeEntries(f, "upstream", func(v *intent.Upstream, name string) { v.Name = name })
+	d.Models = decodeEntries(f, "model", func(v *intent.Model, name string) { v.Name = name })
+	d.Services = decodeEntries(f, "service", func(v *intent.Service, name string) { v.Name = name })
+	d.Operators = decodeEntries(f, "operator", func(v *intent.Operator, name string) { v.Name = name })
 	f.Decode("weights", &d.Weights)
 	if err := f.Err(); err != nil {
 		return nil, err
@@ -52,13 +52,13 @@
 	return d, nil
 }
 
-// defaultAttainment is the share of requests that must meet their targets when
-// a class does not say: the 95 in 100 that the sizes to design for ask.
+// defaultAttainment is the share of requests that must meet their targets if the class sets none:
+// the design target of 95 in 100.
 const defaultAttainment = 0.95
 
-func entries[T any](f *inifile.File, kind string, defaults func(*T, string)) []T {
+func decodeEntries[T any](f *inifile.File, kind string, defaults func(*T, string)) []T {
 	var list []T
-	for _, name := range f.Names(kind) {
+	for _, name := range f.SectionNames(kind) {
 		var v T
 		defaults(&v, name)
 		f.Decode(kind+"."+name, &v)
