--- a/instance/serving/faults_test.go
+++ b/instance/serving/faults_test.go
@@ -33,7 +33,7 @@
 		n.refuse(true)
 	}
 	for _, name := range g.names {
-		g.Expect(g.put(9, name)).To(BeFalse(), "nobody can keep it")
+		g.Expect(g.put(9, name)).To(BeFalse(), "no member can store it")
 	}
 	for _, n := range g.instances {
 		n.refuse(false)
@@ -41,7 +41,7 @@
 	g.acknowledge(10, g.names...)
 	for _, n := range g.instances {
 		g.Eventually(func() uint64 { return g.read(n.name) }).Should(Equal(uint64(10)))
-		g.Expect(n.fatal).To(BeEmpty(), "no process ends for its disk")
+		g.Expect(n.fatal).To(BeEmpty(), "no process ends because of its disk")
 	}
 }
 
--- a/instance/serving/limits_test.go
+++ b/instance/serving/limits_test.go
@@ -23,7 +23,7 @@
 	g := newGroup(t, 3)
 	g.Expect(g.instances["m0"].serving.Announce(t.Context(), state.Upstream{ID: "a", Service: "s", Address: "x:1", Slots: 4, Sequence: 1, State: state.Ready})).To(Succeed())
 	firstIndex := g.ask("m0", serving.WatchRequest{}).Changes.Upstreams[0].FirstIndex
-	g.Expect(g.limitsAt("m1")).To(BeNil(), "without a limit nothing is told")
+	g.Expect(g.limitsAt("m1")).To(BeNil(), "without a limit nothing is reported")
 	g.limitsAt("m0", ratelimit.Statement{Upstream: firstIndex, PerSecond: 2.5})
 	g.Eventually(func() []ratelimit.Statement { return g.limitsAt("m1") }).Should(HaveLen(1))
 	g.Expect(g.limitsAt("m1")[0].PerSecond).To(Equal(2.5))
@@ -55,5 +55,5 @@
 	needBefore := need()
 	begun := g.ask("m0", serving.WatchRequest{}).Changes.Upstreams[0].FirstIndex
 	after := need(ratelimit.Statement{Upstream: begun, PerSecond: 1})
-	g.Expect(after-needBefore).To(BeNumerically("~", 0.9, 0.1), "one upstream takes a tenth or less of its like")
+	g.Expect(after-needBefore).To(BeNumerically("~", 0.9, 0.1), "one upstream accepts a tenth or less of what its peers accept")
 }
--- a/instance/serving/loads.go
+++ b/instance/serving/loads.go
@@ -27,7 +27,7 @@
 // each response was most of a member's work with 300 instances and 3,000 upstreams.
 const totalCacheTime = 50 * time.Millisecond
 
-// PromptPlacement records that the shared parts of a prompt, identified by their hash, were
+// PromptPlacement records that the shared segments of a prompt, identified by their hash, were
 // sent to an upstream, which caches them from then on.
 type PromptPlacement struct {
 	wire.Array
--- a/instance/serving/loads_test.go
+++ b/instance/serving/loads_test.go
@@ -63,7 +63,7 @@
 	g.Expect(since(0, "a")).To(Equal([]PromptPlacement{{Prompt: 3, FirstIndex: 1}}))
 	g.Expect(since(0, "c")).To(HaveLen(3))
 	g.Expect(since(l.next, "c")).To(BeEmpty())
-	g.Expect(since(l.next+99, "c")).To(BeEmpty(), "a number of another member's log")
+	g.Expect(since(l.next+99, "c")).To(BeEmpty(), "the number is from another member's log")
 	for range 3 * maxPlacements {
 		l.add("a", []PromptPlacement{{Prompt: 9, FirstIndex: 3}})
 	}
--- a/instance/serving/observed_test.go
+++ b/instance/serving/observed_test.go
@@ -31,6 +31,6 @@
 	all, err := told.Others(&Work{})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(all.HasObserved).To(BeTrue())
-	g.Expect(all.Observed).To(Equal([]Observation{{FirstIndex: bad, Answers: 400, Failures: 300}}), "two answers of the idle one tell nothing")
-	g.Expect(s.observed.sum(clock.Now().Add(2*maxObservedAge), true, 1)).To(BeEmpty(), "what nobody repeats fades")
+	g.Expect(all.Observed).To(Equal([]Observation{{FirstIndex: bad, Answers: 400, Failures: 300}}), "two answers of the idle one are too few to report")
+	g.Expect(s.observed.sum(clock.Now().Add(2*maxObservedAge), true, 1)).To(BeEmpty(), "observations expire unless they are reported again")
 }
--- a/instance/serving/watch.go
+++ b/instance/serving/watch.go
@@ -124,7 +124,7 @@
 
 func (s *Service) awaitChange(ctx context.Context, g *consensus.Service, q *WatchRequest) {
 	s.mu.Lock()
-	news := s.changed
+	changed := s.changed
 	s.mu.Unlock()
 	index, quarantined := stateIndexes(g)
 	// An instance without a quarantine list gets the first entry with the next change.
@@ -138,7 +138,7 @@
 	t := time.NewTimer(min(time.Duration(q.MaxWaitMS)*time.Millisecond, maxWait))
 	defer t.Stop()
 	select {
-	case <-news:
+	case <-changed:
 		clock.Sleep(ctx, changeBatchDelay)
 	case <-t.C:
 	case <-ctx.Done():
--- a/instance/serving/work.go
+++ b/instance/serving/work.go
@@ -7,7 +7,7 @@
 	"github.com/comfreyladder/comfreyladder/core/wire"
 )
 
-// Load is the work in progress of one or several instances at an upstream. It is counted by
+// Load is the work in flight of one or several instances at an upstream. It is counted by
 // the instances: reports of the upstreams lag and cost, while what was sent to them is known
 // at once.
 type Load struct {
