--- a/instance/duty/duty.go
+++ b/instance/duty/duty.go
@@ -128,7 +128,7 @@
 	cancel context.CancelFunc
 	calls  sync.WaitGroup
 	status atomic.Pointer[Status]
-	// draining is set when the lease is to be released for good, released once it is.
+	// draining is set when the lease is to be released and not acquired again, released once that is done.
 	draining, released, started atomic.Bool
 
 	// The fields below are owned by the loop.
--- a/instance/duty/duty_test.go
+++ b/instance/duty/duty_test.go
@@ -47,7 +47,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	w.t.Fatal("nobody holds the duties")
+	w.t.Fatal("no member holds the duties")
 	return nil
 }
 
@@ -244,7 +244,7 @@
 			})
 			time.Sleep(10 * time.Second)
 			Expect(w.holder().name).To(Equal(left))
-			Expect(w.holder().Status().Number).To(Equal(number+1), "who can't reach the provider doesn't try")
+			Expect(w.holder().Status().Number).To(Equal(number+1), "a member that cannot reach the provider does not try")
 		}
 		time.Sleep(15 * time.Second)
 		w.checkReported(begun)
@@ -318,7 +318,7 @@
 }
 
 // The provider takes 2.5 seconds for an answer, then refuses calls for their rate, then loses
-// answers: reports must not be later than the provider makes them.
+// answers: reports may be late only by as much as the provider delays them.
 func TestSlowAndOverloadedProvider(t *testing.T) {
 	simulate(t, func(w *simulation) {
 		begun := time.Now()
@@ -331,7 +331,7 @@
 		time.Sleep(30 * time.Second)
 		w.checkReported(begun)
 		Expect(len(w.provider.arrivals())).To(BeNumerically("<", 40), "calls cost")
-		Expect(w.holder().Status().Number).To(Equal(uint64(1)), "another holder would fare no better")
+		Expect(w.holder().Status().Number).To(Equal(uint64(1)), "another holder would have the same faults")
 	})
 }
 
--- a/instance/duty/fleet_test.go
+++ b/instance/duty/fleet_test.go
@@ -183,7 +183,7 @@
 		Expect(refused).To(BeZero())
 		orders := w.holder().Service.View().Orders
 		Expect(orders).NotTo(BeEmpty())
-		Expect(orders[1].Wanted).To(BeNumerically(">=", 29), "what would be ordered is told")
+		Expect(orders[1].Wanted).To(BeNumerically(">=", 29), "the view shows what would be ordered")
 		w.checkReported(begun)
 	})
 }
--- a/instance/duty/scale.go
+++ b/instance/duty/scale.go
@@ -80,8 +80,8 @@
 }
 
 // While demand falls slowly, orders that remove one upstream at a time would cost a call each and
-// save next to nothing. Orders therefore remove at least minReduction upstreams, or fewer after
-// reductionDelay.
+// save next to nothing. Orders therefore remove at least minReduction upstreams, or all of them; fewer
+// only after reductionDelay.
 const (
 	minReduction   = 3
 	reductionDelay = 5 * time.Second
--- a/instance/duty/usage.go
+++ b/instance/duty/usage.go
@@ -63,8 +63,8 @@
 	s.sendReports(now, g, open)
 }
 
-// mayClose reports whether a window may be closed: it has ended, and either all instances have sent
-// their counts or it is too late to wait for them.
+// mayClose reports whether a window may be closed: the agreed time is settled, the window has ended,
+// and either all instances have sent their counts or it is too late to wait for them.
 func (s *Service) mayClose(window int64, complete bool) bool {
 	at, settled := s.cfg.Agreed()
 	if !settled {
@@ -79,8 +79,8 @@
 	s.commit(g, &usagestate.Command{Close: &window}, func() { s.usage.closing = false })
 }
 
-// commit proposes a command without blocking the loop. If it fails, the state is unchanged and the
-// next tick tries again.
+// commit proposes a command without blocking the loop. A failed one may have been committed after all:
+// the state shows whether it was, and the next tick starts from there.
 func (s *Service) commit(g Group, c *usagestate.Command, done func()) {
 	s.calls.Go(func() {
 		ctx, cancel := context.WithTimeout(s.ctx, s.cfg.CallTimeout)
