--- a/instance/quarantine/recorder.go
+++ b/instance/quarantine/recorder.go
@@ -1,7 +1,8 @@
 // Package quarantine carries crash reports of the instances to the replicated list of quarantined
 // requests, and evaluates them there (core/quarantine, core/control/quarantine).
 //
-// Instances report a crash at once and report nothing else, so that days without a crash cost nothing.
+// Instances report each crash at once, and besides only its retraction and successes of requests that
+// are in the list, so that days without a crash cost nothing.
 // The quarantine list returns to them with the serving state (package follow).
 package quarantine
 
@@ -65,11 +66,11 @@
 	// trackingTime is how long after a lost connection successes of large requests are recorded.
 	trackingTime = time.Minute
 	// extraCrashesIfCutOff is the number of additional crashes that an instance requires while it cannot
-	// reach the control group: requests in progress at other instances might explain some of the crashes.
+	// reach the control group: requests in flight from other instances might explain some of the crashes.
 	extraCrashesIfCutOff = 1
 )
 
-// Recorder reports to the control group which requests were in progress at the crashes that this
+// Recorder reports to the control group which requests were in flight at the crashes that this
 // instance observed. It is safe for concurrent use.
 type Recorder struct {
 	cfg    RecorderConfig
@@ -156,7 +157,7 @@
 }
 
 // RecordCrash reports that an upstream crashed at a time of the instance's clock, with the requests in
-// progress there. Requests that recently succeeded at this instance are left out.
+// flight there. Requests that recently succeeded at this instance are left out.
 func (r *Recorder) RecordCrash(upstream uint64, at time.Time, underWay []quarantine.Attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/instance/quarantine/recorder_test.go
+++ b/instance/quarantine/recorder_test.go
@@ -88,7 +88,7 @@
 	Expect(c.Upstream).To(Equal(uint64(7)))
 	Expect(c.AgeMS).To(BeNumerically("~", 1000, 100))
 	Expect(c.UnderWay).To(Equal(underWay("x")))
-	Consistently(m.received, 300*time.Millisecond).Should(HaveLen(1), "and nothing without a crash")
+	Consistently(m.received, 300*time.Millisecond).Should(HaveLen(1), "nothing is sent without a crash")
 }
 
 // Guards against reports that are lost because the first member failed.
@@ -142,7 +142,7 @@
 	r.TrackLarge()
 	Expect(r.TracksLarge()).To(BeTrue())
 	r.RecordSuccess(fingerprintOf("status"))
-	Consistently(m.received, 50*time.Millisecond).Should(BeEmpty(), "nobody suspects it")
+	Consistently(m.received, 50*time.Millisecond).Should(BeEmpty(), "it is not suspected")
 	r.RecordCrash(1, clock.Now(), underWay("status", "poison"))
 	Eventually(m.received, time.Second).Should(HaveLen(1))
 	Expect(m.received()[0].Crashes[0].UnderWay).To(Equal(underWay("poison")))
@@ -164,7 +164,7 @@
 	}
 	r.Update(follow.NewQuarantine(1, nil, []corequarantine.Fingerprint{fingerprintOf("0"), fingerprintOf(fmt.Sprint(many - 1))}))
 	Eventually(m.received, time.Second).Should(HaveLen(1))
-	Expect(m.received()[0].Succeeded).To(HaveLen(1), "the oldest is forgotten")
+	Expect(m.received()[0].Succeeded).To(HaveLen(1), "the oldest is dropped")
 	Expect(m.received()[0].Succeeded[0].Fingerprint).To(Equal(fingerprintOf(fmt.Sprint(many - 1))))
 }
 
@@ -181,7 +181,7 @@
 				Expect(r.Suspects(fingerprintOf("poison"))).To(BeTrue())
 			}
 		}
-		Expect(r.Blocks(fingerprintOf("poison"))).To(Equal(alone), "with a control group, that decides")
+		Expect(r.Blocks(fingerprintOf("poison"))).To(Equal(alone), "the control group decides while it can be reached")
 		Expect(r.Suspects(fingerprintOf("0"))).To(BeFalse())
 		r.RecordSuccess(fingerprintOf("poison"))
 		Expect(r.Blocks(fingerprintOf("poison"))).To(BeFalse())
--- a/instance/quarantine/service.go
+++ b/instance/quarantine/service.go
@@ -259,6 +259,6 @@
 	}
 	for _, c := range list {
 		s.cfg.Log.Warn().Str("event", c.event).Str("fingerprint", c.Fingerprint.String()).Str("organisation", c.Organisation).
-			Str("target", c.Target).Int("crashes", c.Crashes).Msg("request was in progress at upstream crashes")
+			Str("target", c.Target).Int("crashes", c.Crashes).Msg("request was in flight at upstream crashes")
 	}
 }
--- a/instance/quarantine/service_test.go
+++ b/instance/quarantine/service_test.go
@@ -123,9 +123,9 @@
 	Eventually(m.state("poison"), timeout).Should(Equal(quarantine.StateQuarantined))
 	for _, event := range []string{"request_suspected", "request_quarantined"} {
 		Eventually(m.log.String, timeout).Should(ContainSubstring(event))
-		Expect(strings.Count(m.log.String(), event)).To(Equal(1), "one line for each")
+		Expect(strings.Count(m.log.String(), event)).To(Equal(1), "one log line for each")
 	}
-	Expect(m.trial("poison")).To(BeFalse(), "not at once")
+	Expect(m.trial("poison")).To(BeFalse(), "not immediately")
 	Eventually(func() bool { return m.trial("poison") }, timeout, 50*time.Millisecond).Should(BeTrue())
 	Expect(m.trial("poison")).To(BeFalse())
 
--- a/instance/quarantine/view.go
+++ b/instance/quarantine/view.go
@@ -28,7 +28,7 @@
 	State        string `json:"state"`
 	Organisation string `json:"organisation,omitempty"`
 	Target       string `json:"target,omitempty"`
-	// Crashes is the number of crashes at which the request was in progress.
+	// Crashes is the number of crashes at which the request was in flight.
 	Crashes int `json:"crashes"`
 	// Since is when the request was quarantined.
 	Since time.Time `json:"since,omitzero"`
