--- a/instance/ratelimit/client_test.go
+++ b/instance/ratelimit/client_test.go
@@ -86,7 +86,7 @@
 	Expect(m.demands).To(Equal([]core.Demand{{Upstream: upstream, Count: 1, Urgency: 3}}))
 	Expect(c.Use(upstream, 3)).To(BeTrue())
 	Expect(c.Use(upstream, 3)).To(BeFalse())
-	Eventually(func() bool { return c.Available(upstream) }, time.Second, time.Millisecond).Should(BeTrue(), "the next one was asked for")
+	Eventually(func() bool { return c.Available(upstream) }, time.Second, time.Millisecond).Should(BeTrue(), "the next token was requested")
 	Expect(c.Use(upstream, 3)).To(BeTrue())
 	c.ReturnToken(upstream)
 	Expect(c.Available(upstream)).To(BeTrue())
@@ -117,7 +117,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	Expect(sent).To(BeNumerically("~", 5, 2), "two a second, after a second of its own to find out and one to save up")
+	Expect(sent).To(BeNumerically("~", 5, 2), "two a second, after a second until it uses its own share and one until a token has accumulated")
 }
 
 // Guards against an instance that does not learn of a limit, or of its end, because only other instances
--- a/instance/ratelimit/service_test.go
+++ b/instance/ratelimit/service_test.go
@@ -136,7 +136,7 @@
 	}
 	all.Wait()
 	Expect(total).To(BeNumerically("<=", perSecond*span.Seconds()+1))
-	Expect(total).To(BeNumerically(">=", 0.8*perSecond*(span-core.TokenLifetime).Seconds()-2), "a new holder waits before it begins")
+	Expect(total).To(BeNumerically(">=", 0.8*perSecond*(span-core.TokenLifetime).Seconds()-2), "a new leader waits before it allocates")
 }
 
 // Guards against a successor that allocates tokens while those of its predecessor are still valid.
