--- a/instance/order/engine.go
+++ b/instance/order/engine.go
@@ -18,7 +18,7 @@
 
 const (
 	pathOrders = "/v1/orders"
-	// maxReads bounds the concurrent calls to engines.
+	// maxReads is the number of calls to engines in flight from which on no further read is started.
 	maxReads = 16
 	// maxFailedReads is the number of failed reads after which the first step of a term no longer waits
 	// for an engine.
--- a/instance/order/order.go
+++ b/instance/order/order.go
@@ -117,7 +117,7 @@
 
 const inboxSize = 256
 
-// Service orders the engines of the domain on one instance.
+// Service sends orders to the engines of the domain while this instance is elected.
 type Service struct {
 	cfg     Config
 	holder  string
@@ -136,8 +136,8 @@
 	nextRequestAt  time.Time
 	lastDue        time.Time // when an order was due last
 	engines        map[string]*engine
-	// enginesRead reports whether a read of each engine was attempted in this term. Before that, models
-	// would be loaded that engines already hold.
+	// enginesRead reports whether each engine was read in this term, or reading it failed maxFailedReads
+	// times. Before that, models would be loaded that engines already hold.
 	enginesRead    bool
 	callsInFlight  int // calls to engines
 	ordersInFlight int // orders among them
--- a/instance/order/order_test.go
+++ b/instance/order/order_test.go
@@ -157,7 +157,7 @@
 		}
 		return
 	}
-	p.t.Fatal("nobody took over")
+	p.t.Fatal("no instance took over")
 }
 
 // The order of a failed issuer arrives late at an engine that ignores the fencing number, the one case
@@ -229,7 +229,7 @@
 	p.Eventually(p.loaded("2")).Should(BeTrue())
 	issuer.set(func(n *testInstance) { n.suspended, n.cutOff = time.Hour, true })
 	p.confirm("3", issuer)
-	p.Consistently(p.loaded("2"), ttl/2).Should(BeTrue(), "by another clock the lease goes on")
+	p.Consistently(p.loaded("2"), ttl/2).Should(BeTrue(), "by another clock the lease is still valid")
 }
 
 // A new issuer must not order one engine to load what another one is already loading, only because that
--- a/instance/order/send.go
+++ b/instance/order/send.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// orderMayArrive reports whether an order may be in flight.
+// orderMayArrive reports whether an order that was sent may still arrive at its engine.
 func (s *Service) orderMayArrive(now time.Time) bool {
 	return s.ordersInFlight > 0 || now.Before(s.uncertainUntil)
 }
