--- a/instance/upstream/sse.go
+++ b/instance/upstream/sse.go
@@ -74,8 +74,8 @@
 	if n == 0 {
 		return false
 	}
-	there, _ := e.br.Peek(n)
-	return bytes.Contains(there, eventEnd)
+	buffered, _ := e.br.Peek(n)
+	return bytes.Contains(buffered, eventEnd)
 }
 
 var eventEnd = []byte("\n\n")
--- a/instance/upstream/stream.go
+++ b/instance/upstream/stream.go
@@ -62,7 +62,7 @@
 
 // Generate starts a generation. The body must request a stream ("stream": true). Errors are
 // of type *AttemptError. After Unknown the engine may be running the request, and a Cancel
-// is sent. On a pooled connection the answer's header must arrive within ReadTimeout;
+// is sent unless the engine's complete answer arrived. On a pooled connection the answer's header must arrive within ReadTimeout;
 // otherwise the stream is requested from the engine over a new connection.
 func (c *Client) Generate(ctx context.Context, t Target, requestID string, body []byte, opts ...Option) (*Stream, error) {
 	req := &fasthttp.Request{}
