--- a/instance/dispatch/attempt.go
+++ b/instance/dispatch/attempt.go
@@ -78,9 +78,9 @@
 	if a.onGrant != nil {
 		a.onGrant()
 	}
-	a.d.cfg.Telemetry.Attempt(a.job.Class.Name, a.kind())
+	a.d.cfg.Telemetry.RecordAttempt(a.job.Class.Name, a.kind())
 	g := lease.Grant()
-	a.trace("attempt %d goes to %s: score %.2f of %d candidates, %d of %d slots, prefix cached %.0f%%, floor %t",
+	a.trace("attempt %d goes to %s: score %.2f of %d candidates, %d of %d slots, prefix cached %.0f%%, below floor %t",
 		a.number, g.Upstream, g.Explain.Score, g.Explain.Candidates, g.Explain.InFlight, g.Explain.Slots, 100*g.Explain.CachedPrefix, g.Explain.BelowFloor)
 	return nil
 }
@@ -143,7 +143,7 @@
 // endFailed ends an attempt that failed. A failure on a reused connection before the first
 // event is not attributed to the upstream.
 func (a *attempt) endFailed(evidence upstream.Evidence, reused bool) {
-	cause := telemetry.CauseBroken
+	cause := telemetry.CauseStreamBroken
 	if a.removed {
 		cause = telemetry.CausePreempted
 	}
@@ -175,7 +175,7 @@
 }
 
 func (a *attempt) recordWaste(cause telemetry.Cause) {
-	a.d.cfg.Telemetry.Wasted(a.job.Class.Name, cause, a.tokens)
+	a.d.cfg.Telemetry.RecordWaste(a.job.Class.Name, cause, a.tokens)
 }
 
 func (a *attempt) trace(format string, args ...any) { a.d.cfg.Trace.Add(a.job.ID, format, args...) }
